--- a/bench/route.c
+++ b/bench/route.c
@@ -88,8 +88,8 @@
   }
   for (int i = 0; i < size.routers; i++) {
     s->routers[i] = route_new((uint32_t)i + 1, policy);
-    route_targets(s->routers[i], list, size.targets);
-    if (policy == ROUTE_OURS) route_peers(s->routers[i], size.routers);
+    route_set_targets(s->routers[i], list, size.targets);
+    if (policy == ROUTE_OURS) route_set_instances(s->routers[i], size.routers);
   }
   g_free(list);
   return s;
@@ -129,10 +129,10 @@
       const Target *t = &s->targets[i];
       double path = i % 3 == r % 3 ? 0.001 : 0.004;
       if (f == DIES && faulty(s, f, i, now))
-        route_silent(s->routers[r], now, name);
+        route_note_unresponsive(s->routers[r], now, name);
       else
-        route_report(s->routers[r], now, name, busy(t, now), waiting(t, now),
-                     path);
+        route_apply_load(s->routers[r], now, name, busy(t, now),
+                         waiting(t, now), path);
     }
 }
 
@@ -162,8 +162,8 @@
   char prompt[PREFIX * 4];
   memset(prompt, 'a' + family % 26, sizeof prompt);
   prompt[0] = (char)('A' + family);
-  RouteAsk ask = {.tokens = PREFIX};
-  ask.n = route_blocks(prompt, sizeof prompt, ask.blocks);
+  RouteRequest ask = {.tokens = PREFIX};
+  ask.n = route_hash_blocks(prompt, sizeof prompt, ask.blocks);
   RouteChoice c;
   s->requests++;
   if (!route_pick(s->routers[router], now, &ask, &c)) {
@@ -193,9 +193,9 @@
     if (j->at > now) return;
     char name[16];
     snprintf(name, sizeof name, "t%d", j->target);
-    route_done(s->routers[j->router], j->at, name,
-               j->fails ? ROUTE_FAILED : ROUTE_OK, PREFIX, j->first,
-               j->at - j->sent);
+    route_note_done(s->routers[j->router], j->at, name,
+                    j->fails ? ROUTE_FAILED : ROUTE_OK, PREFIX, j->first,
+                    j->at - j->sent);
     g_sequence_remove(it);
   }
 }
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -249,18 +249,18 @@
   }
   Route *r = route_new(1, ROUTE_OURS);
   double h0 = slopes_heap();
-  route_targets(r, list, n);
+  route_set_targets(r, list, n);
   slopes_out("target bytes", n, (slopes_heap() - h0) / n);
   char prompt[4096];
   memset(prompt, 'x', sizeof prompt);
-  RouteAsk ask = {.tokens = 1024};
-  ask.n = route_blocks(prompt, sizeof prompt, ask.blocks);
+  RouteRequest ask = {.tokens = 1024};
+  ask.n = route_hash_blocks(prompt, sizeof prompt, ask.blocks);
   double t = slopes_ns();
   const int picks = 20000;
   for (int i = 0; i < picks; i++) {
     RouteChoice c;
     route_pick(r, 1, &ask, &c);
-    route_done(r, 1, c.name, ROUTE_OK, 10, 0.01, 1);
+    route_note_done(r, 1, c.name, ROUTE_OK, 10, 0.01, 1);
   }
   slopes_out("route decision ns", n, (slopes_ns() - t) / picks);
   route_free(r);
--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -245,10 +245,10 @@
                "{s:s,s:s,s:s,s:s,s:s,s:s,s:i,s:i,s:i,s:i,s:b,s:b,s:f,s:f,s:I}",
                "name", s->target.name, "pool", pool, "datacentre", s->target.dc,
                "url", s->target.url, "adapters", s->target.adapters, "given",
-               s->given, "slots", s->target.slots, "running", s->running,
-               "waiting", s->waiting, "own", s->own, "leaving", (int)s->leaving,
-               "ejected", (int)s->ejected, "age", s->age, "path", s->path_s,
-               "failures", (json_int_t)s->failures));
+               s->assigned_adapters, "slots", s->target.slots, "running",
+               s->running, "waiting", s->waiting, "own", s->own_open, "leaving",
+               (int)s->leaving, "ejected", (int)s->ejected, "age", s->age,
+               "path", s->path_s, "failures", (json_int_t)s->failures));
 }
 
 static struct MHD_Response *targets(Entry *e, HttpReq *r, int *status) {
--- a/packages/entry/chat.c
+++ b/packages/entry/chat.c
@@ -381,7 +381,7 @@
   char *messages =
       json_dumps(json_object_get(request, "messages"), JSON_COMPACT);
   c->x.ticket.ask.n =
-      route_blocks(messages, strlen(messages), c->x.ticket.ask.blocks);
+      route_hash_blocks(messages, strlen(messages), c->x.ticket.ask.blocks);
   /* The bound is for money; the likely count, for choosing. */
   c->x.ticket.ask.tokens = (int64_t)strlen(messages) / 4;
   free(messages);
--- a/packages/entry/exchange.c
+++ b/packages/entry/exchange.c
@@ -130,8 +130,8 @@
   log_info("route", "s:s,s:s,s:s,s:s,s:i,s:i,s:f,s:f,s:f,s:f,s:I,s:f,s:b",
            "request", x->id, "customer", x->customer.name, "service",
            x->service.name, "target", c->name, "candidates", c->candidates,
-           "left_out", c->left_out, "path", c->path, "prefill", c->prefill,
-           "wait", c->wait, "margin", c->margin, "cached",
+           "left_out", c->excluded_count, "path", c->path, "prefill",
+           c->prefill, "wait", c->wait, "margin", c->margin, "cached",
            (json_int_t)c->cached, "queued", x->ticket.queued_s, "probe",
            (int)c->probe);
 }
--- a/packages/entry/placer.c
+++ b/packages/entry/placer.c
@@ -156,7 +156,7 @@
   Look *l = ctx;
   (void)pool;
   PlaceTarget t = {.slots = s->target.slots,
-                   .loads = s->target.loads,
+                   .loads = s->target.loadable_adapters,
                    .running = s->running,
                    .waiting = s->waiting,
                    .live = !s->leaving && !s->ejected};
--- a/packages/entry/poll.c
+++ b/packages/entry/poll.c
@@ -48,7 +48,8 @@
     pools_report(p->entry->pools, t->pool, t->name, ok, load.running,
                  load.waiting, path);
     pthread_mutex_lock(&p->lock);
-    loads_heard(p->loads, clock_now(), t->name, ok, load.running, load.waiting);
+    loads_apply_answer(p->loads, clock_now(), t->name, ok, load.running,
+                       load.waiting);
     pthread_mutex_unlock(&p->lock);
     g_free(t);
   }
@@ -61,7 +62,7 @@
   Poll *p = ctx;
   LoadsTarget t;
   pthread_mutex_lock(&p->lock);
-  const LoadsTarget *x = loads_told(p->loads, clock_now(), m);
+  const LoadsTarget *x = loads_apply_message(p->loads, clock_now(), m);
   if (x) t = *x;
   pthread_mutex_unlock(&p->lock);
   if (x)
@@ -75,11 +76,11 @@
   double now = clock_now();
   GArray *words = g_array_new(FALSE, FALSE, sizeof(LoadsMsg));
   pthread_mutex_lock(&p->lock);
-  while (loads_ask(p->loads, now, &t)) {
+  while (loads_next_query(p->loads, now, &t)) {
     g_queue_push_tail(&p->asks, g_memdup2(&t, sizeof t));
     pthread_cond_signal(&p->more);
   }
-  while (loads_tell(p->loads, now, &m)) g_array_append_val(words, m);
+  while (loads_next_message(p->loads, now, &m)) g_array_append_val(words, m);
   pthread_mutex_unlock(&p->lock);
   for (guint i = 0; i < words->len; i++)
     fleet_tell_load(p->entry->fleet, &g_array_index(words, LoadsMsg, i));
@@ -115,14 +116,15 @@
   GArray *list = g_array_new(FALSE, FALSE, sizeof(LoadsTarget));
   pools_each(p->entry->pools, add_target, list);
   pthread_mutex_lock(&p->lock);
-  loads_targets(p->loads, (LoadsTarget *)(void *)list->data, (int)list->len);
+  loads_set_targets(p->loads, (LoadsTarget *)(void *)list->data,
+                    (int)list->len);
   pthread_mutex_unlock(&p->lock);
   g_array_free(list, TRUE);
 }
 
 void poll_view(Poll *p, const View *v) {
   pthread_mutex_lock(&p->lock);
-  loads_view(p->loads, v);
+  loads_set_view(p->loads, v);
   pthread_mutex_unlock(&p->lock);
 }
 
--- a/packages/entry/pool.c
+++ b/packages/entry/pool.c
@@ -70,8 +70,8 @@
   double now = clock_now();
   count_add(COUNT_EJECTED, route_ejections(p->route) - p->ejections);
   p->ejections = route_ejections(p->route);
-  while (queue_pop(p->queue, now, route_room(p->route, now),
-                   route_rate(p->route), &out)) {
+  while (queue_pop(p->queue, now, route_free_slots(p->route, now),
+                   route_max_rate(p->route), &out)) {
     Turn *t = g_hash_table_lookup(p->turns, &out.handle);
     ErrKind refused = out.refused;
     bool picked =
@@ -120,7 +120,7 @@
     RouteState s = route_state(p->route, 0, i);
     char list[LIMIT_ADAPTERS] = "";
     plan_adapters(plan, s.target.name, 1 << PLAN_LOADED, list);
-    route_given(p->route, s.target.name, list);
+    route_set_assigned_adapters(p->route, s.target.name, list);
   }
   pump(p);
   pthread_mutex_unlock(&p->lock);
@@ -135,8 +135,8 @@
   count_asked(p, t->ask.adapter);
   ErrKind refused = ERR_NO_TARGET;
   if (any_target(p, now))
-    refused =
-        queue_push(p->queue, now, &t->item, route_rate(p->route), &retry_ms);
+    refused = queue_push(p->queue, now, &t->item, route_max_rate(p->route),
+                         &retry_ms);
   if (refused == ERR_NONE) {
     pthread_cond_init(&turn.ready, NULL);
     g_hash_table_insert(p->turns, &t->item.handle, &turn);
@@ -168,9 +168,9 @@
 void pool_done(Pool *p, const PoolTicket *t, RouteOutcome outcome,
                double first_s, double all_s) {
   pthread_mutex_lock(&p->lock);
-  route_done(p->route, clock_now(), t->choice.name, outcome,
-             t->ask.tokens - t->choice.cached, first_s, all_s);
-  if (outcome == ROUTE_OK) route_succeeded(p->route, t->item.customer);
+  route_note_done(p->route, clock_now(), t->choice.name, outcome,
+                  t->ask.tokens - t->choice.cached, first_s, all_s);
+  if (outcome == ROUTE_OK) route_note_success(p->route, t->item.customer);
   pump(p);
   pthread_mutex_unlock(&p->lock);
 }
@@ -242,7 +242,7 @@
     pool_of_target(r, name, sizeof name);
     if (strcmp(name, p->name) != 0) continue;
     RouteTarget x = {.slots = (int)r->numbers[TABLE_SLOTS],
-                     .loads = (int)r->numbers[TABLE_LOADS]};
+                     .loadable_adapters = (int)r->numbers[TABLE_LOADS]};
     g_strlcpy(x.name, r->name, sizeof x.name);
     g_strlcpy(x.url, r->cells[TABLE_URL], sizeof x.url);
     g_strlcpy(x.dc, r->cells[TABLE_DATACENTRE], sizeof x.dc);
@@ -251,7 +251,8 @@
     g_array_append_val(list, x);
   }
   pthread_mutex_lock(&p->lock);
-  route_targets(p->route, (RouteTarget *)(void *)list->data, (int)list->len);
+  route_set_targets(p->route, (RouteTarget *)(void *)list->data,
+                    (int)list->len);
   pump(p);
   pthread_mutex_unlock(&p->lock);
   g_array_free(list, TRUE);
@@ -269,7 +270,7 @@
   for (GList *i = all; i; i = i->next) {
     Pool *pool = i->data;
     pthread_mutex_lock(&pool->lock);
-    route_peers(pool->route, n);
+    route_set_instances(pool->route, n);
     pthread_mutex_unlock(&pool->lock);
   }
   g_list_free(all);
@@ -280,7 +281,7 @@
   for (GList *i = all; i; i = i->next) {
     Pool *pool = i->data;
     pthread_mutex_lock(&pool->lock);
-    route_leaving(pool->route, target, leaving);
+    route_set_leaving(pool->route, target, leaving);
     pthread_mutex_unlock(&pool->lock);
   }
   g_list_free(all);
@@ -335,9 +336,10 @@
   if (!pool) return;
   pthread_mutex_lock(&pool->lock);
   if (heard)
-    route_report(pool->route, clock_now(), target, running, waiting, path_s);
+    route_apply_load(pool->route, clock_now(), target, running, waiting,
+                     path_s);
   else
-    route_silent(pool->route, clock_now(), target);
+    route_note_unresponsive(pool->route, clock_now(), target);
   pump(pool);
   pthread_mutex_unlock(&pool->lock);
 }
--- a/packages/entry/pool.h
+++ b/packages/entry/pool.h
@@ -42,7 +42,7 @@
 /* A request in a pool. */
 typedef struct PoolTicket {
   QueueItem item;
-  RouteAsk ask;
+  RouteRequest ask;
   RouteChoice choice;
   double queued_s; /* how long it waited */
 } PoolTicket;
--- a/packages/fleet/cluster.c
+++ b/packages/fleet/cluster.c
@@ -569,7 +569,7 @@
   return c->view->n >= FLEET_SMALL;
 }
 
-void cluster_tally_ask(Cluster *c, const TallyAsk *a) {
+void cluster_tally_ask(Cluster *c, const TallyQuery *a) {
   tallies_ask(c->tallies, now_of(c), a);
 }
 
@@ -577,7 +577,7 @@
   tallies_tell(c->tallies, now_of(c), r);
 }
 
-void cluster_permit_ask(Cluster *c, const TallyPermitAsk *a) {
+void cluster_permit_ask(Cluster *c, const TallyPermitRequest *a) {
   tallies_ask_permit(c->tallies, now_of(c), a);
 }
 
@@ -599,7 +599,7 @@
   tell_regions(c, m->digest.lo, send_suspect, &word);
 }
 
-void cluster_pool(Cluster *c, const TargetsPoolWord *word) {
+void cluster_pool(Cluster *c, const TargetsPoolReport *word) {
   const Member *m;
   if (cluster_is_large(c)) return;
   for (int i = 0; (m = next_near(c, &i));)
--- a/packages/fleet/cluster.h
+++ b/packages/fleet/cluster.h
@@ -40,7 +40,7 @@
   /* The same of parts of prompts that it had read there. */
   void (*parts)(void *ctx, const TargetParts *m);
   /* What all have at a target that we asked for. */
-  void (*tally)(void *ctx, const TallyWord *m);
+  void (*tally)(void *ctx, const TallyReport *m);
   /* Whether a request of ours may go to a bounded target. */
   void (*permit)(void *ctx, const TallyPermit *m);
   /* What a target takes, as who counts there tells all. */
@@ -48,7 +48,7 @@
   /* What is said of a request under which targets ended. */
   void (*suspect)(void *ctx, const SuspectsMsg *m);
   /* The same of what it saw of a pool. */
-  void (*pool)(void *ctx, uint64_t from, const TargetsPoolWord *m);
+  void (*pool)(void *ctx, uint64_t from, const TargetsPoolReport *m);
 } ClusterEvents;
 
 Cluster *cluster_open(struct ev_loop *loop, Store *store,
@@ -77,18 +77,18 @@
 bool cluster_is_large(const Cluster *c);
 /* Asks whoever counts it what all have at a target; the answer may come before
    this returns, or never. */
-void cluster_tally_ask(Cluster *c, const TallyAsk *a);
+void cluster_tally_ask(Cluster *c, const TallyQuery *a);
 /* Tells whoever counts it of a request of ours at a target. */
 void cluster_tally_tell(Cluster *c, const TallyRun *r);
 /* Asks whoever counts there for a permit; the answer may come before this
    returns, or never. */
-void cluster_permit_ask(Cluster *c, const TallyPermitAsk *a);
+void cluster_permit_ask(Cluster *c, const TallyPermitRequest *a);
 /* Tells whoever counts there of a target's limit. */
 void cluster_limit(Cluster *c, const TallyLimit *m);
 /* This instance stood still. */
 void cluster_stood_still(Cluster *c);
 /* Tells the others of the region what we saw of a pool. */
-void cluster_pool(Cluster *c, const TargetsPoolWord *m);
+void cluster_pool(Cluster *c, const TargetsPoolReport *m);
 /* Tells the homes of a request, or all instances, by the kind of message. */
 void cluster_suspect(Cluster *c, const SuspectsMsg *m);
 /* Whether the store answers nobody, as far as is known. */
--- a/packages/fleet/tallies.c
+++ b/packages/fleet/tallies.c
@@ -66,28 +66,30 @@
 void tallies_view(Tallies *t, double now, const View *v) {
   t->view = v;
   g_hash_table_remove_all(t->counter);
-  tally_members(t->tally, now, v->n, count_for, t);
+  tally_set_members(t->tally, now, v->n, count_for, t);
 }
 
 void tallies_stood_still(Tallies *t, double now) {
-  if (t->view) tally_members(t->tally, now, t->view->n, count_for_nobody, NULL);
+  if (t->view)
+    tally_set_members(t->tally, now, t->view->n, count_for_nobody, NULL);
 }
 
 static TallyParts parts_to(const Tallies *t, const Member *m,
                            const TallyParts *parts, RegionSet allowed) {
-  return tally_parts_to(parts, allowed, regions_named(t->regions, m->region));
+  return tally_allowed_parts(parts, allowed,
+                             regions_by_name(t->regions, m->region));
 }
 
-void tallies_ask(Tallies *t, double now, const TallyAsk *a) {
+void tallies_ask(Tallies *t, double now, const TallyQuery *a) {
   const Member *m = counter_of(t, a->counter);
   if (!m) return;
   if (!is_self(t, m)) {
-    TallyAsk out = *a;
+    TallyQuery out = *a;
     out.parts = parts_to(t, m, &a->parts, a->regions);
     peer_tally_ask(t->peer, m->peer, m->id, &out);
     return;
   }
-  TallyWord w = tally_word(t->tally, now, a);
+  TallyReport w = tally_report(t->tally, now, a);
   t->ev.word(t->ctx, &w);
 }
 
@@ -95,7 +97,7 @@
   const Member *m = counter_of(t, r->counter);
   if (!m) return;
   if (is_self(t, m)) {
-    tally_take(t->tally, now, t->hash, r);
+    tally_apply_run(t->tally, now, t->hash, r);
     return;
   }
   TallyRun out = *r;
@@ -103,14 +105,14 @@
   peer_tally_run(t->peer, m->peer, m->id, &out);
 }
 
-void tallies_ask_permit(Tallies *t, double now, const TallyPermitAsk *a) {
+void tallies_ask_permit(Tallies *t, double now, const TallyPermitRequest *a) {
   const Member *m = counter_of(t, a->counter);
   if (!m) return;
   if (!is_self(t, m)) {
     peer_permit_ask(t->peer, m->peer, m->id, a);
     return;
   }
-  TallyPermit p = tally_permit(t->tally, now, t->hash, a);
+  TallyPermit p = tally_decide_permit(t->tally, now, t->hash, a);
   t->ev.permit(t->ctx, &p);
 }
 
@@ -118,7 +120,7 @@
   const Member *to = counter_of(t, m->counter);
   if (!to) return;
   if (is_self(t, to)) {
-    tally_limit(t->tally, now, m);
+    tally_set_limit(t->tally, now, m);
     return;
   }
   CodecLimit word = {.msg = *m};
@@ -126,34 +128,34 @@
 }
 
 bool tallies_limit_news(Tallies *t, double now, double again_s, TallyLimit *m) {
-  return tally_limit_news(t->tally, now, again_s, m);
+  return tally_next_limit(t->tally, now, again_s, m);
 }
 
 /* Only who counts by its own view answers: of two that are asked in turn, while
    their views differ, one gives nothing. */
 static void take_permit_ask(Tallies *t, double now, const Member *from,
-                            const TallyPermitAsk *a) {
+                            const TallyPermitRequest *a) {
   if (!count_for(t, a->counter)) return;
-  TallyPermit p = tally_permit(t->tally, now, text_hash(from->id), a);
+  TallyPermit p = tally_decide_permit(t->tally, now, text_hash(from->id), a);
   peer_permit(t->peer, from->peer, from->id, &p);
 }
 
 bool tallies_take(Tallies *t, double now, const Member *from,
                   const CodecMsg *m) {
   if (m->type == CODEC_TALLY_ASK) {
-    TallyWord w = tally_word(t->tally, now, &m->tally_ask);
+    TallyReport w = tally_report(t->tally, now, &m->tally_ask);
     peer_tally_word(t->peer, from->peer, from->id, &w);
   } else if (m->type == CODEC_TALLY_WORD) {
-    t->ev.word(t->ctx, &m->tally_word);
+    t->ev.word(t->ctx, &m->tally_report);
   } else if (m->type == CODEC_PERMIT_ASK) {
     take_permit_ask(t, now, from, &m->permit_ask);
   } else if (m->type == CODEC_PERMIT) {
     t->ev.permit(t->ctx, &m->permit);
   } else if (m->type == CODEC_LIMIT && !m->limit.to_all) {
     if (count_for(t, m->limit.msg.counter))
-      tally_limit(t->tally, now, &m->limit.msg);
+      tally_set_limit(t->tally, now, &m->limit.msg);
   } else if (m->type == CODEC_TALLY_RUN) {
-    tally_take(t->tally, now, text_hash(from->id), &m->tally_run);
+    tally_apply_run(t->tally, now, text_hash(from->id), &m->tally_run);
   } else {
     return false;
   }
--- a/packages/fleet/tallies.h
+++ b/packages/fleet/tallies.h
@@ -9,7 +9,7 @@
 
 /* The answers to questions of ours, at once where we count. */
 typedef struct TalliesEvents {
-  void (*word)(void *ctx, const TallyWord *w);
+  void (*word)(void *ctx, const TallyReport *w);
   void (*permit)(void *ctx, const TallyPermit *p);
 } TalliesEvents;
 
@@ -22,10 +22,10 @@
 /* We stood still: others may have counted for us meanwhile. */
 void tallies_stood_still(Tallies *t, double now);
 /* Who counts there is asked, or told of one of our requests. */
-void tallies_ask(Tallies *t, double now, const TallyAsk *a);
+void tallies_ask(Tallies *t, double now, const TallyQuery *a);
 void tallies_tell(Tallies *t, double now, const TallyRun *r);
 /* Who counts there is asked for a permit, or told of a target's limit. */
-void tallies_ask_permit(Tallies *t, double now, const TallyPermitAsk *a);
+void tallies_ask_permit(Tallies *t, double now, const TallyPermitRequest *a);
 void tallies_limit(Tallies *t, double now, const TallyLimit *m);
 /* tally_limit_news of what we count. */
 bool tallies_limit_news(Tallies *t, double now, double again_s, TallyLimit *m);
--- a/packages/flow/asking.c
+++ b/packages/flow/asking.c
@@ -16,15 +16,15 @@
 
 void run_ask(Run *x) {
   Relay *r = x->relay;
-  uint64_t targets[TARGETS_ASKED];
-  TallyAsk a = {0};
+  uint64_t targets[TARGETS_MAX_QUERIED];
+  TallyQuery a = {0};
   if (!asks(x)) return;
-  TargetAsk ask = run_target_ask(x);
+  TargetRequest ask = run_target_ask(x);
   a.regions = x->regions;
   x->n_words = 0;
-  x->n_asked = targets_to_ask(r->targets, run_now(x), &ask, targets);
+  x->n_asked = targets_to_query(r->targets, run_now(x), &ask, targets);
   x->question = a.number = ++r->questions;
-  a.parts.n = parts_names(&x->ask, a.parts.names, TALLY_NAMES);
+  a.parts.n = parts_names(&x->ask, a.parts.names, TALLY_MAX_PARTS);
   g_hash_table_insert(r->asking, &x->question, x);
   for (int i = 0; i < x->n_asked; i++) {
     a.target = targets[i];
@@ -43,7 +43,7 @@
   x->holds = x->permit_asked = false;
 }
 
-void relay_tally(Relay *r, const TallyWord *w) {
+void relay_tally(Relay *r, const TallyReport *w) {
   Run *x = g_hash_table_lookup(r->asking, &w->number);
   if (!x || x->permit_asked || x->n_words == x->n_asked) return;
   x->words[x->n_words++] = *w;
@@ -59,7 +59,7 @@
                 .open = open,
                 .tokens = tokens,
                 .regions = x->regions};
-  if (parts) m.parts.n = parts_names(&x->ask, m.parts.names, TALLY_NAMES);
+  if (parts) m.parts.n = parts_names(&x->ask, m.parts.names, TALLY_MAX_PARTS);
   cluster_tally_tell(x->relay->cluster, &m);
 }
 
@@ -67,7 +67,7 @@
   if (!asks(x) && !x->choice.bounded) return;
   x->run = x->permit_run != 0 ? x->permit_run : ++x->relay->runs;
   x->counter = targets_counter(x->relay->targets, target_hash(x->target));
-  tell(x, true, x->choice.fresh, true);
+  tell(x, true, x->choice.uncached_tokens, true);
 }
 
 void run_tell_read(Run *x) {
--- a/packages/flow/breaks.c
+++ b/packages/flow/breaks.c
@@ -35,7 +35,7 @@
 }
 
 static void note_ended(Relay *r, Target *t) {
-  target_ended(t, loopclock_now(r->loop));
+  target_note_ended(t, loopclock_now(r->loop));
   count_add(COUNT_TARGETS_ENDED, 1);
   log_warn("target-ended", "s:s,s:s,s:s", "target", target_id(t), "addr",
            target_addr(t), "sign", "refused");
@@ -48,13 +48,13 @@
   digest_text(m->digest, digest);
   count_add(COUNT_SUSPECTS, named);
   log_info(named ? "suspect" : "suspect-cleared", "s:s,s:s,s:f", "digest",
-           digest, "word", word, "age", m->age_s);
+           digest, "word", word, "age", m->first_mark_age_s);
 }
 
 /* Messages of the core leave, some of them to ourselves. */
 static void tell_suspects(Relay *r) {
   SuspectsMsg m;
-  while (suspects_next(r->suspects, &m)) {
+  while (suspects_next_message(r->suspects, &m)) {
     if (m.kind != SUSPECTS_MARK) log_suspect(&m, "ours");
     cluster_suspect(r->cluster, &m);
   }
@@ -63,7 +63,7 @@
 /* Each request under which a target has ended. */
 static void take_marks(Relay *r) {
   EndsMark m;
-  while (ends_next(r->ends, &m)) {
+  while (ends_next_mark(r->ends, &m)) {
     char digest[DIGEST_TEXT];
     digest_text(m.digest, digest);
     log_info("request-marked", "s:s", "digest", digest);
@@ -75,7 +75,7 @@
 
 void relay_suspect(Relay *r, const SuspectsMsg *m) {
   bool known = suspects_has(r->suspects, m->digest);
-  suspects_take(r->suspects, loopclock_now(r->loop), m);
+  suspects_apply_message(r->suspects, loopclock_now(r->loop), m);
   if (suspects_has(r->suspects, m->digest) != known && m->kind != SUSPECTS_MARK)
     log_suspect(m, "another's");
   tell_suspects(r);
@@ -84,8 +84,8 @@
 void run_ran(Run *x) {
   Relay *r = x->relay;
   double now = run_now(x);
-  if (!suspects_looks(r->suspects, now)) return;
-  suspects_ran(r->suspects, now, run_digest(x));
+  if (!suspects_track_successes(r->suspects, now)) return;
+  suspects_note_success(r->suspects, now, run_digest(x));
   relay_tried_well(r, run_digest(x));
   tell_suspects(r);
 }
@@ -98,15 +98,17 @@
 void run_cut_off(Run *x) {
   if (!x->target || !x->link || !link_sent(x->link) || !run_is_young(x)) return;
   EndsMark m = mark_of(x, x->target);
-  ends_left(x->relay->ends, run_now(x), &m);
+  ends_note_abandoned(x->relay->ends, run_now(x), &m);
 }
 
 void run_broke(Run *x, Target *t, bool young) {
   Relay *r = x->relay;
   double now = run_now(x);
   EndsMark m = mark_of(x, t);
-  if (ends_broke(r->ends, now, &m, young, target_open(t))) note_ended(r, t);
-  if (ends_asks(r->ends, now, m.target)) link_open(r->links, target_addr(t));
+  if (ends_note_break(r->ends, now, &m, young, target_open(t)))
+    note_ended(r, t);
+  if (ends_start_probe(r->ends, now, m.target))
+    link_open(r->links, target_addr(t));
   take_marks(r);
 }
 
@@ -121,22 +123,22 @@
   const Reach *reach = ctx;
   Ends *ends = reach->relay->ends;
   double now = loopclock_now(reach->relay->loop);
-  if (reach->how == LINK_UP) ends_reached(ends, now, target_hash(t));
+  if (reach->how == LINK_UP) ends_note_connected(ends, now, target_hash(t));
   if (reach->how != LINK_REFUSED) return;
-  if (ends_refused(ends, now, target_hash(t), target_open(t)))
+  if (ends_note_refused(ends, now, target_hash(t), target_open(t)))
     note_ended(reach->relay, t);
 }
 
 void relay_reach(void *ctx, const char *addr, LinkReach how) {
   Reach reach = {.relay = ctx, .how = how};
   if (ends_is_idle(reach.relay->ends)) return;
-  targets_at(reach.relay->targets, addr, note_reach, &reach);
+  targets_for_each_at_addr(reach.relay->targets, addr, note_reach, &reach);
   take_marks(reach.relay);
 }
 
 void relay_restarted(Relay *r, const char *addr, uint64_t life) {
   links_forget(r->links, addr);
-  if (ends_again(r->ends, loopclock_now(r->loop), life))
+  if (ends_note_restart(r->ends, loopclock_now(r->loop), life))
     log_warn("target-ended", "s:s,s:s", "addr", addr, "sign", "started again");
   take_marks(r);
 }
--- a/packages/flow/dispatch.c
+++ b/packages/flow/dispatch.c
@@ -99,7 +99,7 @@
 static void not_run(Run *x, bool sent) {
   Err e;
   log_failure(x, sent ? "refused" : "unreachable");
-  run_leave_target(x, sent ? TARGET_FULL : TARGET_SILENT);
+  run_leave_target(x, sent ? TARGET_FULL : TARGET_UNRESPONSIVE);
   if (may_go_on(x, sent)) {
     run_dispatch(x);
     return;
@@ -109,7 +109,7 @@
 }
 
 /* It may have run there. */
-static void may_have_run(Run *x, TargetEnd how, const char *why) {
+static void may_have_run(Run *x, TargetOutcome how, const char *why) {
   Err e;
   Target *t = x->target;
   bool young = run_is_young(x);
@@ -144,11 +144,11 @@
   wire_answer(h->headers, x->ask.id, &a);
   if (!a.ours) return LINK_SKIP;
   if (a.load_told)
-    target_load(x->target, run_now(x), a.running, a.waiting, a.pace);
-  if (a.cold_s > 0) target_cold(x->target, run_now(x), a.cold_s);
+    target_set_load(x->target, run_now(x), a.running, a.waiting, a.pace);
+  if (a.cold_s > 0) target_set_cold(x->target, run_now(x), a.cold_s);
   x->refused = a.not_run || h->status == 421;
   if (h->status == 421)
-    targets_replaced(x->relay->targets, run_now(x), x->target);
+    targets_mark_replaced(x->relay->targets, run_now(x), x->target);
   else
     run_note_limit(x, &a);
   if (x->refused) return LINK_TAKE;
@@ -167,8 +167,8 @@
   Run *x = ctx;
   if (x->refused) return;
   if (!x->first) {
-    target_first(x->target, x->choice.fresh, x->choice.load.tokens,
-                 run_now(x) - x->sent_at);
+    target_note_first_byte(x->target, x->choice.uncached_tokens,
+                           x->choice.load.tokens, run_now(x) - x->sent_at);
     count_time(COUNT_TIME_FIRST, run_now(x) - x->req->at);
     run_tell_read(x);
     x->first_at = run_now(x);
@@ -238,7 +238,7 @@
     x->sends--;
     not_run(x, false);
     break;
-  case LINK_EMPTY: may_have_run(x, TARGET_SILENT, "silent"); break;
+  case LINK_EMPTY: may_have_run(x, TARGET_UNRESPONSIVE, "silent"); break;
   case LINK_CUT:
     if (x->refused)
       not_run(x, true);
@@ -260,21 +260,22 @@
 
 /* == dispatch == */
 
-TargetAsk run_target_ask(Run *x) {
+TargetRequest run_target_ask(Run *x) {
   run_bind(x);
-  return (TargetAsk){.service = x->service_name,
-                     .ask = &x->ask,
-                     .engine = x->service && x->service->engine,
-                     .cold_rate = x->service ? x->service->cold_rate : 0,
-                     .move_s = x->service ? x->service->move_s : 0,
-                     .pause_s = x->service ? x->service->pause_s : 0,
-                     .regions = x->regions,
-                     .no_permit = !run_may_ask_permit(x),
-                     .alone = x->try != NULL,
-                     .tried = x->tried,
-                     .n_tried = x->n_tried,
-                     .words = x->words,
-                     .n_words = x->n_words};
+  return (TargetRequest){.service = x->service_name,
+                         .ask = &x->ask,
+                         .engine = x->service && x->service->engine,
+                         .cold_rate_per_s =
+                             x->service ? x->service->cold_rate : 0,
+                         .move_token_s = x->service ? x->service->move_s : 0,
+                         .max_pause_s = x->service ? x->service->pause_s : 0,
+                         .regions = x->regions,
+                         .permits_exhausted = !run_may_ask_permit(x),
+                         .isolate = x->try != NULL,
+                         .tried = x->tried,
+                         .n_tried = x->n_tried,
+                         .reports = x->words,
+                         .n_reports = x->n_words};
 }
 
 /* The rank of the customer comes before that of the route. */
@@ -306,8 +307,8 @@
   x->paused_at = 0;
   x->tried[x->n_tried++] = c->target;
   x->sends++;
-  if (x->n_tried == 1) retries_first(r->retries, now, x->service_name);
-  target_sent(c->target, now, &x->ask, c);
+  if (x->n_tried == 1) retries_note_first(r->retries, now, x->service_name);
+  target_note_sent(c->target, now, &x->ask, c);
   run_tell_sent(x);
   x->n_permits = 0;
   x->permit_run = 0;
@@ -321,8 +322,8 @@
   static const struct {
     int retry_ms;
     const char *text;
-  } causes[TARGET_NONES] = {
-      [TARGET_NONE_LEFT] = {RUN_BACK_SOON_MS, "no target serves %s now"},
+  } causes[TARGET_NONE_COUNT] = {
+      [TARGET_NONE_AVAILABLE] = {RUN_BACK_SOON_MS, "no target serves %s now"},
       [TARGET_NONE_ALLOWED] = {RUN_BACK_CHANGED_MS,
                                "%s has no target in the allowed regions"},
       [TARGET_NONE_EVACUATED] = {RUN_BACK_EVACUATED_MS,
@@ -331,7 +332,7 @@
   };
   Err e;
   int retry_ms = causes[c->none].retry_ms;
-  if (c->none == TARGET_NONE_FULL) retry_ms = (int)(c->back_s * 1000);
+  if (c->none == TARGET_NONE_FULL) retry_ms = (int)(c->retry_after_s * 1000);
   err_retry(&e, ERR_NO_TARGET, retry_ms, causes[c->none].text, x->service_name);
   if (x->maybe) err_set(&e, ERR_TARGET_FAILED, "no other target is left");
   run_give_up(x, &e);
@@ -352,7 +353,7 @@
     give_up_behind(x);
     return;
   }
-  TargetAsk ask = run_target_ask(x);
+  TargetRequest ask = run_target_ask(x);
   TargetChoice c = targets_pick(x->relay->targets, run_now(x), &ask);
   run_stop_asking(x);
   if (!c.target) {
--- a/packages/flow/permits.c
+++ b/packages/flow/permits.c
@@ -18,11 +18,11 @@
 static void take_own_part(Run *x) {
   Target *t = x->choice.target;
   double now = run_now(x);
-  if (target_usable(t, now) && target_deals(&x->choice, now)) {
+  if (target_is_usable(t, now) && target_may_use_own_share(&x->choice, now)) {
     run_send(x);
     return;
   }
-  target_full(&x->choice, now, SILENT_S);
+  target_note_full(&x->choice, now, SILENT_S);
   run_choose(x);
 }
 
@@ -42,7 +42,7 @@
 void run_ask_permit(Run *x, const TargetChoice *c) {
   Relay *r = x->relay;
   double now = run_now(x);
-  TallyPermitAsk a = target_permit_ask(c, now);
+  TallyPermitRequest a = target_permit_request(c, now);
   x->choice = *c;
   x->n_permits++;
   x->all_permits++;
@@ -77,22 +77,22 @@
   Target *t = x->target;
   if (a->limits == ANSWER_LIMIT_DAMAGED) {
     count_add(COUNT_LIMITS_DAMAGED, 1);
-    if (target_limit_damaged(t)) log_limit(t, x->ask.id, "damaged", 0);
+    if (target_note_damaged_limit(t)) log_limit(t, x->ask.id, "damaged", 0);
     return;
   }
   bool named = a->limits == ANSWER_LIMIT;
   /* An answer without its signature may have lost that word. */
   if (!named && !a->signed_) return;
   double limit = named ? a->limit : QUOTA_UNLIMITED;
-  TargetNews news = target_limit(t, run_now(x), limit);
-  if (news != TARGET_KNOWN) tell_limit(x, limit);
-  if (news != TARGET_CHANGED) return;
+  TargetLimitChange news = target_set_limit(t, run_now(x), limit);
+  if (news != TARGET_LIMIT_KNOWN) tell_limit(x, limit);
+  if (news != TARGET_LIMIT_CHANGED) return;
   count_add(COUNT_LIMITS, 1);
   log_limit(t, x->ask.id, named ? "named" : "ended", limit);
 }
 
 void relay_limit(Relay *r, uint64_t target, double limit) {
-  const Target *t = targets_limit_told(r->targets, target, limit);
+  const Target *t = targets_apply_limit(r->targets, target, limit);
   bool ended = limit >= QUOTA_UNLIMITED;
   if (t) log_limit(t, NULL, ended ? "told ended" : "told", limit);
 }
@@ -113,10 +113,10 @@
   }
   if (p->verdict != TALLY_GIVEN) {
     count_add(COUNT_PERMITS_REFUSED, 1);
-    target_full(&x->choice, now, p->wait_s);
+    target_note_full(&x->choice, now, p->wait_s);
   }
   bool given = p->verdict == TALLY_GIVEN && !late;
-  if (given && target_usable(x->choice.target, now))
+  if (given && target_is_usable(x->choice.target, now))
     run_send(x);
   else
     run_choose(x);
--- a/packages/flow/relay.c
+++ b/packages/flow/relay.c
@@ -117,9 +117,10 @@
 static RegionSet regions_in(const Run *x, const ConfRoute *route,
                             const ConfCustomer *customer) {
   const Regions *r = x->relay->regions;
-  RegionSet by_route = regions_listed(r, route->regions, NULL);
+  RegionSet by_route = regions_from_list(r, route->regions, NULL);
   if (!customer) return by_route;
-  return regions_both(by_route, regions_listed(r, customer->regions, NULL));
+  return regions_intersect(by_route,
+                           regions_from_list(r, customer->regions, NULL));
 }
 
 void run_bind(Run *x) {
@@ -128,7 +129,7 @@
   const ConfRoute *route = route_in(x, c);
   if (!route) return;
   RegionSet now = regions_in(x, route, conf_customer(c, x->ask.key));
-  x->regions = regions_both(x->regions, now);
+  x->regions = regions_intersect(x->regions, now);
 }
 
 /* Finds route, customer and service; false with a typed error. */
--- a/packages/flow/relay.h
+++ b/packages/flow/relay.h
@@ -32,7 +32,7 @@
 /* A reservation is decided. */
 void relay_reserved(Relay *r, uint64_t handle, ErrKind cause, int retry_ms);
 /* What all have at a target that a request asked about. */
-void relay_tally(Relay *r, const TallyWord *w);
+void relay_tally(Relay *r, const TallyReport *w);
 /* Whether a request may go to the bounded target that it was chosen for. */
 void relay_permit(Relay *r, const TallyPermit *p);
 /* What a target takes (TallyLimit), as another instance tells it. */
--- a/packages/flow/run.c
+++ b/packages/flow/run.c
@@ -38,13 +38,14 @@
   count_add(COUNT_TOKENS, x->waits ? 0 : used);
 }
 
-void run_leave_target(Run *x, TargetEnd how) {
+void run_leave_target(Run *x, TargetOutcome how) {
   if (!x->target) return;
   double now = run_now(x);
   run_tell_done(x);
-  if (x->stream && x->events.count > 1 && x->choice.beside_long)
-    target_streamed(x->target, now, x->pause_s > x->route->pause_s);
-  target_done(x->target, now, how, x->first, x->choice.fresh, now - x->sent_at);
+  if (x->stream && x->events.count > 1 && x->choice.serves_long)
+    target_note_stream(x->target, now, x->pause_s > x->route->pause_s);
+  target_note_done(x->target, now, how, x->first, x->choice.uncached_tokens,
+                   now - x->sent_at);
   x->target = NULL;
 }
 
@@ -79,8 +80,9 @@
        x->route ? x->route->name : "", "target",
        x->n_tried > 0 ? target_id(x->tried[x->n_tried - 1]) : "", "sends",
        x->sends, "tried", x->n_tried, "events", (json_int_t)x->events.count,
-       "tokens", (json_int_t)tokens, "fresh", (json_int_t)x->choice.fresh,
-       "moved", (json_int_t)x->choice.moved, "there", x->choice.load.open,
+       "tokens", (json_int_t)tokens, "fresh",
+       (json_int_t)x->choice.uncached_tokens, "moved",
+       (json_int_t)x->choice.moved_tokens, "there", x->choice.load.open,
        "unread", (json_int_t)x->choice.load.tokens, "predicted",
        x->choice.wait_s, "first", x->first_s, "pause", x->pause_s, "aim",
        x->route ? x->route->aim_s : 0, "pause_aim",
@@ -94,7 +96,7 @@
   run_cut_off(x);
   if (x->link) link_cancel(x->link);
   x->link = NULL;
-  run_leave_target(x, TARGET_LEFT);
+  run_leave_target(x, TARGET_ABANDONED);
   run_leave_trial(x, x->sends > 0);
   int64_t used = used_tokens(x, strcmp(outcome, "served") == 0);
   run_settle(x, used);
--- a/packages/flow/run.h
+++ b/packages/flow/run.h
@@ -57,7 +57,7 @@
   uint64_t question; /* that is open; 0: none */
   bool holds;        /* the choice waits for the answers */
   int n_asked, n_words;
-  TallyWord words[TARGETS_ASKED];
+  TallyReport words[TARGETS_MAX_QUERIED];
   /* a permit for the target of `choice` */
   bool permit_asked; /* the question that is open is for it */
   double asked_at;
@@ -110,7 +110,7 @@
 Run *run_new(Relay *r, Caller *c, const CallerReq *req);
 double run_now(const Run *x);
 /* The target is done with, one way or the other. */
-void run_leave_target(Run *x, TargetEnd how);
+void run_leave_target(Run *x, TargetOutcome how);
 /* Ends with an error of ours; breaks off what was begun. */
 void run_give_up(Run *x, Err *e);
 /* Ends with the answer that was passed on. */
@@ -183,7 +183,7 @@
 /* == dispatch.c: targets and their answers == */
 
 /* What the choice of a target is made by. */
-TargetAsk run_target_ask(Run *x);
+TargetRequest run_target_ask(Run *x);
 void run_choose(Run *x);
 /* Sends it to the target of `choice`. */
 void run_send(Run *x);
--- a/packages/flow/trying.c
+++ b/packages/flow/trying.c
@@ -100,7 +100,7 @@
     log_try(t, err_info(a->kind)->name);
     return;
   }
-  if (t->well) trials_gone(t->relay->trials, t->trial.digest);
+  if (t->well) trials_remove(t->relay->trials, t->trial.digest);
   if (a->kind == ERR_NONE && !t->well && store_object(a, &o)) {
     Trial closed = trials_close(&t->trial, t->outcome);
     closed.revision = o.revision;
@@ -154,7 +154,7 @@
 /* Whether its outcome can't change any more. */
 static bool is_over(const Try *t) {
   if (t->run || t->calling) return false;
-  if (t->well || t->outcome != TRIALS_NOTHING) return true;
+  if (t->well || t->outcome != TRIALS_INCONCLUSIVE) return true;
   return now_of(t->relay) - t->left_at > SETTLE_S;
 }
 
@@ -228,7 +228,7 @@
   log_try(t, err_info(a->kind)->name);
   if (a->kind == ERR_STORE_CONFLICT) take_other(t, a);
   if (a->kind == ERR_STORE_ABSENT)
-    trials_gone(t->relay->trials, t->trial.digest);
+    trials_remove(t->relay->trials, t->trial.digest);
   t->unknown = a->kind == ERR_STORE_UNKNOWN;
   if (t->unknown && x) run_leave_trial(x, false);
   if (!t->unknown) drop(t);
@@ -245,7 +245,7 @@
 static void make_room(Relay *r) {
   Trial old;
   char name[DIGEST_TEXT];
-  if (!trials_shed(r->trials, &old)) return;
+  if (!trials_choose_evicted(r->trials, &old)) return;
   digest_text(old.digest, name);
   count_add(COUNT_SUSPECTS_SHED, 1);
   store_delete(r->store, CALLS_TRIAL, FEED_TRIALS_KIND, name, old.revision,
@@ -260,7 +260,7 @@
   t->relay = r;
   t->run = x;
   t->go = go;
-  t->outcome = TRIALS_NOTHING;
+  t->outcome = TRIALS_INCONCLUSIVE;
   t->trial =
       trials_begin(r->trials, run_digest(x), run_owner(x), clock_unix() * 1000);
   t->trial.by = (uint64_t)g_random_int() << 32 | g_random_int();
@@ -274,7 +274,7 @@
 
 void run_admit(Run *x, void (*go)(Run *x)) {
   const Relay *r = x->relay;
-  if (!suspects_any(r->suspects) && !trials_any(r->trials)) {
+  if (!suspects_has_any(r->suspects) && !trials_has_any(r->trials)) {
     go(x);
     return;
   }
@@ -293,7 +293,7 @@
                  uint64_t revision) {
   Trial x;
   if (!content) {
-    if (digest_parse(name, &x.digest)) trials_gone(r->trials, x.digest);
+    if (digest_parse(name, &x.digest)) trials_remove(r->trials, x.digest);
     return;
   }
   if (trials_read(name, content, revision, &x))
@@ -304,5 +304,5 @@
 }
 
 void relay_trials(Relay *r, GHashTable *names) {
-  trials_only(r->trials, names);
+  trials_retain_only(r->trials, names);
 }
--- a/packages/node/feed.h
+++ b/packages/node/feed.h
@@ -43,7 +43,7 @@
   void (*tell_one)(void *ctx, const char *id, const CodecFeed *m);
   /* The next part of the list of targets, and whether another follows; to be
      freed with free. */
-  char *(*part)(void *ctx, RosterAt *at, bool *more);
+  char *(*part)(void *ctx, RosterCursor *at, bool *more);
   /* How the store met a call of it. */
   void (*met)(void *ctx, ReadersWord word);
   /* readers_knocks and readers_asks. */
--- a/packages/node/giving.c
+++ b/packages/node/giving.c
@@ -15,12 +15,12 @@
 struct Giving {
   GivingPart make;
   void *ctx;
-  double made;   /* when the list was begun */
-  uint64_t at;   /* its revision; 0: there is none */
-  RosterAt next; /* where its next part begins */
-  GArray *parts; /* Part */
-  GQueue words;  /* CodecFeed*, the oldest first */
-  size_t bytes;  /* of these */
+  double made;       /* when the list was begun */
+  uint64_t at;       /* its revision; 0: there is none */
+  RosterCursor next; /* where its next part begins */
+  GArray *parts;     /* Part */
+  GQueue words;      /* CodecFeed*, the oldest first */
+  size_t bytes;      /* of these */
 };
 
 static void forget(Giving *g) {
@@ -28,7 +28,7 @@
     packed_free(&g_array_index(g->parts, Part, i).text);
   g_array_set_size(g->parts, 0);
   g_queue_clear_full(&g->words, codec_feed_free);
-  g->next = (RosterAt){0};
+  g->next = (RosterCursor){0};
   g->at = g->bytes = 0;
 }
 
--- a/packages/node/giving.h
+++ b/packages/node/giving.h
@@ -11,7 +11,7 @@
 typedef struct Giving Giving;
 
 /* Makes the next part, as FeedEvents.part. */
-typedef char *(*GivingPart)(void *ctx, RosterAt *at, bool *more);
+typedef char *(*GivingPart)(void *ctx, RosterCursor *at, bool *more);
 
 Giving *giving_new(GivingPart part, void *ctx);
 void giving_free(Giving *g);
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -141,7 +141,7 @@
 static void check_regions(const Node *n, const char *what, const char *name,
                           char *const *list) {
   const char *unknown;
-  regions_listed(n->regions, list, &unknown);
+  regions_from_list(n->regions, list, &unknown);
   if (!unknown) return;
   count_add(COUNT_REGIONS_UNKNOWN, 1);
   log_warn("region-unknown", "s:s,s:s,s:s", "region", unknown, what, name,
@@ -189,28 +189,28 @@
 
 static bool on_target(void *ctx, const TargetInfo *t) {
   Node *n = ctx;
-  bool news = targets_is_news(n->targets, t);
-  uint64_t life = targets_life(n->targets, t->id);
+  bool news = targets_is_newer(n->targets, t);
+  uint64_t life = targets_hash_by_id(n->targets, t->id);
   bool again = targets_set(n->targets, loopclock_now(n->loop), t);
   if (again) relay_restarted(n->relay, t->addr, life);
   if (!news || !tells_of_target(n)) return news;
   log_info("target", "s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:b", "target", t->id,
            "service", t->service, "addr", t->addr, "datacentre", t->dc,
            "leaving", (int)t->leaving, "revision", (json_int_t)t->revision,
-           "born", (json_int_t)t->born, "again", (int)again);
+           "born", (json_int_t)t->start_ms, "again", (int)again);
   return true;
 }
 
 static void on_gone(void *ctx, const char *id, bool lapsed) {
   Node *n = ctx;
-  targets_gone(n->targets, loopclock_now(n->loop), id, lapsed);
+  targets_remove(n->targets, loopclock_now(n->loop), id, lapsed);
   if (!tells_of_target(n)) return;
   log_info("target-gone", "s:s,s:b", "target", id, "lapsed", (int)lapsed);
 }
 
 static void on_listed(void *ctx, GHashTable *ids, bool lapsed) {
   Node *n = ctx;
-  targets_only(n->targets, loopclock_now(n->loop), ids, lapsed);
+  targets_retain_only(n->targets, loopclock_now(n->loop), ids, lapsed);
   n->listed = true;
   log_info("targets-listed", "s:i,s:b", "targets", (int)g_hash_table_size(ids),
            "lapsed", (int)lapsed);
@@ -219,16 +219,16 @@
 static void on_evacuation(void *ctx, const char *dc, bool on,
                           uint64_t revision) {
   Node *n = ctx;
-  if (!targets_evacuate(n->targets, dc, on)) return;
+  if (!targets_set_evacuated(n->targets, dc, on)) return;
   count_add(COUNT_EVACUATIONS, 1);
   log_info("evacuation", "s:s,s:b,s:i,s:I,s:f", "datacentre", dc, "in_force",
-           (int)on, "targets", targets_in(n->targets, dc), "revision",
+           (int)on, "targets", targets_count_in_dc(n->targets, dc), "revision",
            (json_int_t)revision, "store_age", feed_age(n->feed));
 }
 
 static void on_evacuations(void *ctx, GHashTable *dcs) {
   Node *n = ctx;
-  if (!targets_evacuate_only(n->targets, dcs)) return;
+  if (!targets_set_evacuated_dcs(n->targets, dcs)) return;
   count_add(COUNT_EVACUATIONS, 1);
   log_info("evacuations-listed", "s:i", "datacentres",
            (int)g_hash_table_size(dcs));
@@ -259,9 +259,9 @@
   Node *n = ctx;
   int of = MAX(count, n->seeds);
   n->instances = count;
-  targets_place(n->targets, loopclock_now(n->loop), rank, of);
-  targets_parts_are_told(n->targets, count < FLEET_SMALL);
-  retries_instances(n->retries, loopclock_now(n->loop), count);
+  targets_set_rank(n->targets, loopclock_now(n->loop), rank, of);
+  targets_set_parts_exchanged(n->targets, count < FLEET_SMALL);
+  retries_set_instances(n->retries, loopclock_now(n->loop), count);
 }
 
 static void on_peer_conf(void *ctx, const char *text) {
@@ -302,7 +302,7 @@
   cluster_feed_to(n->cluster, id, m);
 }
 
-static char *on_part(void *ctx, RosterAt *at, bool *more) {
+static char *on_part(void *ctx, RosterCursor *at, bool *more) {
   Node *n = ctx;
   return roster_part(n->targets, loopclock_now(n->loop), at, more);
 }
@@ -324,15 +324,15 @@
 
 static void on_work(void *ctx, uint64_t from, const TargetWork *m) {
   Node *n = ctx;
-  targets_others(n->targets, loopclock_now(n->loop), from, m);
+  targets_apply_work(n->targets, loopclock_now(n->loop), from, m);
 }
 
 static void on_parts(void *ctx, const TargetParts *m) {
   Node *n = ctx;
-  targets_parts_told(n->targets, loopclock_now(n->loop), m);
+  targets_apply_parts(n->targets, loopclock_now(n->loop), m);
 }
 
-static void on_tally(void *ctx, const TallyWord *m) {
+static void on_tally(void *ctx, const TallyReport *m) {
   Node *n = ctx;
   relay_tally(n->relay, m);
 }
@@ -352,9 +352,9 @@
   if (n->relay) relay_suspect(n->relay, m);
 }
 
-static void on_pool(void *ctx, uint64_t from, const TargetsPoolWord *m) {
+static void on_pool(void *ctx, uint64_t from, const TargetsPoolReport *m) {
   Node *n = ctx;
-  targets_pool_told(n->targets, loopclock_now(n->loop), from, m);
+  targets_apply_pool_report(n->targets, loopclock_now(n->loop), from, m);
 }
 
 /* What the store was called for since the last such line. */
@@ -368,10 +368,10 @@
 /* Each instance hears of all, so they tell more seldom the more there are. */
 static void tell_pools(Node *n) {
   double now = loopclock_now(n->loop);
-  TargetsPoolWord word;
+  TargetsPoolReport word;
   if (now < n->pools_at) return;
   n->pools_at = now + MAX(SWEEP_S, n->instances * POOLS_EACH_S);
-  for (int i = 0; targets_pool_word(n->targets, now, i, &word); i++)
+  for (int i = 0; targets_pool_report(n->targets, now, i, &word); i++)
     cluster_pool(n->cluster, &word);
 }
 
@@ -382,8 +382,8 @@
   Node *n = w->data;
   TargetWork work;
   TargetParts parts;
-  while (targets_changed(n->targets, &work)) cluster_work(n->cluster, &work);
-  while (targets_parts_news(n->targets, &parts))
+  while (targets_next_work(n->targets, &work)) cluster_work(n->cluster, &work);
+  while (targets_next_parts(n->targets, &parts))
     cluster_parts(n->cluster, &parts);
 }
 
@@ -579,8 +579,9 @@
                            settings_text(settings, "datacentres"));
   n->targets =
       targets_new(settings_text(settings, "datacentre"), random_number());
-  targets_regions(n->targets, n->regions);
-  targets_cold_bound(n->targets, number("cold-overrun"), number("cold-extra"));
+  targets_set_regions(n->targets, n->regions);
+  targets_set_cold_bound(n->targets, number("cold-overrun"),
+                         number("cold-extra"));
   n->retries = retries_new(&retries);
   n->store = store_open(n->loop, settings_text(settings, "platform"));
   n->cluster = open_cluster(n, e);
--- a/packages/peer/decode.c
+++ b/packages/peer/decode.c
@@ -117,7 +117,7 @@
   m->target = get_u64(r);
   m->running = get_small(r, LOAD_MAX);
   m->waiting = get_small(r, LOAD_MAX);
-  m->silent = get_small(r, 2);
+  m->unresponsive = get_small(r, 2);
 }
 
 static Packed get_packed(Reader *r) {
@@ -142,12 +142,12 @@
   return (double)n;
 }
 
-static void get_pool(Reader *r, TargetsPoolWord *m) {
+static void get_pool(Reader *r, TargetsPoolReport *m) {
   m->pool = get_u64(r);
-  m->word.long_read = get_count(r);
-  m->word.short_read = get_count(r);
-  m->word.streams = get_count(r) / FORMAT_THOUSAND;
-  m->word.held = get_count(r) / FORMAT_THOUSAND;
+  m->report.long_read = get_count(r);
+  m->report.short_read = get_count(r);
+  m->report.streams = get_count(r) / FORMAT_THOUSAND;
+  m->report.stalled = get_count(r) / FORMAT_THOUSAND;
 }
 
 static void get_parts(Reader *r, TargetParts *m) {
@@ -163,24 +163,24 @@
 }
 
 static void get_tally_parts(Reader *r, TallyParts *m) {
-  m->n = get_small(r, TALLY_NAMES + 1);
+  m->n = get_small(r, TALLY_MAX_PARTS + 1);
   for (int i = 0; i < m->n; i++) m->names[i] = get_u64(r);
 }
 
-static void get_tally_ask(Reader *r, TallyAsk *m) {
+static void get_tally_ask(Reader *r, TallyQuery *m) {
   m->number = get_u64(r);
   m->target = get_u64(r);
   get_tally_parts(r, &m->parts);
 }
 
-static void get_tally_word(Reader *r, TallyWord *m) {
+static void get_tally_word(Reader *r, TallyReport *m) {
   m->number = get_u64(r);
   m->target = get_u64(r);
   m->open = get_small(r, LOAD_MAX);
   m->starts = get_small(r, LOAD_MAX);
   m->tokens = get_i64(r);
-  m->known = get_small(r, TALLY_NAMES + 1);
-  m->ripe = get_small(r, TALLY_NAMES + 1);
+  m->known_parts = get_small(r, TALLY_MAX_PARTS + 1);
+  m->finished_parts = get_small(r, TALLY_MAX_PARTS + 1);
   r->bad |= m->tokens < 0;
 }
 
@@ -211,7 +211,7 @@
   m->msg.digest.lo = get_u64(r);
   m->msg.owner = get_u64(r);
   m->msg.target = get_u64(r);
-  m->msg.age_s = get_count(r) / FORMAT_THOUSAND;
+  m->msg.first_mark_age_s = get_count(r) / FORMAT_THOUSAND;
 }
 
 static double get_limit(Reader *r) {
@@ -222,14 +222,14 @@
   return get_count(r) / FORMAT_THOUSAND;
 }
 
-static void get_permit_ask(Reader *r, TallyPermitAsk *m) {
+static void get_permit_ask(Reader *r, TallyPermitRequest *m) {
   m->number = get_u64(r);
   m->target = get_u64(r);
   m->counter = get_u64(r);
   m->run = get_u64(r);
-  m->bounds.cold = get_count(r) / FORMAT_THOUSAND;
+  m->bounds.cold_per_s = get_count(r) / FORMAT_THOUSAND;
   m->bounds.limit = get_limit(r);
-  m->bounds.beyond_limit = get_small(r, 2);
+  m->bounds.over_limit = get_small(r, 2);
   m->reach = get_count(r) / FORMAT_THOUSAND;
   r->bad |= m->reach > 1;
 }
@@ -360,7 +360,7 @@
     case CODEC_NEWS: get_news(&r, &m->news); break;
     case CODEC_GOSSIP: get_gossip(&r, &m->gossip); break;
     case CODEC_TALLY_ASK: get_tally_ask(&r, &m->tally_ask); break;
-    case CODEC_TALLY_WORD: get_tally_word(&r, &m->tally_word); break;
+    case CODEC_TALLY_WORD: get_tally_word(&r, &m->tally_report); break;
     case CODEC_TALLY_RUN: get_tally_run(&r, &m->tally_run); break;
     case CODEC_SUSPECT: get_suspect(&r, &m->suspect); break;
     case CODEC_PERMIT_ASK: get_permit_ask(&r, &m->permit_ask); break;
--- a/packages/peer/encode.c
+++ b/packages/peer/encode.c
@@ -122,7 +122,7 @@
   msgpack_pack_uint64(&p, m->target);
   msgpack_pack_uint32(&p, (uint32_t)m->running);
   msgpack_pack_uint32(&p, (uint32_t)m->waiting);
-  msgpack_pack_uint8(&p, m->silent);
+  msgpack_pack_uint8(&p, m->unresponsive);
 }
 
 static void put_packed(msgpack_packer *p, const Packed *text) {
@@ -155,16 +155,16 @@
   return (int64_t)round(v * FORMAT_THOUSAND);
 }
 
-void codec_put_pool(msgpack_sbuffer *b, const TargetsPoolWord *m) {
+void codec_put_pool(msgpack_sbuffer *b, const TargetsPoolReport *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 6);
   msgpack_pack_uint8(&p, CODEC_POOL);
   msgpack_pack_uint64(&p, m->pool);
-  msgpack_pack_int64(&p, (int64_t)m->word.long_read);
-  msgpack_pack_int64(&p, (int64_t)m->word.short_read);
-  msgpack_pack_int64(&p, thousandths(m->word.streams));
-  msgpack_pack_int64(&p, thousandths(m->word.held));
+  msgpack_pack_int64(&p, (int64_t)m->report.long_read);
+  msgpack_pack_int64(&p, (int64_t)m->report.short_read);
+  msgpack_pack_int64(&p, thousandths(m->report.streams));
+  msgpack_pack_int64(&p, thousandths(m->report.stalled));
 }
 
 void codec_put_parts(msgpack_sbuffer *b, const TargetParts *m) {
@@ -181,7 +181,7 @@
   for (int i = 0; i < m->n; i++) msgpack_pack_uint64(p, m->names[i]);
 }
 
-void codec_put_tally_ask(msgpack_sbuffer *b, const TallyAsk *m) {
+void codec_put_tally_ask(msgpack_sbuffer *b, const TallyQuery *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, (size_t)m->parts.n + 4);
@@ -192,7 +192,7 @@
   put_tally_parts(&p, &m->parts);
 }
 
-void codec_put_tally_word(msgpack_sbuffer *b, const TallyWord *m) {
+void codec_put_tally_word(msgpack_sbuffer *b, const TallyReport *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 8);
@@ -202,8 +202,8 @@
   msgpack_pack_uint32(&p, (uint32_t)m->open);
   msgpack_pack_uint32(&p, (uint32_t)m->starts);
   msgpack_pack_int64(&p, m->tokens);
-  msgpack_pack_uint8(&p, (uint8_t)m->known);
-  msgpack_pack_uint8(&p, (uint8_t)m->ripe);
+  msgpack_pack_uint8(&p, (uint8_t)m->known_parts);
+  msgpack_pack_uint8(&p, (uint8_t)m->finished_parts);
 }
 
 void codec_put_tally_run(msgpack_sbuffer *b, const TallyRun *m) {
@@ -245,7 +245,7 @@
   msgpack_pack_uint64(&p, m->msg.digest.lo);
   msgpack_pack_uint64(&p, m->msg.owner);
   msgpack_pack_uint64(&p, m->msg.target);
-  msgpack_pack_int64(&p, thousandths(m->msg.age_s));
+  msgpack_pack_int64(&p, thousandths(m->msg.first_mark_age_s));
 }
 
 /* No limit travels as nil. */
@@ -256,7 +256,7 @@
     msgpack_pack_nil(p);
 }
 
-void codec_put_permit_ask(msgpack_sbuffer *b, const TallyPermitAsk *m) {
+void codec_put_permit_ask(msgpack_sbuffer *b, const TallyPermitRequest *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 9);
@@ -265,9 +265,9 @@
   msgpack_pack_uint64(&p, m->target);
   msgpack_pack_uint64(&p, m->counter);
   msgpack_pack_uint64(&p, m->run);
-  msgpack_pack_int64(&p, thousandths(MIN(m->bounds.cold, LIMIT_RATE)));
+  msgpack_pack_int64(&p, thousandths(MIN(m->bounds.cold_per_s, LIMIT_RATE)));
   put_limit(&p, m->bounds.limit);
-  msgpack_pack_uint8(&p, m->bounds.beyond_limit);
+  msgpack_pack_uint8(&p, m->bounds.over_limit);
   msgpack_pack_int64(&p, thousandths(m->reach));
 }
 
--- a/packages/peer/peer.c
+++ b/packages/peer/peer.c
@@ -203,19 +203,19 @@
 }
 
 void peer_pool(Peer *p, const char *addr, const char *id,
-               const TargetsPoolWord *m) {
+               const TargetsPoolReport *m) {
   codec_put_pool(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
 void peer_tally_ask(Peer *p, const char *addr, const char *id,
-                    const TallyAsk *m) {
+                    const TallyQuery *m) {
   codec_put_tally_ask(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
 void peer_tally_word(Peer *p, const char *addr, const char *id,
-                     const TallyWord *m) {
+                     const TallyReport *m) {
   codec_put_tally_word(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
@@ -232,7 +232,7 @@
 }
 
 void peer_permit_ask(Peer *p, const char *addr, const char *id,
-                     const TallyPermitAsk *m) {
+                     const TallyPermitRequest *m) {
   codec_put_permit_ask(lock_own_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
--- a/packages/peer/peer.h
+++ b/packages/peer/peer.h
@@ -38,11 +38,11 @@
 void peer_parts(Peer *p, const char *addr, const char *id,
                 const TargetParts *m);
 void peer_pool(Peer *p, const char *addr, const char *id,
-               const TargetsPoolWord *m);
+               const TargetsPoolReport *m);
 void peer_tally_ask(Peer *p, const char *addr, const char *id,
-                    const TallyAsk *m);
+                    const TallyQuery *m);
 void peer_tally_word(Peer *p, const char *addr, const char *id,
-                     const TallyWord *m);
+                     const TallyReport *m);
 void peer_tally_run(Peer *p, const char *addr, const char *id,
                     const TallyRun *m);
 void peer_suspect(Peer *p, const char *addr, const char *id,
@@ -50,7 +50,7 @@
 /* These travel in frames of their own: builds that do not know them drop all
    that stands behind them in a frame. */
 void peer_permit_ask(Peer *p, const char *addr, const char *id,
-                     const TallyPermitAsk *m);
+                     const TallyPermitRequest *m);
 void peer_permit(Peer *p, const char *addr, const char *id,
                  const TallyPermit *m);
 void peer_limit(Peer *p, const char *addr, const char *id, const CodecLimit *m);
--- a/packages/route/ends.c
+++ b/packages/route/ends.c
@@ -7,16 +7,16 @@
    refused within milliseconds or given up after 0.4 s; that a target has
    started again under its name is in the store within one, and known here a
    quarter of a second later. */
-#define WAIT_S 2.0
+#define END_WAIT_S 2.0
 /* Requests that are kept for one target; it runs 64 and queues some. */
-#define BROKEN_MOST 256
+#define MAX_BROKEN_REQUESTS 256
 
 typedef struct Break {
   double at;      /* of the last exchange that broke */
   bool broke;     /* one did by itself */
-  bool asked;     /* a connection is to tell */
+  bool probed;    /* a connection is to tell */
   bool refused;   /* it was */
-  bool reached;   /* it was taken */
+  bool connected; /* it was taken */
   bool ended;     /* the target has ended */
   GArray *broken; /* EndsMark, while it is not known */
 } Break;
@@ -46,17 +46,17 @@
   g_free(e);
 }
 
-static bool is_old(const Break *b, double now) {
-  return now - b->at > WAIT_S;
+static bool is_break_expired(const Break *b, double now) {
+  return now - b->at > END_WAIT_S;
 }
 
 /* What is known of breaks at a target; NULL: none that still counts. */
 static Break *find(const Ends *e, double now, uint64_t target) {
   Break *b = g_hash_table_lookup(e->breaks, &target);
-  return b && !is_old(b, now) ? b : NULL;
+  return b && !is_break_expired(b, now) ? b : NULL;
 }
 
-static Break *begin(Ends *e, double now, uint64_t target) {
+static Break *start_break(Ends *e, double now, uint64_t target) {
   Break *b = g_new0(Break, 1);
   b->at = now;
   b->broken = g_array_new(FALSE, FALSE, sizeof(EndsMark));
@@ -64,73 +64,73 @@
   return b;
 }
 
-static void put_mark(Ends *e, const EndsMark *m) {
+static void queue_mark(Ends *e, const EndsMark *m) {
   g_queue_push_tail(&e->marks, g_memdup2(m, sizeof *m));
 }
 
-static bool end(Ends *e, Break *b) {
+static bool mark_ended(Ends *e, Break *b) {
   b->ended = true;
   for (guint i = 0; i < b->broken->len; i++)
-    put_mark(e, &g_array_index(b->broken, EndsMark, i));
+    queue_mark(e, &g_array_index(b->broken, EndsMark, i));
   g_array_set_size(b->broken, 0);
   return true;
 }
 
 /* One that is overrun refuses connections as well, but goes on with those that
    it has. */
-static bool end_if_quiet(Ends *e, Break *b, int open) {
-  bool quiet = b->refused && !b->reached && open == 0;
-  return quiet && !b->ended && end(e, b);
+static bool mark_ended_if_idle(Ends *e, Break *b, int open) {
+  bool idle = b->refused && !b->connected && open == 0;
+  return idle && !b->ended && mark_ended(e, b);
 }
 
-static void add(Ends *e, Break *b, const EndsMark *mark) {
+static void add_request(Ends *e, Break *b, const EndsMark *mark) {
   if (b->ended)
-    put_mark(e, mark);
-  else if (b->broken->len < BROKEN_MOST)
+    queue_mark(e, mark);
+  else if (b->broken->len < MAX_BROKEN_REQUESTS)
     g_array_append_val(b->broken, *mark);
 }
 
-bool ends_broke(Ends *e, double now, const EndsMark *mark, bool young,
-                int open) {
+bool ends_note_break(Ends *e, double now, const EndsMark *mark, bool young,
+                     int open) {
   Break *b = find(e, now, mark->target);
-  if (!b || b->reached) b = begin(e, now, mark->target);
+  if (!b || b->connected) b = start_break(e, now, mark->target);
   if (!b->ended) b->at = now;
   b->broke = true;
-  if (young) add(e, b, mark);
-  return end_if_quiet(e, b, open);
+  if (young) add_request(e, b, mark);
+  return mark_ended_if_idle(e, b, open);
 }
 
-void ends_left(Ends *e, double now, const EndsMark *mark) {
+void ends_note_abandoned(Ends *e, double now, const EndsMark *mark) {
   Break *b = find(e, now, mark->target);
-  if (!b || b->reached) b = begin(e, now, mark->target);
-  add(e, b, mark);
+  if (!b || b->connected) b = start_break(e, now, mark->target);
+  add_request(e, b, mark);
 }
 
-bool ends_asks(Ends *e, double now, uint64_t target) {
+bool ends_start_probe(Ends *e, double now, uint64_t target) {
   Break *b = find(e, now, target);
-  if (!b || !b->broke || b->asked || b->refused || b->ended) return false;
-  b->asked = true;
+  if (!b || !b->broke || b->probed || b->refused || b->ended) return false;
+  b->probed = true;
   return true;
 }
 
-bool ends_refused(Ends *e, double now, uint64_t target, int open) {
+bool ends_note_refused(Ends *e, double now, uint64_t target, int open) {
   Break *b = find(e, now, target);
   if (!b) return false; /* nothing of ours was there */
   b->refused = true;
-  return end_if_quiet(e, b, open);
+  return mark_ended_if_idle(e, b, open);
 }
 
-void ends_reached(Ends *e, double now, uint64_t target) {
+void ends_note_connected(Ends *e, double now, uint64_t target) {
   Break *b = find(e, now, target);
-  if (b) b->reached = true;
+  if (b) b->connected = true;
 }
 
-bool ends_again(Ends *e, double now, uint64_t target) {
+bool ends_note_restart(Ends *e, double now, uint64_t target) {
   Break *b = find(e, now, target);
-  return b && !b->ended && end(e, b);
+  return b && !b->ended && mark_ended(e, b);
 }
 
-bool ends_next(Ends *e, EndsMark *m) {
+bool ends_next_mark(Ends *e, EndsMark *m) {
   EndsMark *first = g_queue_pop_head(&e->marks);
   if (!first) return false;
   *m = *first;
@@ -142,11 +142,11 @@
   return g_hash_table_size(e->breaks) == 0;
 }
 
-static gboolean is_over(gpointer key, gpointer value, gpointer now) {
+static gboolean is_entry_expired(gpointer key, gpointer value, gpointer now) {
   (void)key;
-  return is_old(value, *(double *)now);
+  return is_break_expired(value, *(double *)now);
 }
 
 void ends_sweep(Ends *e, double now) {
-  g_hash_table_foreach_remove(e->breaks, is_over, &now);
+  g_hash_table_foreach_remove(e->breaks, is_entry_expired, &now);
 }
--- a/packages/route/ends.h
+++ b/packages/route/ends.h
@@ -29,23 +29,23 @@
 
 /* An exchange with the target broke. `young`: the request of `mark` had just
    begun to run there, or was still to begin. */
-bool ends_broke(Ends *e, double now, const EndsMark *mark, bool young,
-                int open);
+bool ends_note_break(Ends *e, double now, const EndsMark *mark, bool young,
+                     int open);
 /* We broke an exchange with the target off, as its caller left or had no time
    left. Should the target end, its request counts like those that broke. */
-void ends_left(Ends *e, double now, const EndsMark *mark);
+void ends_note_abandoned(Ends *e, double now, const EndsMark *mark);
 /* Something broke there, and whether it has ended is not known: a connection
    to it would tell. Asked once for each break. */
-bool ends_asks(Ends *e, double now, uint64_t target);
+bool ends_start_probe(Ends *e, double now, uint64_t target);
 /* A connection to it was refused. */
-bool ends_refused(Ends *e, double now, uint64_t target, int open);
+bool ends_note_refused(Ends *e, double now, uint64_t target, int open);
 /* It took a connection: it goes on, unless it is told that it started again. */
-void ends_reached(Ends *e, double now, uint64_t target);
+void ends_note_connected(Ends *e, double now, uint64_t target);
 /* It has started again under its name. */
-bool ends_again(Ends *e, double now, uint64_t target);
+bool ends_note_restart(Ends *e, double now, uint64_t target);
 
 /* The next request under which a target has ended; false: there is none. */
-bool ends_next(Ends *e, EndsMark *m);
+bool ends_next_mark(Ends *e, EndsMark *m);
 /* Nothing broke of late. */
 bool ends_is_idle(const Ends *e);
 /* Forgets what is old; about once a second. */
--- a/packages/route/evacuation.c
+++ b/packages/route/evacuation.c
@@ -18,18 +18,18 @@
 
 bool evacuation_set(Evacuation *e, const char *dc, bool on) {
   if (!on) return g_hash_table_remove(e->dcs, dc);
-  if (evacuation_count(e) == EVACUATION_MOST) return false;
-  if (evacuation_holds(e, dc)) return false;
+  if (evacuation_count(e) == EVACUATION_MAX_DCS) return false;
+  if (evacuation_contains(e, dc)) return false;
   return g_hash_table_add(e->dcs, g_strdup(dc));
 }
 
-static gboolean taken_back(gpointer dc, gpointer value, gpointer dcs) {
+static gboolean is_not_listed(gpointer dc, gpointer value, gpointer dcs) {
   (void)value;
   return !g_hash_table_contains(dcs, dc);
 }
 
-bool evacuation_only(Evacuation *e, GHashTable *dcs) {
-  bool changed = g_hash_table_foreach_remove(e->dcs, taken_back, dcs) > 0;
+bool evacuation_replace(Evacuation *e, GHashTable *dcs) {
+  bool changed = g_hash_table_foreach_remove(e->dcs, is_not_listed, dcs) > 0;
   GHashTableIter it;
   gpointer dc;
   g_hash_table_iter_init(&it, dcs);
@@ -38,7 +38,7 @@
   return changed;
 }
 
-bool evacuation_holds(const Evacuation *e, const char *dc) {
+bool evacuation_contains(const Evacuation *e, const char *dc) {
   return g_hash_table_contains(e->dcs, dc);
 }
 
--- a/packages/route/evacuation.h
+++ b/packages/route/evacuation.h
@@ -9,7 +9,7 @@
 
 /* Data centres that are known at most; the users' largest site has eight. More
    are wrong input, and would only cost memory. */
-#define EVACUATION_MOST 64
+#define EVACUATION_MAX_DCS 64
 
 typedef struct Evacuation Evacuation;
 
@@ -19,8 +19,8 @@
    changed, or there are too many. */
 bool evacuation_set(Evacuation *e, const char *dc, bool on);
 /* Just those of `dcs` (a set of names) are; whether anything has changed. */
-bool evacuation_only(Evacuation *e, GHashTable *dcs);
-bool evacuation_holds(const Evacuation *e, const char *dc);
+bool evacuation_replace(Evacuation *e, GHashTable *dcs);
+bool evacuation_contains(const Evacuation *e, const char *dc);
 int evacuation_count(const Evacuation *e);
 
 #endif
--- a/packages/route/fair.c
+++ b/packages/route/fair.c
@@ -13,7 +13,7 @@
   g_hash_table_iter_init(&it, table);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     FairEntry e = look(v);
-    if (e.keep) continue;
+    if (e.is_pinned) continue;
     gsize n = GPOINTER_TO_SIZE(g_hash_table_lookup(sizes, &e.owner)) + 1;
     g_hash_table_replace(sizes, g_memdup2(&e.owner, sizeof e.owner),
                          GSIZE_TO_POINTER(n));
@@ -25,8 +25,8 @@
   return owner;
 }
 
-gpointer fair_victim(GHashTable *table,
-                     FairEntry (*look)(gconstpointer value)) {
+gpointer fair_choose_evicted(GHashTable *table,
+                             FairEntry (*look)(gconstpointer value)) {
   GHashTableIter it;
   gpointer v, victim = NULL;
   double least = 0;
@@ -35,7 +35,7 @@
   g_hash_table_iter_init(&it, table);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     FairEntry e = look(v);
-    if (e.keep || e.owner != owner) continue;
+    if (e.is_pinned || e.owner != owner) continue;
     if (victim && e.age >= least) continue;
     victim = v;
     least = e.age;
--- a/packages/route/fair.h
+++ b/packages/route/fair.h
@@ -11,11 +11,12 @@
 typedef struct FairEntry {
   uint64_t owner; /* text_hash of the customer */
   double age;     /* rank among those of an owner: the least goes first */
-  bool keep;      /* it is not to be shed */
+  bool is_pinned; /* it is not to be shed */
 } FairEntry;
 
 /* The entry to be shed: of the owner with most entries the one of least age.
    `look` reads one of the table's values; NULL: none may go. */
-gpointer fair_victim(GHashTable *table, FairEntry (*look)(gconstpointer value));
+gpointer fair_choose_evicted(GHashTable *table,
+                             FairEntry (*look)(gconstpointer value));
 
 #endif
--- a/packages/route/fit.c
+++ b/packages/route/fit.c
@@ -3,12 +3,15 @@
 
 #include <glib.h>
 
-#define KEEP 0.98      /* weight kept by a point when the next one comes */
-#define START_WEIGHT 6 /* points that each end of the first line counts for */
-#define OUTLIER 4.0    /* a value beyond so many times the line is cut there */
-#define LEAST_SPREAD 1e-9
-
-static void add(Fit *f, double x, double y, double weight) {
+#define POINT_KEEP_RATIO                                                       \
+  0.98                   /* weight kept by a point when the next one comes */
+#define INITIAL_WEIGHT 6 /* points that each end of the first line counts for  \
+                          */
+#define OUTLIER_RATIO                                                          \
+  4.0 /* a value beyond so many times the line is cut there */
+#define MIN_SPREAD 1e-9
+
+static void add_point(Fit *f, double x, double y, double weight) {
   f->w += weight;
   f->x += weight * x;
   f->y += weight * y;
@@ -16,35 +19,35 @@
   f->xy += weight * x * y;
 }
 
-static void fade(Fit *f) {
-  f->w *= KEEP;
-  f->x *= KEEP;
-  f->y *= KEEP;
-  f->xx *= KEEP;
-  f->xy *= KEEP;
+static void fade_points(Fit *f) {
+  f->w *= POINT_KEEP_RATIO;
+  f->x *= POINT_KEEP_RATIO;
+  f->y *= POINT_KEEP_RATIO;
+  f->xx *= POINT_KEEP_RATIO;
+  f->xy *= POINT_KEEP_RATIO;
 }
 
-void fit_start(Fit *f, double base, double slope, double span) {
+void fit_init(Fit *f, double base, double slope, double span) {
   *f = (Fit){0};
-  add(f, 0, base, START_WEIGHT);
-  add(f, span, base + slope * span, START_WEIGHT);
+  add_point(f, 0, base, INITIAL_WEIGHT);
+  add_point(f, span, base + slope * span, INITIAL_WEIGHT);
 }
 
 double fit_slope(const Fit *f) {
   double spread = f->w * f->xx - f->x * f->x;
-  if (spread < LEAST_SPREAD) return 0;
+  if (spread < MIN_SPREAD) return 0;
   return MAX(0, (f->w * f->xy - f->x * f->y) / spread);
 }
 
-double fit_at(const Fit *f, double x) {
+double fit_value(const Fit *f, double x) {
   if (f->w <= 0) return 0;
   double at = f->y / f->w + fit_slope(f) * (x - f->x / f->w);
   return MAX(0, at);
 }
 
 void fit_add(Fit *f, double x, double y) {
-  double line = fit_at(f, x);
-  if (line > 0) y = CLAMP(y, line / OUTLIER, line * OUTLIER);
-  fade(f);
-  add(f, x, y, 1);
+  double line = fit_value(f, x);
+  if (line > 0) y = CLAMP(y, line / OUTLIER_RATIO, line * OUTLIER_RATIO);
+  fade_points(f);
+  add_point(f, x, y, 1);
 }
--- a/packages/route/fit.h
+++ b/packages/route/fit.h
@@ -8,10 +8,10 @@
 } Fit;
 
 /* Begins as if points of that line had been seen, up to `span`. */
-void fit_start(Fit *f, double base, double slope, double span);
+void fit_init(Fit *f, double base, double slope, double span);
 void fit_add(Fit *f, double x, double y);
 /* Neither is ever below 0. */
 double fit_slope(const Fit *f);
-double fit_at(const Fit *f, double x);
+double fit_value(const Fit *f, double x);
 
 #endif
--- a/packages/route/loads.c
+++ b/packages/route/loads.c
@@ -4,25 +4,26 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define EVERY_S 1.0     /* a target near us is asked this often */
-#define VERIFY_S 5.0    /* one that was silent for us too is asked again */
-#define FAILS 3         /* after so many times */
-#define STALE 4         /* times that nothing was heard until others ask */
-#define PATH_S 30.0     /* our own path to a data centre is measured */
-#define RATE 10.0       /* calls a second of one instance, about */
-#define TELL_BYTES 1500 /* a second, to the others of the region */
-#define TELL_MSG_BYTES 16
+#define NEAR_INTERVAL_S 1.0 /* a target near us is asked this often */
+#define RECHECK_INTERVAL_S                                                     \
+  5.0 /* one that was silent for us too is asked again */
+#define RECHECK_AFTER_FAILURES 3 /* after so many times */
+#define STALE_INTERVALS 4    /* times that nothing was heard until others ask */
+#define PATH_INTERVAL_S 30.0 /* our own path to a data centre is measured */
+#define MAX_QUERIES_PER_S 10.0   /* calls a second of one instance, about */
+#define MESSAGE_BYTES_PER_S 1500 /* a second, to the others of the region */
+#define MESSAGE_BYTES 16
 
 typedef struct Watched {
   LoadsTarget t;
   uint64_t hash;
   bool duty, near;
-  bool asking, verify; /* verify: somebody says that it is silent */
-  bool known, ok;      /* our last answer */
+  bool in_flight, verify; /* verify: somebody says that it is silent */
+  bool known, ok;         /* our last answer */
   int running, waiting, fails;
-  double asked, heard; /* -1: never */
-  bool tell;           /* news that should not wait */
-  double told;
+  double queried_at, received_at; /* -1: never */
+  bool send_now;                  /* news that should not wait */
+  double sent_at;
 } Watched;
 
 struct Loads {
@@ -31,8 +32,8 @@
   GPtrArray *list;     /* Watched* */
   GHashTable *by_hash; /* hash -> Watched */
   GHashTable *paths;   /* data centre -> double*, when we last asked there */
-  double far_s, tell_s;
-  guint ask_at, tell_at; /* where the search goes on */
+  double far_interval_s, send_interval_s;
+  guint query_cursor, send_cursor; /* where the search goes on */
 };
 
 Loads *loads_new(const char *self) {
@@ -65,7 +66,7 @@
 
 /* Who asks what. Targets of other regions are asked as often as the rate of
    calls leaves room for: in a small fleet just as often. */
-static void assign(Loads *l) {
+static void assign_duties(Loads *l) {
   const Member *me = view_find(l->view, l->self);
   int near = 0, far = 0;
   for (guint i = 0; i < l->list->len; i++) {
@@ -77,27 +78,29 @@
     far += w->duty && !w->near;
   }
   int others = me ? view_count(l->view, me->region) - 1 : 0;
-  l->far_s = MAX(EVERY_S, far / MAX(RATE - near, 1.0));
-  l->tell_s = MAX(EVERY_S, (double)(near + far) * MAX(others, 0) *
-                               TELL_MSG_BYTES / TELL_BYTES);
+  l->far_interval_s =
+      MAX(NEAR_INTERVAL_S, far / MAX(MAX_QUERIES_PER_S - near, 1.0));
+  l->send_interval_s =
+      MAX(NEAR_INTERVAL_S, (double)(near + far) * MAX(others, 0) *
+                               MESSAGE_BYTES / MESSAGE_BYTES_PER_S);
 }
 
-void loads_view(Loads *l, const View *v) {
+void loads_set_view(Loads *l, const View *v) {
   if (view_same(v, l->view)) return;
   view_free(l->view);
   l->view = view_copy(v);
-  assign(l);
+  assign_duties(l);
 }
 
 static Watched *watched_new(const LoadsTarget *t, uint64_t hash) {
   Watched *w = g_new0(Watched, 1);
   w->hash = hash;
-  w->asked = w->heard = -1;
+  w->queried_at = w->received_at = -1;
   w->t = *t;
   return w;
 }
 
-void loads_targets(Loads *l, const LoadsTarget *list, int n) {
+void loads_set_targets(Loads *l, const LoadsTarget *list, int n) {
   GPtrArray *next = g_ptr_array_new_with_free_func(g_free);
   GHashTable *by_hash = g_hash_table_new(g_int64_hash, g_int64_equal);
   for (int i = 0; i < n; i++) {
@@ -114,37 +117,37 @@
   g_ptr_array_free(l->list, TRUE);
   l->list = next;
   l->by_hash = by_hash;
-  assign(l);
+  assign_duties(l);
 }
 
 /* == asking == */
 
-static double every(const Loads *l, const Watched *w) {
-  return w->near ? EVERY_S : l->far_s;
+static double query_interval_s(const Loads *l, const Watched *w) {
+  return w->near ? NEAR_INTERVAL_S : l->far_interval_s;
 }
 
-static bool path_due(const Loads *l, const Watched *w, double now) {
+static bool is_path_due(const Loads *l, const Watched *w, double now) {
   const double *last = g_hash_table_lookup(l->paths, w->t.dc);
-  return !last || now - *last >= PATH_S;
+  return !last || now - *last >= PATH_INTERVAL_S;
 }
 
-static bool due(const Loads *l, const Watched *w, double now) {
-  if (w->asking) return false;
-  if (w->verify || path_due(l, w, now)) return true;
-  double last = MAX(w->asked, w->heard), s = every(l, w);
-  if (w->duty) return w->asked < 0 || now - w->asked >= s;
+static bool is_query_due(const Loads *l, const Watched *w, double now) {
+  if (w->in_flight) return false;
+  if (w->verify || is_path_due(l, w, now)) return true;
+  double last = MAX(w->queried_at, w->received_at), s = query_interval_s(l, w);
+  if (w->duty) return w->queried_at < 0 || now - w->queried_at >= s;
   /* Who has the duty tells each tell_s at the latest. */
-  return last < 0 || now - last >= MAX(s, l->tell_s) * STALE;
+  return last < 0 || now - last >= MAX(s, l->send_interval_s) * STALE_INTERVALS;
 }
 
-bool loads_ask(Loads *l, double now, LoadsTarget *t) {
+bool loads_next_query(Loads *l, double now, LoadsTarget *t) {
   for (guint k = 0; k < l->list->len; k++) {
-    Watched *w = l->list->pdata[(l->ask_at + k) % l->list->len];
-    if (!due(l, w, now)) continue;
-    l->ask_at = (l->ask_at + k + 1) % l->list->len;
-    w->asking = true;
+    Watched *w = l->list->pdata[(l->query_cursor + k) % l->list->len];
+    if (!is_query_due(l, w, now)) continue;
+    l->query_cursor = (l->query_cursor + k + 1) % l->list->len;
+    w->in_flight = true;
     w->verify = false;
-    w->asked = now;
+    w->queried_at = now;
     g_hash_table_insert(l->paths, g_strdup(w->t.dc),
                         g_memdup2(&now, sizeof now));
     *t = w->t;
@@ -158,13 +161,13 @@
   return g_hash_table_lookup(l->by_hash, &hash);
 }
 
-void loads_heard(Loads *l, double now, const char *name, bool ok, int running,
-                 int waiting) {
+void loads_apply_answer(Loads *l, double now, const char *name, bool ok,
+                        int running, int waiting) {
   Watched *w = find(l, name);
   if (!w) return; /* the table dropped it meanwhile */
-  w->asking = false;
-  w->heard = now;
-  if (w->duty && (!w->known || w->ok != ok)) w->tell = true;
+  w->in_flight = false;
+  w->received_at = now;
+  if (w->duty && (!w->known || w->ok != ok)) w->send_now = true;
   w->known = true;
   w->ok = ok;
   w->fails = ok ? 0 : w->fails + 1;
@@ -174,28 +177,32 @@
 
 /* == telling == */
 
-bool loads_tell(Loads *l, double now, LoadsMsg *m) {
+bool loads_next_message(Loads *l, double now, LoadsMsg *m) {
   for (guint k = 0; k < l->list->len; k++) {
-    Watched *w = l->list->pdata[(l->tell_at + k) % l->list->len];
-    bool again = w->known && now - w->told >= l->tell_s && w->heard > w->told;
-    if (!w->duty || !(w->tell || again)) continue;
-    l->tell_at = (l->tell_at + k + 1) % l->list->len;
-    w->tell = false;
-    w->told = now;
+    Watched *w = l->list->pdata[(l->send_cursor + k) % l->list->len];
+    bool again = w->known && now - w->sent_at >= l->send_interval_s &&
+                 w->received_at > w->sent_at;
+    if (!w->duty || !(w->send_now || again)) continue;
+    l->send_cursor = (l->send_cursor + k + 1) % l->list->len;
+    w->send_now = false;
+    w->sent_at = now;
     *m = (LoadsMsg){w->hash, w->running, w->waiting, !w->ok};
     return true;
   }
   return false;
 }
 
-const LoadsTarget *loads_told(Loads *l, double now, const LoadsMsg *m) {
+const LoadsTarget *loads_apply_message(Loads *l, double now,
+                                       const LoadsMsg *m) {
   Watched *w = g_hash_table_lookup(l->by_hash, &m->target);
   if (!w) return NULL;
-  if (m->silent) { /* cut off from us, or from the one that says so? */
-    double wait = w->fails < FAILS ? EVERY_S : VERIFY_S;
-    w->verify = !w->asking && (w->asked < 0 || now - w->asked >= wait);
+  if (m->unresponsive) { /* cut off from us, or from the one that says so? */
+    double wait = w->fails < RECHECK_AFTER_FAILURES ? NEAR_INTERVAL_S
+                                                    : RECHECK_INTERVAL_S;
+    w->verify =
+        !w->in_flight && (w->queried_at < 0 || now - w->queried_at >= wait);
     return NULL;
   }
-  w->heard = now;
+  w->received_at = now;
   return &w->t;
 }
--- a/packages/route/loads.h
+++ b/packages/route/loads.h
@@ -22,26 +22,26 @@
 typedef struct LoadsMsg {
   uint64_t target; /* hash of its name */
   int running, waiting;
-  bool silent; /* it did not answer */
+  bool unresponsive; /* it did not answer */
 } LoadsMsg;
 
 typedef struct Loads Loads;
 
 Loads *loads_new(const char *self);
 void loads_free(Loads *l);
-void loads_view(Loads *l, const View *v);
+void loads_set_view(Loads *l, const View *v);
 /* Targets that stay keep what is known of them. */
-void loads_targets(Loads *l, const LoadsTarget *list, int n);
+void loads_set_targets(Loads *l, const LoadsTarget *list, int n);
 
 /* The next target that we have to ask now; false: none. Its answer must come
    with loads_heard. */
-bool loads_ask(Loads *l, double now, LoadsTarget *t);
-void loads_heard(Loads *l, double now, const char *name, bool ok, int running,
-                 int waiting);
+bool loads_next_query(Loads *l, double now, LoadsTarget *t);
+void loads_apply_answer(Loads *l, double now, const char *name, bool ok,
+                        int running, int waiting);
 /* The next word to all others of our region; false: none. */
-bool loads_tell(Loads *l, double now, LoadsMsg *m);
+bool loads_next_message(Loads *l, double now, LoadsMsg *m);
 /* Another instance's word. The target it speaks of, NULL: unknown, or silent:
    then we ask it ourselves before we believe it. */
-const LoadsTarget *loads_told(Loads *l, double now, const LoadsMsg *m);
+const LoadsTarget *loads_apply_message(Loads *l, double now, const LoadsMsg *m);
 
 #endif
--- a/packages/route/parts.c
+++ b/packages/route/parts.c
@@ -3,20 +3,20 @@
 
 #include <xxhash.h>
 
-#define KEEP_S 60.0 /* a part unused for longer counts as lost */
+#define PART_KEEP_S 60.0 /* a part unused for longer counts as lost */
 /* The others are told again after this: one that has just started knows
    nothing, and prompts of one session come seconds apart. */
-#define TELL_AGAIN_S 5.0
+#define RESEND_S 5.0
 
 typedef struct Part {
-  double since; /* it was sent there first */
-  double used;  /* last, by anybody */
-  double told;  /* when the others were told last; 0: never */
+  double since;   /* it was sent there first */
+  double used;    /* last, by anybody */
+  double sent_at; /* when the others were told last; 0: never */
 } Part;
 
 /* What is forgotten is cleared out when the table has doubled since, but not
    below this size: each request adds its own part, 100 bytes. */
-#define SWEEP_LEAST 512
+#define MIN_SWEEP_SIZE 512
 
 struct Parts {
   GHashTable *known; /* name -> Part */
@@ -34,29 +34,29 @@
   g_free(p);
 }
 
-void parts_forget(Parts *p) {
+void parts_clear(Parts *p) {
   g_hash_table_remove_all(p->known);
 }
 
 /* Names part `i` together with all before it. */
-static uint64_t chain(const Ask *a, int i, uint64_t before) {
+static uint64_t hash_prefix(const Ask *a, int i, uint64_t before) {
   uint64_t pair[2] = {before, a->parts[i].id};
   return XXH64(pair, sizeof pair, 0);
 }
 
-static gboolean is_lost(gpointer key, gpointer value, gpointer now) {
+static gboolean is_expired(gpointer key, gpointer value, gpointer now) {
   (void)key;
   const Part *part = value;
-  return *(double *)now - part->used >= KEEP_S;
+  return *(double *)now - part->used >= PART_KEEP_S;
 }
 
-static void sweep(Parts *p, double now) {
+static void expire_parts(Parts *p, double now) {
   if (g_hash_table_size(p->known) < p->sweep_at) return;
-  g_hash_table_foreach_remove(p->known, is_lost, &now);
-  p->sweep_at = MAX(SWEEP_LEAST, 2 * g_hash_table_size(p->known));
+  g_hash_table_foreach_remove(p->known, is_expired, &now);
+  p->sweep_at = MAX(MIN_SWEEP_SIZE, 2 * g_hash_table_size(p->known));
 }
 
-static Part *note(Parts *p, uint64_t name, double now) {
+static Part *touch_part(Parts *p, uint64_t name, double now) {
   Part *part = g_hash_table_lookup(p->known, &name);
   if (!part) {
     part = g_new0(Part, 1);
@@ -67,38 +67,39 @@
   return part;
 }
 
-int parts_note(Parts *p, const Ask *a, double now, uint64_t *news) {
+int parts_note_prompt(Parts *p, const Ask *a, double now, uint64_t *news) {
   uint64_t name = 0;
   int n = 0;
-  sweep(p, now);
+  expire_parts(p, now);
   for (int i = 0; i < a->n_parts; i++) {
-    name = chain(a, i, name);
-    Part *part = note(p, name, now);
+    name = hash_prefix(a, i, name);
+    Part *part = touch_part(p, name, now);
     bool shared = i + 1 < a->n_parts;
-    if (!shared || (part->told > 0 && now - part->told < TELL_AGAIN_S))
+    if (!shared || (part->sent_at > 0 && now - part->sent_at < RESEND_S))
       continue;
-    part->told = now;
+    part->sent_at = now;
     news[n++] = name;
   }
   return n;
 }
 
-void parts_told(Parts *p, const uint64_t *names, int n, double now) {
-  sweep(p, now);
-  for (int i = 0; i < n; i++) note(p, names[i], now);
+void parts_apply_report(Parts *p, const uint64_t *names, int n, double now) {
+  expire_parts(p, now);
+  for (int i = 0; i < n; i++) touch_part(p, names[i], now);
 }
 
-static bool has(const Parts *p, uint64_t name, double now, double age_s) {
+static bool has_part(const Parts *p, uint64_t name, double now, double age_s) {
   const Part *part = g_hash_table_lookup(p->known, &name);
-  return part && now - part->used < KEEP_S && now - part->since >= age_s;
+  return part && now - part->used < PART_KEEP_S && now - part->since >= age_s;
 }
 
-int64_t parts_kept(const Parts *p, const Ask *a, double now, double age_s) {
+int64_t parts_cached_tokens(const Parts *p, const Ask *a, double now,
+                            double age_s) {
   int64_t n = 0;
   uint64_t id = 0;
   for (int i = 0; i < a->n_parts; i++) {
-    id = chain(a, i, id);
-    if (!has(p, id, now, age_s)) break;
+    id = hash_prefix(a, i, id);
+    if (!has_part(p, id, now, age_s)) break;
     n += a->parts[i].tokens;
   }
   return n;
@@ -108,14 +109,14 @@
   uint64_t name = 0;
   int n = 0;
   for (; n + 1 < a->n_parts && n < most; n++)
-    names[n] = name = chain(a, n, name);
+    names[n] = name = hash_prefix(a, n, name);
   return n;
 }
 
-int parts_known(const Parts *p, const uint64_t *names, int n, double now,
-                double age_s) {
+int parts_count_known(const Parts *p, const uint64_t *names, int n, double now,
+                      double age_s) {
   int known = 0;
-  while (known < n && has(p, names[known], now, age_s)) known++;
+  while (known < n && has_part(p, names[known], now, age_s)) known++;
   return known;
 }
 
@@ -123,24 +124,24 @@
   return (int)g_hash_table_size(p->known);
 }
 
-int64_t parts_tokens(const Ask *a) {
+int64_t parts_prompt_tokens(const Ask *a) {
   int64_t n = 0;
   for (int i = 0; i < a->n_parts; i++) n += a->parts[i].tokens;
   return MAX(n, a->tokens_in);
 }
 
-int64_t parts_first(const Ask *a, int n) {
+int64_t parts_prefix_tokens(const Ask *a, int n) {
   int64_t sum = 0;
   for (int i = 0; i < n && i < a->n_parts; i++) sum += a->parts[i].tokens;
   return sum;
 }
 
-int64_t parts_shared(const Ask *a) {
-  return parts_first(a, a->n_parts - 1);
+int64_t parts_shared_tokens(const Ask *a) {
+  return parts_prefix_tokens(a, a->n_parts - 1);
 }
 
 uint64_t parts_key(const Ask *a) {
   uint64_t id = 0;
-  for (int i = 0; i + 1 < a->n_parts; i++) id = chain(a, i, id);
+  for (int i = 0; i + 1 < a->n_parts; i++) id = hash_prefix(a, i, id);
   return id;
 }
--- a/packages/route/regions.h
+++ b/packages/route/regions.h
@@ -11,7 +11,7 @@
 typedef uint64_t RegionSet;
 #define REGIONS_ANY ((RegionSet)0) /* of a request that is not bound */
 #define REGIONS_BOUND ((RegionSet)1 << 63)
-#define REGIONS_MOST 63 /* regions of one fleet */
+#define REGIONS_MAX 63 /* regions of one fleet */
 
 typedef struct Regions Regions;
 
@@ -21,16 +21,16 @@
 void regions_free(Regions *r);
 
 /* The region as a set of one; empty: it is not known. */
-RegionSet regions_named(const Regions *r, const char *region);
+RegionSet regions_by_name(const Regions *r, const char *region);
 /* The same of the region of a data centre. */
 RegionSet regions_of_dc(const Regions *r, const char *dc);
 /* The regions of an operators' list that ends with NULL; a list that is NULL
    bounds nothing. A name that is not known allows nothing; the first such is
    put into `unknown`, unless that is NULL. */
-RegionSet regions_listed(const Regions *r, char *const *names,
-                         const char **unknown);
+RegionSet regions_from_list(const Regions *r, char *const *names,
+                            const char **unknown);
 /* What two lists allow together. */
-RegionSet regions_both(RegionSet a, RegionSet b);
+RegionSet regions_intersect(RegionSet a, RegionSet b);
 
 /* Ways by which bytes of a request leave the instance that its caller spoke
    to. All of them ask regions_admit. */
@@ -39,14 +39,14 @@
   REGIONS_DONOR,   /* prompt memory, from one target to another */
   REGIONS_COUNTER, /* names of prompt parts, to who counts a target's work */
   REGIONS_PEERS,   /* the same, to all instances of our region */
-  REGIONS_WAYS
-} RegionsWay;
+  REGIONS_PATHS
+} RegionsPath;
 
 /* Whether bytes of a request that is bound to `allowed` may go to `at`. A place
    whose region is not known is open only to a request that is not bound. */
-bool regions_admit(RegionSet allowed, RegionSet at, RegionsWay way);
+bool regions_admit(RegionSet allowed, RegionSet at, RegionsPath way);
 
 /* For tests: a way that lets everything through; REGIONS_WAYS: none does. */
-void regions_break(RegionsWay way);
+void regions_bypass_check(RegionsPath way);
 
 #endif
--- a/packages/route/retries.h
+++ b/packages/route/retries.h
@@ -20,9 +20,9 @@
    window: those that went may have used their parts in the one that runs. For
    a window after its start an instance has no part, since its earlier life may
    have used it. */
-void retries_instances(Retries *r, double now, int n);
+void retries_set_instances(Retries *r, double now, int n);
 /* A first dispatch to `service`. */
-void retries_first(Retries *r, double now, const char *service);
+void retries_note_first(Retries *r, double now, const char *service);
 /* Takes one retry; false when none is left. */
 bool retries_take(Retries *r, double now, const char *service);
 
--- a/packages/route/roster.c
+++ b/packages/route/roster.c
@@ -27,7 +27,7 @@
   int cold_ms = (int)(MAX(0, t->cold_until - now) * MS);
   return json_pack("[s,s,i,i,i,b,i,I,I]", i->id, i->addr,
                    number_in(services, i->service), number_in(dcs, i->dc),
-                   i->slots, (int)i->leaving, cold_ms, (json_int_t)i->born,
+                   i->slots, (int)i->leaving, cold_ms, (json_int_t)i->start_ms,
                    (json_int_t)i->revision);
 }
 
@@ -50,31 +50,31 @@
 }
 
 /* Adds members of a pool from `at` on; false: the part is full. */
-static bool add_rows(Pool *p, double now, RosterAt *at, json_t *rows,
+static bool add_rows(Pool *p, double now, RosterCursor *at, json_t *rows,
                      json_t *services, json_t *dcs) {
-  GPtrArray *members = pool_members(p);
-  bool inside = at->inside && at->pool == p->hash;
+  GPtrArray *members = pool_sorted_members(p);
+  bool inside = at->has_target && at->pool == p->hash;
   at->pool = p->hash;
   for (guint i = 0; i < members->len; i++) {
     const Target *t = members->pdata[i];
     if (inside && t->hash <= at->target) continue;
-    if (json_array_size(rows) == ROSTER_ROWS) return false;
+    if (json_array_size(rows) == ROSTER_MAX_ROWS) return false;
     at->target = t->hash;
-    at->inside = true;
+    at->has_target = true;
     if (is_listed(t))
       json_array_append_new(rows, row_of(t, now, services, dcs));
   }
   return true;
 }
 
-char *roster_part(Targets *s, double now, RosterAt *at, bool *more) {
+char *roster_part(Targets *s, double now, RosterCursor *at, bool *more) {
   json_t *rows = json_array(), *services = json_array(), *dcs = json_array();
   Pool *p;
   *more = false;
   while (!*more && (p = pool_from(s, at->pool)) != NULL) {
     *more = !add_rows(p, now, at, rows, services, dcs);
     if (!*more && p->hash == UINT64_MAX) break;
-    if (!*more) *at = (RosterAt){.pool = p->hash + 1};
+    if (!*more) *at = (RosterCursor){.pool = p->hash + 1};
   }
   json_t *o = json_pack("{s:o,s:o,s:o}", "services", services, "dcs", dcs,
                         "rows", rows);
@@ -101,7 +101,7 @@
   if (t->slots < 0 || cold_ms < 0 || born < 0 || revision <= 0) return false;
   t->leaving = leaving;
   t->cold_s = cold_ms / MS;
-  t->born = born;
+  t->start_ms = born;
   t->revision = (uint64_t)revision;
   return copy_name(t->id, sizeof t->id, id) &&
          copy_name(t->addr, sizeof t->addr, addr) &&
--- a/packages/route/route.c
+++ b/packages/route/route.c
@@ -7,27 +7,28 @@
 
 #include "kernel/list.h"
 
-#define EWMA 0.1      /* weight of a new sample */
-#define PATH_EWMA 0.3 /* the same; the path is seldom measured */
-#define FAILS 3       /* failures in a row that eject */
-#define EJECT_MIN 1.0 /* seconds, doubled each time */
-#define EJECT_MAX 30.0
-#define BLOCKS_KEPT 65536 /* block hashes remembered of one pool */
-#define RETRY_SHARE 0.1   /* retries for each success */
-#define RETRY_BURST 5.0
-#define STALE_MAX 5.0      /* seconds of age that still raise the margin */
-#define STALE_GROWTH 0.02  /* margin for each second of age, of a full wait */
-#define NEAR_BEST 0.2      /* choices within this part of the best cost... */
-#define NEAR_SECONDS 0.005 /* ...or this many seconds are as good */
+#define SAMPLE_WEIGHT 0.1      /* weight of a new sample */
+#define PATH_SAMPLE_WEIGHT 0.3 /* the same; the path is seldom measured */
+#define EJECT_AFTER_FAILURES 3 /* failures in a row that eject */
+#define EJECT_MIN_S 1.0        /* seconds, doubled each time */
+#define EJECT_MAX_S 30.0
+#define MAX_KEPT_BLOCKS 65536   /* block hashes remembered of one pool */
+#define RETRIES_PER_SUCCESS 0.1 /* retries for each success */
+#define MAX_SAVED_RETRIES 5.0
+#define STALE_MAX_S 5.0 /* seconds of age that still raise the margin */
+#define STALE_MARGIN_PER_S                                                     \
+  0.02                      /* margin for each second of age, of a full wait */
+#define NEAR_BEST_RATIO 0.2 /* choices within this part of the best cost... */
+#define NEAR_BEST_S 0.005   /* ...or this many seconds are as good */
 
 typedef struct State {
   RouteTarget t;
   const char *given; /* interned: adapters that it was ordered to load */
   bool leaving;
-  int running, waiting; /* as reported */
-  int own;              /* our dispatches in progress */
-  int since;            /* our dispatches since the report, still open */
-  double reported;      /* 0: never */
+  int running, waiting;  /* as reported */
+  int own;               /* our dispatches in progress */
+  int sent_since_report; /* our dispatches since the report, still open */
+  double reported;       /* 0: never */
   double path_s, prefill_s, service_s;
   bool path_known;
   int fails;
@@ -35,26 +36,27 @@
   double ejected_until, eject_s;
   double retries; /* left after its failures */
   bool ejected, probing;
-  GHashTable *fresh, *old; /* block hashes sent there, two generations */
+  GHashTable *recent_blocks,
+      *older_blocks; /* block hashes sent there, two generations */
 } State;
 
 /* One candidate of a choice. */
-typedef struct Price {
+typedef struct Candidate {
   State *s;
   RouteChoice c;
   double score;
-} Price;
+} Candidate;
 
 struct Route {
   GPtrArray *list; /* State* */
   GRand *rng;
   RoutePolicy policy;
-  int peers; /* instances that choose as we do */
+  int instances; /* instances that choose as we do */
   guint turn;
   double retries;
   GHashTable *customers; /* name -> double*, retries left */
   int64_t ejections;
-  GArray *prices; /* Price, of the choice being made */
+  GArray *priced; /* Price, of the choice being made */
 };
 
 /* == memory == */
@@ -65,8 +67,8 @@
 
 static void state_free(gpointer p) {
   State *s = p;
-  g_hash_table_destroy(s->fresh);
-  g_hash_table_destroy(s->old);
+  g_hash_table_destroy(s->recent_blocks);
+  g_hash_table_destroy(s->older_blocks);
   g_free(s);
 }
 
@@ -77,10 +79,10 @@
   s->path_s = 0.001;
   s->prefill_s = 0.0001;
   s->service_s = 1.0;
-  s->eject_s = EJECT_MIN;
-  s->retries = RETRY_BURST;
-  s->fresh = block_set();
-  s->old = block_set();
+  s->eject_s = EJECT_MIN_S;
+  s->retries = MAX_SAVED_RETRIES;
+  s->recent_blocks = block_set();
+  s->older_blocks = block_set();
   return s;
 }
 
@@ -89,10 +91,10 @@
   r->list = g_ptr_array_new_with_free_func(state_free);
   r->rng = g_rand_new_with_seed(seed);
   r->policy = policy;
-  r->peers = 1;
-  r->retries = RETRY_BURST;
+  r->instances = 1;
+  r->retries = MAX_SAVED_RETRIES;
   r->customers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  r->prices = g_array_new(FALSE, FALSE, sizeof(Price));
+  r->priced = g_array_new(FALSE, FALSE, sizeof(Candidate));
   return r;
 }
 
@@ -100,7 +102,7 @@
   g_ptr_array_free(r->list, TRUE);
   g_rand_free(r->rng);
   g_hash_table_destroy(r->customers);
-  g_array_free(r->prices, TRUE);
+  g_array_free(r->priced, TRUE);
   g_free(r);
 }
 
@@ -112,7 +114,7 @@
   return NULL;
 }
 
-void route_targets(Route *r, const RouteTarget *list, int n) {
+void route_set_targets(Route *r, const RouteTarget *list, int n) {
   GPtrArray *next = g_ptr_array_new_with_free_func(state_free);
   for (int i = 0; i < n; i++) {
     State *s = find(r, list[i].name);
@@ -130,18 +132,19 @@
   r->list = next;
 }
 
-void route_given(Route *r, const char *name, const char *adapters) {
+void route_set_assigned_adapters(Route *r, const char *name,
+                                 const char *adapters) {
   State *s = find(r, name);
   if (s) s->given = g_intern_string(adapters);
 }
 
-void route_leaving(Route *r, const char *name, bool leaving) {
+void route_set_leaving(Route *r, const char *name, bool leaving) {
   State *s = find(r, name);
   if (s) s->leaving = leaving;
 }
 
-void route_peers(Route *r, int n) {
-  r->peers = MAX(n, 1);
+void route_set_instances(Route *r, int n) {
+  r->instances = MAX(n, 1);
 }
 
 int route_count(const Route *r) {
@@ -150,35 +153,37 @@
 
 /* == prefixes == */
 
-int route_blocks(const char *prompt, size_t len, uint64_t *blocks) {
+int route_hash_blocks(const char *prompt, size_t len, uint64_t *blocks) {
   int n = 0;
   uint64_t h = 0; /* each block's hash is seeded with the one before it */
-  while (n < ROUTE_BLOCKS && (size_t)(n + 1) * ROUTE_BLOCK <= len) {
-    h = XXH64(prompt + (size_t)n * ROUTE_BLOCK, ROUTE_BLOCK, h);
+  while (n < ROUTE_MAX_BLOCKS && (size_t)(n + 1) * ROUTE_BLOCK_BYTES <= len) {
+    h = XXH64(prompt + (size_t)n * ROUTE_BLOCK_BYTES, ROUTE_BLOCK_BYTES, h);
     blocks[n++] = h;
   }
   return n;
 }
 
 static bool has_block(const State *s, const uint64_t *b) {
-  return g_hash_table_contains(s->fresh, b) || g_hash_table_contains(s->old, b);
+  return g_hash_table_contains(s->recent_blocks, b) ||
+         g_hash_table_contains(s->older_blocks, b);
 }
 
 /* Blocks of the ask that the target is thought to have cached. */
-static int cached_blocks(const State *s, const RouteAsk *ask) {
+static int cached_blocks(const State *s, const RouteRequest *ask) {
   int n = 0;
   while (n < ask->n && has_block(s, &ask->blocks[n])) n++;
   return n;
 }
 
-static void remember(const Route *r, State *s, const RouteAsk *ask) {
+static void remember_blocks(const Route *r, State *s, const RouteRequest *ask) {
   for (int i = 0; i < ask->n; i++)
-    g_hash_table_add(s->fresh,
+    g_hash_table_add(s->recent_blocks,
                      g_memdup2(&ask->blocks[i], sizeof ask->blocks[i]));
-  if (g_hash_table_size(s->fresh) < BLOCKS_KEPT / 2 / r->list->len) return;
-  g_hash_table_destroy(s->old);
-  s->old = s->fresh;
-  s->fresh = block_set();
+  if (g_hash_table_size(s->recent_blocks) < MAX_KEPT_BLOCKS / 2 / r->list->len)
+    return;
+  g_hash_table_destroy(s->older_blocks);
+  s->older_blocks = s->recent_blocks;
+  s->recent_blocks = block_set();
 }
 
 /* == ejection == */
@@ -199,19 +204,19 @@
   s->ejected = true;
   s->probing = false;
   s->ejected_until = now + s->eject_s * (0.75 + g_rand_double(r->rng) / 2);
-  s->eject_s = MIN(s->eject_s * 2, EJECT_MAX);
+  s->eject_s = MIN(s->eject_s * 2, EJECT_MAX_S);
 }
 
-static void failed(Route *r, State *s, double now) {
+static void record_failure(Route *r, State *s, double now) {
   s->fails++;
   s->failures++;
-  if (s->fails >= FAILS || s->ejected) eject(r, s, now);
+  if (s->fails >= EJECT_AFTER_FAILURES || s->ejected) eject(r, s, now);
 }
 
-static void succeeded(State *s) {
+static void record_success(State *s) {
   s->fails = 0;
   s->ejected = s->probing = false;
-  s->eject_s = EJECT_MIN;
+  s->eject_s = EJECT_MIN_S;
 }
 
 /* == load == */
@@ -219,48 +224,49 @@
 /* In progress there: the report, and what we sent since. */
 static int inflight(const State *s) {
   int reported = s->running + s->waiting;
-  return MAX(reported + s->since, s->own);
+  return MAX(reported + s->sent_since_report, s->own);
 }
 
 /* The same as it is likely to be now: what was reported has partly ended, and
    the other instances have sent there about what we have. */
-static double likely(const Route *r, const State *s, double now) {
+static double estimate_inflight(const Route *r, const State *s, double now) {
   double age = s->reported > 0 ? now - s->reported : 0;
   double left = (s->running + s->waiting) * exp(-age / s->service_s);
-  return MAX(left + (double)s->since * r->peers, s->own);
+  return MAX(left + (double)s->sent_since_report * r->instances, s->own);
 }
 
 /* Targets of one data centre are as far as each other, and most of them are
    asked by other instances than us. */
-static void saw_path(Route *r, const State *s, double path_s) {
+static void record_path(Route *r, const State *s, double path_s) {
   for (guint i = 0; i < r->list->len; i++) {
     State *x = r->list->pdata[i];
     bool there = x == s || (s->t.dc[0] && strcmp(x->t.dc, s->t.dc) == 0);
     if (!there) continue;
-    x->path_s += (path_s - x->path_s) * (x->path_known ? PATH_EWMA : 1);
+    x->path_s +=
+        (path_s - x->path_s) * (x->path_known ? PATH_SAMPLE_WEIGHT : 1);
     x->path_known = true;
   }
 }
 
-void route_report(Route *r, double now, const char *name, int running,
-                  int waiting, double path_s) {
+void route_apply_load(Route *r, double now, const char *name, int running,
+                      int waiting, double path_s) {
   State *s = find(r, name);
   if (!s) return;
   s->running = running;
   s->waiting = waiting;
-  s->since = 0;
+  s->sent_since_report = 0;
   s->reported = now;
-  if (path_s >= 0) saw_path(r, s, path_s);
+  if (path_s >= 0) record_path(r, s, path_s);
   /* A live answer ends an ejection only through a probe with real work. */
   if (!s->ejected && path_s >= 0) s->fails = 0;
 }
 
-void route_silent(Route *r, double now, const char *name) {
+void route_note_unresponsive(Route *r, double now, const char *name) {
   State *s = find(r, name);
-  if (s) failed(r, s, now);
+  if (s) record_failure(r, s, now);
 }
 
-int route_room(const Route *r, double now) {
+int route_free_slots(const Route *r, double now) {
   int room = 0;
   for (guint i = 0; i < r->list->len; i++) {
     const State *s = r->list->pdata[i];
@@ -270,7 +276,7 @@
   return room;
 }
 
-double route_rate(const Route *r) {
+double route_max_rate(const Route *r) {
   double rate = 0;
   for (guint i = 0; i < r->list->len; i++) {
     const State *s = r->list->pdata[i];
@@ -281,123 +287,128 @@
 
 /* == choice == */
 
-static bool tried(const RouteAsk *ask, const char *name) {
+static bool was_tried(const RouteRequest *ask, const char *name) {
   for (int i = 0; i < 4 && ask->tried[i]; i++)
     if (strcmp(ask->tried[i], name) == 0) return true;
   return false;
 }
 
-static bool asked(const char *what) {
+static bool is_required(const char *what) {
   return what && what[0];
 }
 
-static bool fits(const State *s, const RouteAsk *ask) {
+static bool meets_requirements(const State *s, const RouteRequest *ask) {
   const RouteTarget *t = &s->t;
   const char *adapter = ask->adapter;
-  if (asked(adapter) && !list_has(t->adapters, adapter) &&
+  if (is_required(adapter) && !list_has(t->adapters, adapter) &&
       !list_has(s->given, adapter))
     return false;
-  if (asked(ask->version) && strcmp(t->version, ask->version) != 0)
+  if (is_required(ask->version) && strcmp(t->version, ask->version) != 0)
     return false;
-  return !asked(ask->dcs) || list_has(ask->dcs, t->dc);
+  return !is_required(ask->dcs) || list_has(ask->dcs, t->dc);
 }
 
-static bool may_take(const State *s, double now, const RouteAsk *ask) {
-  if (s->leaving || tried(ask, s->t.name) || !fits(s, ask)) return false;
+static bool may_send_to(const State *s, double now, const RouteRequest *ask) {
+  if (s->leaving || was_tried(ask, s->t.name) || !meets_requirements(s, ask))
+    return false;
   if (!s->ejected) return true;
   return now >= s->ejected_until && !s->probing; /* one probe at a time */
 }
 
-static void price(const Route *r, const State *s, double now,
-                  const RouteAsk *ask, RouteChoice *c) {
-  int64_t cached = (int64_t)cached_blocks(s, ask) * ROUTE_BLOCK / 4;
+static void compute_cost(const Route *r, const State *s, double now,
+                         const RouteRequest *ask, RouteChoice *c) {
+  int64_t cached = (int64_t)cached_blocks(s, ask) * ROUTE_BLOCK_BYTES / 4;
   c->cached = MIN(cached, ask->tokens);
   c->path = s->path_s;
   c->prefill = (double)(ask->tokens - c->cached) * s->prefill_s;
-  double there = likely(r, s, now), over = there + 1 - s->t.slots;
+  double there = estimate_inflight(r, s, now), over = there + 1 - s->t.slots;
   c->wait = over > 0 ? over * s->service_s / s->t.slots : 0;
   /* An old report hides what others sent since; the fuller the target was,
      the likelier that it is full by now. */
-  double age = s->reported > 0 ? MIN(now - s->reported, STALE_MAX) : STALE_MAX;
+  double age =
+      s->reported > 0 ? MIN(now - s->reported, STALE_MAX_S) : STALE_MAX_S;
   double load = there / s->t.slots;
-  c->margin = age * STALE_GROWTH * load * s->service_s;
+  c->margin = age * STALE_MARGIN_PER_S * load * s->service_s;
   c->cost = c->path + c->prefill + c->wait + c->margin;
 }
 
-static double rank(const Route *r, const State *s, const RouteAsk *ask,
-                   const RouteChoice *c, guint i) {
+static double compute_score(const Route *r, const State *s,
+                            const RouteRequest *ask, const RouteChoice *c,
+                            guint i) {
   if (ask->prefer && strcmp(ask->prefer, s->t.name) == 0) return -1;
   switch (r->policy) {
   case ROUTE_ROUND_ROBIN:
     return (double)((i + r->list->len - r->turn % r->list->len) % r->list->len);
-  case ROUTE_LEAST: return (double)inflight(s) / s->t.slots;
+  case ROUTE_LEAST_LOADED: return (double)inflight(s) / s->t.slots;
   case ROUTE_NEAREST: return c->path;
   case ROUTE_PREFIX: return c->prefill;
   default: return c->cost;
   }
 }
 
-static void dispatched(const Route *r, State *s, const RouteAsk *ask,
-                       RouteChoice *c) {
+static void record_dispatch(const Route *r, State *s, const RouteRequest *ask,
+                            RouteChoice *c) {
   s->own++;
-  s->since++;
+  s->sent_since_report++;
   c->probe = s->ejected;
   s->probing = s->ejected;
-  remember(r, s, ask);
+  remember_blocks(r, s, ask);
   g_strlcpy(c->name, s->t.name, sizeof c->name);
   g_strlcpy(c->url, s->t.url, sizeof c->url);
 }
 
-bool route_pick(Route *r, double now, const RouteAsk *ask, RouteChoice *out) {
+bool route_pick(Route *r, double now, const RouteRequest *ask,
+                RouteChoice *out) {
   double best = INFINITY;
-  g_array_set_size(r->prices, 0);
+  g_array_set_size(r->priced, 0);
   for (guint i = 0; i < r->list->len; i++) {
-    Price p = {.s = r->list->pdata[i]};
-    if (!may_take(p.s, now, ask)) continue;
-    price(r, p.s, now, ask, &p.c);
-    p.score = rank(r, p.s, ask, &p.c, i);
+    Candidate p = {.s = r->list->pdata[i]};
+    if (!may_send_to(p.s, now, ask)) continue;
+    compute_cost(r, p.s, now, ask, &p.c);
+    p.score = compute_score(r, p.s, ask, &p.c, i);
     best = MIN(best, p.score);
-    g_array_append_val(r->prices, p);
+    g_array_append_val(r->priced, p);
   }
-  guint n = r->prices->len;
+  guint n = r->priced->len;
   if (n == 0) return false;
   r->turn++;
   /* Among those about as good as the best the choice is by lot, so that many
      instances with the same old reports do not all take the same one. */
   double slack = 0;
-  if (r->policy == ROUTE_OURS) slack = MAX(best * NEAR_BEST, NEAR_SECONDS);
-  const Price *pick = NULL;
+  if (r->policy == ROUTE_OURS) slack = MAX(best * NEAR_BEST_RATIO, NEAR_BEST_S);
+  const Candidate *pick = NULL;
   int seen = 0;
   for (guint i = 0; i < n; i++) {
-    const Price *p = &g_array_index(r->prices, Price, i);
+    const Candidate *p = &g_array_index(r->priced, Candidate, i);
     if (p->score > best + slack) continue;
     if (g_rand_int_range(r->rng, 0, ++seen) == 0) pick = p;
   }
   *out = pick->c;
   out->candidates = (int)n;
-  out->left_out = (int)(r->list->len - n);
-  dispatched(r, pick->s, ask, out);
+  out->excluded_count = (int)(r->list->len - n);
+  record_dispatch(r, pick->s, ask, out);
   return true;
 }
 
-void route_done(Route *r, double now, const char *name, RouteOutcome outcome,
-                int64_t fresh_tokens, double first_s, double all_s) {
+void route_note_done(Route *r, double now, const char *name,
+                     RouteOutcome outcome, int64_t fresh_tokens, double first_s,
+                     double all_s) {
   State *s = find(r, name);
   if (!s) return;
   s->own = MAX(s->own - 1, 0);
-  s->since = MAX(s->since - 1, 0);
+  s->sent_since_report = MAX(s->sent_since_report - 1, 0);
   if (outcome != ROUTE_OK) {
-    failed(r, s, now);
+    record_failure(r, s, now);
     return;
   }
-  succeeded(s);
-  r->retries = MIN(r->retries + RETRY_SHARE, RETRY_BURST);
-  s->retries = MIN(s->retries + RETRY_SHARE, RETRY_BURST);
-  if (all_s > 0) s->service_s += (all_s - s->service_s) * EWMA;
+  record_success(s);
+  r->retries = MIN(r->retries + RETRIES_PER_SUCCESS, MAX_SAVED_RETRIES);
+  s->retries = MIN(s->retries + RETRIES_PER_SUCCESS, MAX_SAVED_RETRIES);
+  if (all_s > 0) s->service_s += (all_s - s->service_s) * SAMPLE_WEIGHT;
   bool clear = inflight(s) < s->t.slots && fresh_tokens > 64;
   if (first_s > s->path_s && clear) {
     double each = (first_s - s->path_s) / (double)fresh_tokens;
-    s->prefill_s += (each - s->prefill_s) * EWMA;
+    s->prefill_s += (each - s->prefill_s) * SAMPLE_WEIGHT;
   }
 }
 
@@ -405,14 +416,14 @@
   double *left = g_hash_table_lookup(r->customers, customer);
   if (left) return left;
   left = g_new(double, 1);
-  *left = RETRY_BURST;
+  *left = MAX_SAVED_RETRIES;
   g_hash_table_insert(r->customers, g_strdup(customer), left);
   return left;
 }
 
-void route_succeeded(Route *r, const char *customer) {
+void route_note_success(Route *r, const char *customer) {
   double *left = customer_retries(r, customer);
-  *left = MIN(*left + RETRY_SHARE, RETRY_BURST);
+  *left = MIN(*left + RETRIES_PER_SUCCESS, MAX_SAVED_RETRIES);
 }
 
 bool route_may_retry(Route *r, const char *customer, const char *target) {
@@ -432,10 +443,10 @@
 RouteState route_state(const Route *r, double now, int i) {
   const State *s = r->list->pdata[i];
   return (RouteState){.target = s->t,
-                      .given = s->given,
+                      .assigned_adapters = s->given,
                       .running = s->running,
                       .waiting = s->waiting,
-                      .own = s->own,
+                      .own_open = s->own,
                       .leaving = s->leaving,
                       .ejected = s->ejected,
                       .age = s->reported > 0 ? now - s->reported : -1,
--- a/packages/route/suspects.c
+++ b/packages/route/suspects.c
@@ -6,16 +6,16 @@
 #include "kernel/count.h"
 #include "route/fair.h"
 
-#define MARKS_NAMED 2 /* targets that ended under it make it a suspect */
+#define MARKS_TO_NAME 2 /* targets that ended under it make it a suspect */
 /* Requests that are kept, as a home and as suspects; 100 bytes each. Nothing is
    forgotten by time: the bad one may come again after an hour. */
-#define COUNTS_MOST 4096
-#define NAMED_MOST 1024
+#define MAX_COUNTS 4096
+#define MAX_NAMED 1024
 /* Attempts that ended well, the last ones: half a minute of the busiest
    instance of the users' days, 40 requests a second. */
-#define GOOD_MOST 2048
+#define MAX_SUCCESSES 2048
 /* Seconds for which they are kept after a mark, or a word of one. */
-#define LOOK_S 60.0
+#define TRACK_SUCCESSES_S 60.0
 
 /* One request, as it is kept in a table. */
 typedef struct Entry {
@@ -23,28 +23,28 @@
   uint64_t owner;
   double first, last; /* marks */
   int n;
-  uint64_t targets[MARKS_NAMED]; /* that ended under it, the first ones */
+  uint64_t targets[MARKS_TO_NAME]; /* that ended under it, the first ones */
 } Entry;
 
-typedef struct Good {
+typedef struct Success {
   Digest digest;
   double at;
-} Good;
+} Success;
 
 struct Suspects {
   GHashTable *counts; /* Digest -> Entry, where we are its home */
   GHashTable *named;  /* Digest -> Entry */
-  Good good[GOOD_MOST];
-  int64_t goods; /* that were put there in all */
-  double heard;  /* of a mark */
-  GQueue out;    /* SuspectsMsg* */
+  Success successes[MAX_SUCCESSES];
+  int64_t success_count; /* that were put there in all */
+  double last_mark_at;   /* of a mark */
+  GQueue out;            /* SuspectsMsg* */
 };
 
 Suspects *suspects_new(void) {
   Suspects *s = g_new0(Suspects, 1);
   s->counts = g_hash_table_new_full(digest_hash, digest_same, NULL, g_free);
   s->named = g_hash_table_new_full(digest_hash, digest_same, NULL, g_free);
-  s->heard = -LOOK_S;
+  s->last_mark_at = -TRACK_SUCCESSES_S;
   g_queue_init(&s->out);
   return s;
 }
@@ -58,14 +58,14 @@
 
 /* == tables of bounded size == */
 
-static FairEntry look(gconstpointer value) {
+static FairEntry fair_entry_of(gconstpointer value) {
   const Entry *e = value;
   return (FairEntry){.owner = e->owner, .age = e->last};
 }
 
-static void shed(GHashTable *table, guint most) {
-  if (g_hash_table_size(table) < most) return;
-  Entry *victim = fair_victim(table, look);
+static void evict_if_full(GHashTable *table, guint max_entries) {
+  if (g_hash_table_size(table) < max_entries) return;
+  Entry *victim = fair_choose_evicted(table, fair_entry_of);
   g_hash_table_remove(table, &victim->digest);
   count_add(COUNT_SUSPECTS_SHED, 1);
 }
@@ -74,9 +74,9 @@
   return g_hash_table_lookup(table, &d);
 }
 
-static Entry *put(GHashTable *table, guint most, const SuspectsMsg *m,
-                  double first) {
-  shed(table, most);
+static Entry *insert_entry(GHashTable *table, guint max_entries,
+                           const SuspectsMsg *m, double first) {
+  evict_if_full(table, max_entries);
   Entry *e = g_new0(Entry, 1);
   e->digest = m->digest;
   e->owner = m->owner;
@@ -87,35 +87,35 @@
 
 /* == attempts that ended well == */
 
-static bool ran_since(const Suspects *s, Digest d, double since) {
-  int n = (int)MIN(s->goods, GOOD_MOST);
+static bool succeeded_since(const Suspects *s, Digest d, double since) {
+  int n = (int)MIN(s->success_count, MAX_SUCCESSES);
   for (int i = 0; i < n; i++)
-    if (s->good[i].at >= since && digest_equal(s->good[i].digest, d))
+    if (s->successes[i].at >= since && digest_equal(s->successes[i].digest, d))
       return true;
   return false;
 }
 
-static void send(Suspects *s, const SuspectsMsg *m) {
+static void queue_message(Suspects *s, const SuspectsMsg *m) {
   g_queue_push_tail(&s->out, g_memdup2(m, sizeof *m));
 }
 
-static void clear(Suspects *s, Digest d) {
+static void clear_suspect(Suspects *s, Digest d) {
   SuspectsMsg m = {.kind = SUSPECTS_CLEARED, .digest = d};
   g_hash_table_remove(s->named, &d);
   g_hash_table_remove(s->counts, &d);
-  send(s, &m);
+  queue_message(s, &m);
 }
 
-void suspects_ran(Suspects *s, double now, Digest d) {
-  s->good[s->goods++ % GOOD_MOST] = (Good){d, now};
+void suspects_note_success(Suspects *s, double now, Digest d) {
+  s->successes[s->success_count++ % MAX_SUCCESSES] = (Success){d, now};
   if (find(s->named, d))
-    clear(s, d);
+    clear_suspect(s, d);
   else
     g_hash_table_remove(s->counts, &d);
 }
 
-bool suspects_looks(const Suspects *s, double now) {
-  return suspects_any(s) || now - s->heard < LOOK_S;
+bool suspects_track_successes(const Suspects *s, double now) {
+  return suspects_has_any(s) || now - s->last_mark_at < TRACK_SUCCESSES_S;
 }
 
 /* == marks == */
@@ -125,24 +125,24 @@
                    .digest = mark->digest,
                    .owner = mark->owner,
                    .target = mark->target};
-  s->heard = now;
-  send(s, &m);
+  s->last_mark_at = now;
+  queue_message(s, &m);
 }
 
 static void take_named(Suspects *s, double now, const SuspectsMsg *m) {
-  double first = now - m->age_s;
-  if (ran_since(s, m->digest, first)) {
-    clear(s, m->digest);
+  double first = now - m->first_mark_age_s;
+  if (succeeded_since(s, m->digest, first)) {
+    clear_suspect(s, m->digest);
     return;
   }
   Entry *e = find(s->named, m->digest);
-  if (!e) e = put(s->named, NAMED_MOST, m, first);
+  if (!e) e = insert_entry(s->named, MAX_NAMED, m, first);
   e->last = now;
 }
 
 /* Each instance at which requests broke with a target tells of its end. */
-static bool is_known(const Entry *e, uint64_t target) {
-  for (int i = 0; i < MIN(e->n, MARKS_NAMED); i++)
+static bool has_target(const Entry *e, uint64_t target) {
+  for (int i = 0; i < MIN(e->n, MARKS_TO_NAME); i++)
     if (e->targets[i] == target) return true;
   return false;
 }
@@ -151,28 +151,28 @@
    it comes from somebody who has not heard, or that was under way. */
 static void take_mark(Suspects *s, double now, const SuspectsMsg *m) {
   Entry *e = find(s->counts, m->digest);
-  if (!e) e = put(s->counts, COUNTS_MOST, m, now);
+  if (!e) e = insert_entry(s->counts, MAX_COUNTS, m, now);
   e->last = now;
-  if (is_known(e, m->target)) return;
-  if (e->n < MARKS_NAMED) e->targets[e->n] = m->target;
+  if (has_target(e, m->target)) return;
+  if (e->n < MARKS_TO_NAME) e->targets[e->n] = m->target;
   e->n++;
-  if (e->n < MARKS_NAMED) return;
+  if (e->n < MARKS_TO_NAME) return;
   SuspectsMsg named = {.kind = SUSPECTS_NAMED,
                        .digest = m->digest,
                        .owner = m->owner,
-                       .age_s = now - e->first};
-  send(s, &named);
+                       .first_mark_age_s = now - e->first};
+  queue_message(s, &named);
   take_named(s, now, &named);
 }
 
-void suspects_take(Suspects *s, double now, const SuspectsMsg *m) {
+void suspects_apply_message(Suspects *s, double now, const SuspectsMsg *m) {
   switch (m->kind) {
   case SUSPECTS_MARK:
-    s->heard = now;
+    s->last_mark_at = now;
     take_mark(s, now, m);
     break;
   case SUSPECTS_NAMED:
-    s->heard = now;
+    s->last_mark_at = now;
     take_named(s, now, m);
     break;
   case SUSPECTS_CLEARED:
@@ -185,7 +185,7 @@
 
 /* == look-ups == */
 
-bool suspects_any(const Suspects *s) {
+bool suspects_has_any(const Suspects *s) {
   return g_hash_table_size(s->named) > 0;
 }
 
@@ -193,7 +193,7 @@
   return g_hash_table_contains(s->named, &d);
 }
 
-bool suspects_next(Suspects *s, SuspectsMsg *m) {
+bool suspects_next_message(Suspects *s, SuspectsMsg *m) {
   SuspectsMsg *first = g_queue_pop_head(&s->out);
   if (!first) return false;
   *m = *first;
--- a/packages/route/suspects.h
+++ b/packages/route/suspects.h
@@ -28,9 +28,9 @@
 typedef struct SuspectsMsg {
   SuspectsKind kind;
   Digest digest;
-  uint64_t owner;  /* text_hash of its customer; not with CLEARED */
-  uint64_t target; /* MARK: target_hash of the one that ended */
-  double age_s;    /* NAMED: since its first mark */
+  uint64_t owner;          /* text_hash of its customer; not with CLEARED */
+  uint64_t target;         /* MARK: target_hash of the one that ended */
+  double first_mark_age_s; /* NAMED: since its first mark */
 } SuspectsMsg;
 
 typedef struct Suspects Suspects;
@@ -41,18 +41,18 @@
 /* A target ended here under a request. */
 void suspects_mark(Suspects *s, double now, const EndsMark *m);
 /* Another instance says so, or names or clears one. */
-void suspects_take(Suspects *s, double now, const SuspectsMsg *m);
+void suspects_apply_message(Suspects *s, double now, const SuspectsMsg *m);
 /* An attempt ended with a target's answer; told while suspects_looks. */
-void suspects_ran(Suspects *s, double now, Digest d);
+void suspects_note_success(Suspects *s, double now, Digest d);
 /* Whether attempts that end well matter at present: nothing is to be computed
    for each request while no target ends. */
-bool suspects_looks(const Suspects *s, double now);
+bool suspects_track_successes(const Suspects *s, double now);
 
 /* Whether any request is named, and whether this one is. */
-bool suspects_any(const Suspects *s);
+bool suspects_has_any(const Suspects *s);
 bool suspects_has(const Suspects *s, Digest d);
 
 /* The next message that is to be sent; false: there is none. */
-bool suspects_next(Suspects *s, SuspectsMsg *m);
+bool suspects_next_message(Suspects *s, SuspectsMsg *m);
 
 #endif
--- a/packages/route/tally.c
+++ b/packages/route/tally.c
@@ -7,18 +7,19 @@
 
 /* A run whose end was never told counts for no longer than callers wait: 6 to
    15 s on the users' sheets. */
-#define RUN_S 15.0
+#define RUN_MAX_AGE_S 15.0
 /* Prompts are read in a second or two, also behind others; a word that one was
    read may be lost. */
-#define READ_S 3.0
-#define RIPE_S 0.5    /* a part that was sent this long ago has been read */
-#define FORGET_S 60.0 /* a target that nobody speaks of */
+#define PREFILL_MAX_AGE_S 3.0
+#define PART_PREFILL_S                                                         \
+  0.5 /* a part that was sent this long ago has been read */
+#define TARGET_IDLE_FORGET_S 60.0 /* a target that nobody speaks of */
 
 /* Starts count for a second; messages take milliseconds. */
-#define START_S 1.02
+#define START_WINDOW_S 1.02
 /* Who was given a permit sends at once; a word of it later than this was lost
    or is of another request. */
-#define PERMIT_S 2.0
+#define PERMIT_MAX_AGE_S 2.0
 
 typedef struct RunKey {
   uint64_t from, run;
@@ -41,14 +42,14 @@
   GHashTable *permits; /* RunKey -> Permit, which holds its key */
   int64_t tokens;      /* sum over runs */
   Parts *parts;
-  double born, spoken; /* when it was first and last spoken of */
-  QuotaSends starts;   /* of runs, and permits */
-  bool named;          /* `counter` is known */
-  uint64_t counter;    /* names who counts here */
-  double limit;        /* QUOTA_UNLIMITED: none */
-  bool limit_known;    /* we were told it as the target's own word */
-  bool limit_news;     /* the others were not told of it */
-  double told_at;      /* when they were */
+  double created_at, last_message_at; /* when it was first and last spoken of */
+  QuotaSends starts;                  /* of runs, and permits */
+  bool has_counter;                   /* `counter` is known */
+  uint64_t counter;                   /* names who counts here */
+  double limit;                       /* QUOTA_UNLIMITED: none */
+  bool limit_known;     /* we were told it as the target's own word */
+  bool limit_changed;   /* the others were not told of it */
+  double limit_sent_at; /* when they were */
 } Count;
 
 struct Tally {
@@ -75,8 +76,8 @@
   g_free(c);
 }
 
-TallyParts tally_parts_to(const TallyParts *parts, RegionSet allowed,
-                          RegionSet at) {
+TallyParts tally_allowed_parts(const TallyParts *parts, RegionSet allowed,
+                               RegionSet at) {
   if (regions_admit(allowed, at, REGIONS_COUNTER)) return *parts;
   return (TallyParts){0};
 }
@@ -93,7 +94,7 @@
   g_free(t);
 }
 
-static Count *count_of(Tally *t, double now, uint64_t target) {
+static Count *ensure_count(Tally *t, double now, uint64_t target) {
   Count *c = g_hash_table_lookup(t->counts, &target);
   if (!c) {
     c = g_new0(Count, 1);
@@ -101,10 +102,10 @@
     c->permits = g_hash_table_new_full(key_hash, key_equal, NULL, g_free);
     c->limit = QUOTA_UNLIMITED;
     c->parts = parts_new();
-    c->born = now;
+    c->created_at = now;
     g_hash_table_insert(t->counts, g_memdup2(&target, sizeof target), c);
   }
-  c->spoken = now;
+  c->last_message_at = now;
   return c;
 }
 
@@ -117,28 +118,28 @@
 
 /* Seconds for which who has just begun to count a target, since the members
    changed, does not know what it got before by another's count. */
-static double unknown_for(const Tally *t, const Count *c, double now,
-                          double window_s) {
-  double by_count = c->born + window_s - now;
+static double unknown_s(const Tally *t, const Count *c, double now,
+                        double window_s) {
+  double by_count = c->created_at + window_s - now;
   double by_members = t->changed + window_s - now;
   return MAX(0, MIN(by_count, by_members));
 }
 
-static int recent_starts(const Tally *t, const Count *c, double now) {
-  if (unknown_for(t, c, now, START_S) > 0) return QUOTA_UNITS;
-  return quota_lately(&c->starts, now, START_S);
+static int count_recent_starts(const Tally *t, const Count *c, double now) {
+  if (unknown_s(t, c, now, START_WINDOW_S) > 0) return QUOTA_MAX_SENDS;
+  return quota_count_recent(&c->starts, now, START_WINDOW_S);
 }
 
 /* A run begins; one that had a permit was counted with that. */
-static void note_start(Count *c, double now, const RunKey *key) {
-  if (!g_hash_table_remove(c->permits, key)) quota_sent(&c->starts, now);
+static void record_start(Count *c, double now, const RunKey *key) {
+  if (!g_hash_table_remove(c->permits, key)) quota_note_send(&c->starts, now);
 }
 
-void tally_take(Tally *t, double now, uint64_t from, const TallyRun *m) {
-  Count *c = count_of(t, now, m->target);
+void tally_apply_run(Tally *t, double now, uint64_t from, const TallyRun *m) {
+  Count *c = ensure_count(t, now, m->target);
   RunKey key = {from, m->run};
   Run *r = g_hash_table_lookup(c->runs, &key);
-  parts_told(c->parts, m->parts.names, m->parts.n, now);
+  parts_apply_report(c->parts, m->parts.names, m->parts.n, now);
   if (!m->open) {
     if (r) drop_run(c, r);
     return;
@@ -146,7 +147,7 @@
   if (!r) {
     r = g_new0(Run, 1);
     r->key = key;
-    note_start(c, now, &key);
+    record_start(c, now, &key);
     g_hash_table_insert(c->runs, &r->key, r);
   }
   c->tokens += m->tokens - r->tokens;
@@ -154,17 +155,18 @@
   r->at = now;
 }
 
-TallyWord tally_word(Tally *t, double now, const TallyAsk *a) {
-  const Count *c = count_of(t, now, a->target);
+TallyReport tally_report(Tally *t, double now, const TallyQuery *a) {
+  const Count *c = ensure_count(t, now, a->target);
   const TallyParts *p = &a->parts;
-  return (TallyWord){.number = a->number,
-                     .target = a->target,
-                     .open = (int)g_hash_table_size(c->runs),
-                     .starts = recent_starts(t, c, now),
-                     .tokens = c->tokens,
-                     .known = parts_known(c->parts, p->names, p->n, now, 0),
-                     .ripe =
-                         parts_known(c->parts, p->names, p->n, now, RIPE_S)};
+  return (TallyReport){
+      .number = a->number,
+      .target = a->target,
+      .open = (int)g_hash_table_size(c->runs),
+      .starts = count_recent_starts(t, c, now),
+      .tokens = c->tokens,
+      .known_parts = parts_count_known(c->parts, p->names, p->n, now, 0),
+      .finished_parts =
+          parts_count_known(c->parts, p->names, p->n, now, PART_PREFILL_S)};
 }
 
 /* == permits == */
@@ -178,53 +180,53 @@
   (void)target;
   const Count *c = count;
   const Ours *ours = data;
-  return c->named && !ours->fn(ours->ctx, c->counter);
+  return c->has_counter && !ours->fn(ours->ctx, c->counter);
 }
 
-void tally_members(Tally *t, double now, int n,
-                   bool (*ours)(void *ctx, uint64_t name), void *ctx) {
+void tally_set_members(Tally *t, double now, int n,
+                       bool (*ours)(void *ctx, uint64_t name), void *ctx) {
   Ours o = {ours, ctx};
   t->changed = now;
-  quota_place(&t->share, now, 0, n);
+  quota_set_rank(&t->share, now, 0, n);
   g_hash_table_foreach_remove(t->counts, is_anothers, &o);
 }
 
-static Count *named_count(Tally *t, double now, uint64_t target,
-                          uint64_t counter) {
-  Count *c = count_of(t, now, target);
-  c->named = true;
+static Count *ensure_named_count(Tally *t, double now, uint64_t target,
+                                 uint64_t counter) {
+  Count *c = ensure_count(t, now, target);
+  c->has_counter = true;
   c->counter = counter;
   return c;
 }
 
 /* What targets said, as we were told, beats what senders know; until we were,
    the lowest that a sender knows of counts. */
-static QuotaBounds bounds_of(Count *c, const TallyPermitAsk *a) {
+static QuotaBounds effective_bounds(Count *c, const TallyPermitRequest *a) {
   if (!c->limit_known) c->limit = MIN(c->limit, a->bounds.limit);
   QuotaBounds b = a->bounds;
   b.limit = c->limit;
   return b;
 }
 
-static void give(Count *c, double now, const RunKey *key) {
+static void grant_permit(Count *c, double now, const RunKey *key) {
   Permit *p = g_new0(Permit, 1);
   p->key = *key;
   p->at = now;
-  quota_sent(&c->starts, now);
+  quota_note_send(&c->starts, now);
   g_hash_table_replace(c->permits, &p->key, p);
 }
 
-TallyPermit tally_permit(Tally *t, double now, uint64_t from,
-                         const TallyPermitAsk *a) {
-  Count *c = named_count(t, now, a->target, a->counter);
-  QuotaBounds b = bounds_of(c, a);
+TallyPermit tally_decide_permit(Tally *t, double now, uint64_t from,
+                                const TallyPermitRequest *a) {
+  Count *c = ensure_named_count(t, now, a->target, a->counter);
+  QuotaBounds b = effective_bounds(c, a);
   RunKey key = {from, a->run};
-  double reach = MIN(a->reach, quota_reach(&t->share, now));
-  double unknown = unknown_for(t, c, now, quota_window(&b));
-  double wait = MAX(unknown, quota_wait(&c->starts, now, &b, reach));
+  double reach = MIN(a->reach, quota_reachable_share(&t->share, now));
+  double unknown = unknown_s(t, c, now, quota_longest_window_s(&b));
+  double wait = MAX(unknown, quota_wait_s(&c->starts, now, &b, reach));
   TallyVerdict verdict = wait <= 0 ? TALLY_GIVEN : TALLY_FULL;
   if (unknown > 0) verdict = TALLY_UNKNOWN;
-  if (verdict == TALLY_GIVEN) give(c, now, &key);
+  if (verdict == TALLY_GIVEN) grant_permit(c, now, &key);
   return (TallyPermit){.number = a->number,
                        .target = a->target,
                        .verdict = verdict,
@@ -234,28 +236,28 @@
 
 /* == limits == */
 
-void tally_limit(Tally *t, double now, const TallyLimit *m) {
-  Count *c = named_count(t, now, m->target, m->counter);
-  c->limit_news |= m->limit != c->limit;
+void tally_set_limit(Tally *t, double now, const TallyLimit *m) {
+  Count *c = ensure_named_count(t, now, m->target, m->counter);
+  c->limit_changed |= m->limit != c->limit;
   c->limit_known = true;
   c->limit = m->limit;
 }
 
 /* Whether the others are to hear of it. */
-static bool is_due(const Count *c, double now, double again_s) {
-  if (c->limit_news) return true;
-  return c->limit < QUOTA_UNLIMITED && now - c->told_at >= again_s;
+static bool is_limit_due(const Count *c, double now, double again_s) {
+  if (c->limit_changed) return true;
+  return c->limit < QUOTA_UNLIMITED && now - c->limit_sent_at >= again_s;
 }
 
-bool tally_limit_news(Tally *t, double now, double again_s, TallyLimit *m) {
+bool tally_next_limit(Tally *t, double now, double again_s, TallyLimit *m) {
   GHashTableIter it;
   gpointer k, v;
   g_hash_table_iter_init(&it, t->counts);
   while (g_hash_table_iter_next(&it, &k, &v)) {
     Count *c = v;
-    if (!c->named || !is_due(c, now, again_s)) continue;
-    c->limit_news = false;
-    c->told_at = now;
+    if (!c->has_counter || !is_limit_due(c, now, again_s)) continue;
+    c->limit_changed = false;
+    c->limit_sent_at = now;
     *m = (TallyLimit){*(uint64_t *)k, c->counter, c->limit};
     return true;
   }
@@ -264,22 +266,22 @@
 
 /* == what runs out == */
 
-static gboolean is_old(gpointer key, gpointer permit, gpointer now) {
+static gboolean is_permit_expired(gpointer key, gpointer permit, gpointer now) {
   (void)key;
-  return *(double *)now - ((Permit *)permit)->at >= PERMIT_S;
+  return *(double *)now - ((Permit *)permit)->at >= PERMIT_MAX_AGE_S;
 }
 
-static void sweep_runs(Count *c, double now) {
+static void expire_runs(Count *c, double now) {
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init(&it, c->runs);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Run *r = v;
-    if (now - r->at >= READ_S) {
+    if (now - r->at >= PREFILL_MAX_AGE_S) {
       c->tokens -= r->tokens;
       r->tokens = 0;
     }
-    if (now - r->at >= RUN_S) g_hash_table_iter_remove(&it);
+    if (now - r->at >= RUN_MAX_AGE_S) g_hash_table_iter_remove(&it);
   }
 }
 
@@ -289,8 +291,9 @@
   g_hash_table_iter_init(&it, t->counts);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Count *c = v;
-    sweep_runs(c, now);
-    g_hash_table_foreach_remove(c->permits, is_old, &now);
-    if (now - c->spoken >= FORGET_S) g_hash_table_iter_remove(&it);
+    expire_runs(c, now);
+    g_hash_table_foreach_remove(c->permits, is_permit_expired, &now);
+    if (now - c->last_message_at >= TARGET_IDLE_FORGET_S)
+      g_hash_table_iter_remove(&it);
   }
 }
--- a/packages/route/tally.h
+++ b/packages/route/tally.h
@@ -22,12 +22,12 @@
 
 /* Shared parts of a prompt that are told, the first ones; the users' have one
    or two. */
-#define TALLY_NAMES 8
+#define TALLY_MAX_PARTS 8
 
 /* Names of the shared parts of a prompt, each with all before it. */
 typedef struct TallyParts {
   int n;
-  uint64_t names[TALLY_NAMES];
+  uint64_t names[TALLY_MAX_PARTS];
 } TallyParts;
 
 /* All that a sender says of one of its requests at a target: a lost word is
@@ -42,34 +42,34 @@
   RegionSet regions; /* that the request is bound to; kept by the sender */
 } TallyRun;
 
-typedef struct TallyAsk {
+typedef struct TallyQuery {
   uint64_t number; /* of the question */
   uint64_t target;
   uint64_t counter; /* as in TallyRun */
   TallyParts parts;
   RegionSet regions; /* as in TallyRun */
-} TallyAsk;
+} TallyQuery;
 
-typedef struct TallyWord {
+typedef struct TallyReport {
   uint64_t number;
   uint64_t target;
-  int open;       /* requests there */
-  int starts;     /* that were sent there in the last second, at most; read by
-                     older builds only */
-  int64_t tokens; /* of prompts, still to be read */
-  int known;      /* of the parts asked for, from the first on: sent there */
-  int ripe;       /* the same, of those that must have been read by now */
-} TallyWord;
+  int open;        /* requests there */
+  int starts;      /* that were sent there in the last second, at most; read by
+                      older builds only */
+  int64_t tokens;  /* of prompts, still to be read */
+  int known_parts; /* of the parts asked for, from the first on: sent there */
+  int finished_parts; /* the same, of those that must have been read by now */
+} TallyReport;
 
 /* Asks for one request to a bounded target. */
-typedef struct TallyPermitAsk {
+typedef struct TallyPermitRequest {
   uint64_t number; /* of the question */
   uint64_t target;
   uint64_t counter;   /* as in TallyRun, but told */
   uint64_t run;       /* the number that the request will have there */
   QuotaBounds bounds; /* as the sender knows them */
   double reach;       /* quota_reach of the sender */
-} TallyPermitAsk;
+} TallyPermitRequest;
 
 typedef enum {
   TALLY_FULL,    /* the target had its fill */
@@ -96,26 +96,26 @@
 typedef struct Tally Tally;
 
 /* What may be told of these parts to who counts, who stands in region `at`. */
-TallyParts tally_parts_to(const TallyParts *parts, RegionSet allowed,
-                          RegionSet at);
+TallyParts tally_allowed_parts(const TallyParts *parts, RegionSet allowed,
+                               RegionSet at);
 
 Tally *tally_new(void);
 void tally_free(Tally *t);
 /* `from`: text_hash of the sender's id. */
-void tally_take(Tally *t, double now, uint64_t from, const TallyRun *r);
+void tally_apply_run(Tally *t, double now, uint64_t from, const TallyRun *r);
 /* From now on there are `n` members: who counted a target before may have given
    permits that are not known here. `ours`: whether we count for that name; what
    others count is forgotten. Before the first call no permit is given. */
-void tally_members(Tally *t, double now, int n,
-                   bool (*ours)(void *ctx, uint64_t name), void *ctx);
-TallyPermit tally_permit(Tally *t, double now, uint64_t from,
-                         const TallyPermitAsk *a);
+void tally_set_members(Tally *t, double now, int n,
+                       bool (*ours)(void *ctx, uint64_t name), void *ctx);
+TallyPermit tally_decide_permit(Tally *t, double now, uint64_t from,
+                                const TallyPermitRequest *a);
 /* A target's limit, as somebody was told it. */
-void tally_limit(Tally *t, double now, const TallyLimit *m);
+void tally_set_limit(Tally *t, double now, const TallyLimit *m);
 /* The next limit that the others are to hear of: one that changed, or one in
    force that they were told of so long (s) ago; false: none. */
-bool tally_limit_news(Tally *t, double now, double again_s, TallyLimit *m);
-TallyWord tally_word(Tally *t, double now, const TallyAsk *a);
+bool tally_next_limit(Tally *t, double now, double again_s, TallyLimit *m);
+TallyReport tally_report(Tally *t, double now, const TallyQuery *a);
 /* Forgets what has run out; about once a second. */
 void tally_sweep(Tally *t, double now);
 
--- a/packages/route/trials.c
+++ b/packages/route/trials.c
@@ -6,17 +6,17 @@
 /* Tries that may tell nothing, as the caller left or the target refused it:
    each of them comes to a target, and three more may after the third that
    ended. */
-#define TRIES_MOST 2
+#define MAX_INCONCLUSIVE_TRIES 2
 /* Seconds after which whoever tries it has been lost, or can't reach the store,
    and another one may: the longest request of the users' sheets has 15. */
-#define OPEN_MOST_S 30.0
+#define MAX_OPEN_S 30.0
 /* Objects in the store: a page of a listing has some five hundred. */
-#define OBJECTS_MOST 400
+#define MAX_OBJECTS 400
 
-typedef struct Kept {
+typedef struct TrialEntry {
   Trial trial;
   double since; /* it is open from then on, as known here */
-} Kept;
+} TrialEntry;
 
 struct Trials {
   GHashTable *all; /* Digest -> Kept */
@@ -33,15 +33,15 @@
   g_free(t);
 }
 
-static Kept *find(const Trials *t, Digest d) {
+static TrialEntry *find(const Trials *t, Digest d) {
   return g_hash_table_lookup(t->all, &d);
 }
 
 void trials_set(Trials *t, double now, const Trial *x) {
-  Kept *k = find(t, x->digest);
+  TrialEntry *k = find(t, x->digest);
   if (k && x->revision < k->trial.revision) return;
   if (!k) {
-    k = g_new0(Kept, 1);
+    k = g_new0(TrialEntry, 1);
     k->trial.digest = x->digest;
     g_hash_table_insert(t->all, &k->trial.digest, k);
   }
@@ -49,7 +49,7 @@
   k->trial = *x;
 }
 
-void trials_gone(Trials *t, Digest digest) {
+void trials_remove(Trials *t, Digest digest) {
   g_hash_table_remove(t->all, &digest);
 }
 
@@ -60,11 +60,11 @@
   return !g_hash_table_contains(names, text);
 }
 
-void trials_only(Trials *t, GHashTable *names) {
+void trials_retain_only(Trials *t, GHashTable *names) {
   g_hash_table_foreach_remove(t->all, is_missing, names);
 }
 
-bool trials_any(const Trials *t) {
+bool trials_has_any(const Trials *t) {
   return g_hash_table_size(t->all) > 0;
 }
 
@@ -72,16 +72,17 @@
 
 TrialsVerdict trials_verdict(const Trials *t, double now, Digest digest,
                              bool suspect) {
-  const Kept *k = find(t, digest);
+  const TrialEntry *k = find(t, digest);
   if (!k) return suspect ? TRIALS_TRY : TRIALS_FREE;
-  if (k->trial.open && now - k->since < OPEN_MOST_S) return TRIALS_BUSY;
-  if (k->trial.ended || k->trial.tries >= TRIES_MOST) return TRIALS_HELD;
+  if (k->trial.open && now - k->since < MAX_OPEN_S) return TRIALS_BUSY;
+  if (k->trial.ended || k->trial.tries >= MAX_INCONCLUSIVE_TRIES)
+    return TRIALS_HELD;
   return TRIALS_TRY;
 }
 
 Trial trials_begin(const Trials *t, Digest digest, uint64_t owner,
                    int64_t unix_ms) {
-  const Kept *k = find(t, digest);
+  const TrialEntry *k = find(t, digest);
   Trial x = {.digest = digest, .owner = owner, .began = unix_ms};
   if (k) x = k->trial;
   x.open = true;
@@ -97,15 +98,15 @@
   return closed;
 }
 
-static FairEntry look(gconstpointer value) {
-  const Trial *x = &((const Kept *)value)->trial;
+static FairEntry fair_entry_of(gconstpointer value) {
+  const Trial *x = &((const TrialEntry *)value)->trial;
   return (FairEntry){
-      .owner = x->owner, .age = (double)x->began, .keep = x->open};
+      .owner = x->owner, .age = (double)x->began, .is_pinned = x->open};
 }
 
-bool trials_shed(const Trials *t, Trial *x) {
-  if (g_hash_table_size(t->all) < OBJECTS_MOST) return false;
-  const Kept *victim = fair_victim(t->all, look);
+bool trials_choose_evicted(const Trials *t, Trial *x) {
+  if (g_hash_table_size(t->all) < MAX_OBJECTS) return false;
+  const TrialEntry *victim = fair_choose_evicted(t->all, fair_entry_of);
   if (victim) *x = victim->trial;
   return victim != NULL;
 }
--- a/packages/route/trials.h
+++ b/packages/route/trials.h
@@ -34,9 +34,9 @@
 
 /* How one try went. */
 typedef enum {
-  TRIALS_UNSENT,  /* it came to no target */
-  TRIALS_NOTHING, /* it did, and that told nothing */
-  TRIALS_ENDED    /* its target ended */
+  TRIALS_UNSENT,       /* it came to no target */
+  TRIALS_INCONCLUSIVE, /* it did, and that told nothing */
+  TRIALS_ENDED         /* its target ended */
 } TrialsOutcome;
 
 typedef struct Trials Trials;
@@ -47,10 +47,10 @@
 /* The object of `digest` as the store has it. */
 void trials_set(Trials *t, double now, const Trial *x);
 /* It was taken away. */
-void trials_gone(Trials *t, Digest digest);
+void trials_remove(Trials *t, Digest digest);
 /* All objects that there are: a set of names. */
-void trials_only(Trials *t, GHashTable *names);
-bool trials_any(const Trials *t);
+void trials_retain_only(Trials *t, GHashTable *names);
+bool trials_has_any(const Trials *t);
 
 TrialsVerdict trials_verdict(const Trials *t, double now, Digest digest,
                              bool suspect);
@@ -60,7 +60,7 @@
 /* The same after a try that did not end well. */
 Trial trials_close(const Trial *x, TrialsOutcome outcome);
 /* The one to be taken away to make room for another; false: there is room. */
-bool trials_shed(const Trials *t, Trial *x);
+bool trials_choose_evicted(const Trials *t, Trial *x);
 
 /* As it stands in the store. */
 json_t *trials_write(const Trial *x);
--- a/tests/codec_again.h
+++ b/tests/codec_again.h
@@ -18,7 +18,7 @@
   case CODEC_NEWS: codec_put_news(b, &m->news); break;
   case CODEC_GOSSIP: codec_put_gossip(b, &m->gossip); break;
   case CODEC_TALLY_ASK: codec_put_tally_ask(b, &m->tally_ask); break;
-  case CODEC_TALLY_WORD: codec_put_tally_word(b, &m->tally_word); break;
+  case CODEC_TALLY_WORD: codec_put_tally_word(b, &m->tally_report); break;
   case CODEC_TALLY_RUN: codec_put_tally_run(b, &m->tally_run); break;
   case CODEC_SUSPECT: codec_put_suspect(b, &m->suspect); break;
   case CODEC_PERMIT_ASK: codec_put_permit_ask(b, &m->permit_ask); break;
--- a/tests/permits.h
+++ b/tests/permits.h
@@ -26,16 +26,16 @@
 static inline bool permits_given(Targets *s, Tally *tally, uint64_t who,
                                  double now, const TargetChoice *c,
                                  uint64_t run) {
-  TallyPermitAsk a = target_permit_ask(c, now);
+  TallyPermitRequest a = target_permit_request(c, now);
   if (!tally) {
-    bool deals = target_deals(c, now);
-    if (!deals) target_full(c, now, PERMITS_SILENT_S);
+    bool deals = target_may_use_own_share(c, now);
+    if (!deals) target_note_full(c, now, PERMITS_SILENT_S);
     return deals;
   }
   a.run = run;
-  TallyPermit p = tally_permit(tally, now, who, &a);
-  targets_limit_told(s, p.target, p.limit);
-  if (p.verdict != TALLY_GIVEN) target_full(c, now, p.wait_s);
+  TallyPermit p = tally_decide_permit(tally, now, who, &a);
+  targets_apply_limit(s, p.target, p.limit);
+  if (p.verdict != TALLY_GIVEN) target_note_full(c, now, p.wait_s);
   return p.verdict == TALLY_GIVEN;
 }
 
@@ -43,11 +43,11 @@
    the last one is its own. */
 static inline TargetChoice permits_choose(Targets *s, Tally *tally,
                                           uint64_t who, double now,
-                                          TargetAsk *ask, uint64_t *runs) {
+                                          TargetRequest *ask, uint64_t *runs) {
   TargetChoice c;
   int tries = 0;
   do {
-    ask->no_permit = tries++ == PERMITS_TRIES;
+    ask->permits_exhausted = tries++ == PERMITS_TRIES;
     c = targets_pick(s, now, ask);
   } while (c.bounded && !permits_given(s, tally, who, now, &c, ++*runs));
   return c;
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -115,7 +115,7 @@
                              .digest = {.hi = UINT64_MAX, .lo = 7},
                              .owner = 1ULL << 63,
                              .target = 9,
-                             .age_s = 2.25}};
+                             .first_mark_age_s = 2.25}};
   msgpack_sbuffer_init(&b);
   codec_put_suspect(&b, &in);
   cr_assert(same(&b, &m));
@@ -125,15 +125,16 @@
   cr_assert(digest_equal(m.suspect.msg.digest, in.msg.digest));
   cr_assert(m.suspect.msg.owner == in.msg.owner);
   cr_assert(m.suspect.msg.target == in.msg.target);
-  cr_assert_float_eq(m.suspect.msg.age_s, in.msg.age_s, 0.001);
+  cr_assert_float_eq(m.suspect.msg.first_mark_age_s, in.msg.first_mark_age_s,
+                     0.001);
   msgpack_sbuffer_destroy(&b);
 }
 
 Test(codec, what_was_seen_of_a_pool_round_trips) {
-  TargetsPoolWord w = {
+  TargetsPoolReport w = {
       .pool = 7,
-      .word = {
-          .long_read = 1e9, .short_read = 5, .streams = 12.25, .held = 0.5}};
+      .report = {
+          .long_read = 1e9, .short_read = 5, .streams = 12.25, .stalled = 0.5}};
   msgpack_sbuffer b;
   CodecMsg m;
   msgpack_sbuffer_init(&b);
@@ -141,10 +142,10 @@
   cr_assert(same(&b, &m));
   cr_assert_eq(m.type, CODEC_POOL);
   cr_assert_eq(m.pool.pool, 7);
-  cr_assert(m.pool.word.long_read == 1e9 && m.pool.word.short_read == 5);
-  cr_assert(m.pool.word.streams == 12.25 && m.pool.word.held == 0.5);
+  cr_assert(m.pool.report.long_read == 1e9 && m.pool.report.short_read == 5);
+  cr_assert(m.pool.report.streams == 12.25 && m.pool.report.stalled == 0.5);
   msgpack_sbuffer_clear(&b);
-  w.word.held = -1;
+  w.report.stalled = -1;
   codec_put_pool(&b, &w);
   cr_assert_not(same(&b, &m), "a count is never below 0");
   msgpack_sbuffer_destroy(&b);
@@ -152,22 +153,23 @@
 
 Test(codec, a_count_of_work_round_trips) {
   msgpack_sbuffer b;
-  TallyWord w = {.number = 1,
-                 .target = UINT64_MAX,
-                 .open = 5,
-                 .starts = 9,
-                 .tokens = 70000,
-                 .known = 2,
-                 .ripe = 1};
+  TallyReport w = {.number = 1,
+                   .target = UINT64_MAX,
+                   .open = 5,
+                   .starts = 9,
+                   .tokens = 70000,
+                   .known_parts = 2,
+                   .finished_parts = 1};
   CodecMsg m;
   size_t off = 0;
   msgpack_sbuffer_init(&b);
   codec_put_tally_word(&b, &w);
   cr_assert(codec_get(b.data, b.size, &off, &m));
   cr_assert_eq(m.type, CODEC_TALLY_WORD);
-  cr_assert(m.tally_word.target == w.target && m.tally_word.open == 5);
-  cr_assert(m.tally_word.starts == 9 && m.tally_word.tokens == 70000);
-  cr_assert(m.tally_word.known == 2 && m.tally_word.ripe == 1);
+  cr_assert(m.tally_report.target == w.target && m.tally_report.open == 5);
+  cr_assert(m.tally_report.starts == 9 && m.tally_report.tokens == 70000);
+  cr_assert(m.tally_report.known_parts == 2 &&
+            m.tally_report.finished_parts == 1);
   msgpack_sbuffer_destroy(&b);
 }
 
@@ -275,7 +277,7 @@
 /* What is handed on from instance to instance is read and written at each. */
 Test(codec, figures_in_thousandths_do_not_shrink_on_their_way) {
   for (int64_t ms = 0; ms < 5000; ms++) {
-    CodecSuspect s = {.msg = {.age_s = (double)ms / 1000}};
+    CodecSuspect s = {.msg = {.first_mark_age_s = (double)ms / 1000}};
     for (int hop = 0; hop < 3; hop++) {
       msgpack_sbuffer b;
       CodecMsg m;
@@ -285,19 +287,19 @@
       s = m.suspect;
       msgpack_sbuffer_destroy(&b);
     }
-    cr_assert_eq(s.msg.age_s, (double)ms / 1000, "%d ms", (int)ms);
+    cr_assert_eq(s.msg.first_mark_age_s, (double)ms / 1000, "%d ms", (int)ms);
   }
 }
 
 Test(codec, words_on_bounded_targets_round_trip) {
   static const double limits[] = {0, 0.29, 1.7, 100, QUOTA_UNLIMITED};
   for (size_t i = 0; i < G_N_ELEMENTS(limits); i++) {
-    TallyPermitAsk ask = {.number = 1,
-                          .target = UINT64_MAX,
-                          .counter = 3,
-                          .run = 4,
-                          .bounds = {14.9, limits[i], true},
-                          .reach = 0.5};
+    TallyPermitRequest ask = {.number = 1,
+                              .target = UINT64_MAX,
+                              .counter = 3,
+                              .run = 4,
+                              .bounds = {14.9, limits[i], true},
+                              .reach = 0.5};
     TallyPermit permit = {.number = 5,
                           .target = 6,
                           .verdict = TALLY_GIVEN,
@@ -316,9 +318,9 @@
     cr_assert(codec_get(b.data, b.size, &off, &m));
     cr_assert(m.permit_ask.number == 1 && m.permit_ask.target == UINT64_MAX);
     cr_assert(m.permit_ask.counter == 3 && m.permit_ask.run == 4);
-    cr_assert_float_eq(m.permit_ask.bounds.cold, 14.9, 1e-9);
+    cr_assert_float_eq(m.permit_ask.bounds.cold_per_s, 14.9, 1e-9);
     cr_assert(m.permit_ask.bounds.limit == limits[i]);
-    cr_assert(m.permit_ask.bounds.beyond_limit && m.permit_ask.reach == 0.5);
+    cr_assert(m.permit_ask.bounds.over_limit && m.permit_ask.reach == 0.5);
     cr_assert(codec_get(b.data, b.size, &off, &m));
     cr_assert_eq(m.permit.verdict, TALLY_GIVEN);
     cr_assert(m.permit.number == 5 && m.permit.wait_s == 0.25);
--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -31,11 +31,11 @@
   cr_assert(read_entry(GOOD, &t));
   cr_assert(strcmp(t.id, "i-1") == 0 && strcmp(t.service, "desk") == 0);
   cr_assert(strcmp(t.addr, "10.0.0.1:80") == 0 && strcmp(t.dc, "a") == 0);
-  cr_assert(t.slots == 4 && t.revision == 7 && t.born == 0 && !t.leaving);
+  cr_assert(t.slots == 4 && t.revision == 7 && t.start_ms == 0 && !t.leaving);
   cr_assert(read_entry(GOOD ",\"born\":1796253698643,\"seq\":3,"
                             "\"cold_left_ms\":1500,\"phase\":\"both\"",
                        &t));
-  cr_assert(t.born == 1796253698643 && t.cold_s == 1.5);
+  cr_assert(t.start_ms == 1796253698643 && t.cold_s == 1.5);
 }
 
 Test(document, one_that_drains_leaves) {
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -75,7 +75,8 @@
 }
 
 static void put_load(msgpack_sbuffer *b) {
-  LoadsMsg m = {.target = 5, .running = 70000, .waiting = 1, .silent = true};
+  LoadsMsg m = {
+      .target = 5, .running = 70000, .waiting = 1, .unresponsive = true};
   codec_put_load(b, &m);
 }
 
@@ -102,9 +103,10 @@
 }
 
 static void put_pool(msgpack_sbuffer *b) {
-  TargetsPoolWord m = {
+  TargetsPoolReport m = {
       .pool = 1,
-      .word = {.long_read = 2, .short_read = 3, .streams = 4.5, .held = 0.25}};
+      .report = {
+          .long_read = 2, .short_read = 3, .streams = 4.5, .stalled = 0.25}};
   codec_put_pool(b, &m);
 }
 
@@ -114,18 +116,18 @@
 }
 
 static void put_tally_ask(msgpack_sbuffer *b) {
-  TallyAsk m = {.number = 1, .target = 2, .parts = {2, {3, 4}}};
+  TallyQuery m = {.number = 1, .target = 2, .parts = {2, {3, 4}}};
   codec_put_tally_ask(b, &m);
 }
 
 static void put_tally_word(msgpack_sbuffer *b) {
-  TallyWord m = {.number = 1,
-                 .target = 2,
-                 .open = 3,
-                 .starts = 4,
-                 .tokens = 5,
-                 .known = 2,
-                 .ripe = 1};
+  TallyReport m = {.number = 1,
+                   .target = 2,
+                   .open = 3,
+                   .starts = 4,
+                   .tokens = 5,
+                   .known_parts = 2,
+                   .finished_parts = 1};
   codec_put_tally_word(b, &m);
 }
 
@@ -141,17 +143,17 @@
                             .digest = {1, 2},
                             .owner = 3,
                             .target = 4,
-                            .age_s = 1.5}};
+                            .first_mark_age_s = 1.5}};
   codec_put_suspect(b, &m);
 }
 
 static void put_permit_ask(msgpack_sbuffer *b) {
-  TallyPermitAsk m = {
+  TallyPermitRequest m = {
       .number = 1,
       .target = 2,
       .counter = 3,
       .run = 4,
-      .bounds = {.cold = 14.5, .limit = 1.7, .beyond_limit = true},
+      .bounds = {.cold_per_s = 14.5, .limit = 1.7, .over_limit = true},
       .reach = 0.5};
   codec_put_permit_ask(b, &m);
 }
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -16,7 +16,8 @@
 #define NOW 100.0
 
 static TargetInfo info(int i) {
-  TargetInfo t = {.slots = 64, .revision = (uint64_t)(1000 + i), .born = 7 + i};
+  TargetInfo t = {
+      .slots = 64, .revision = (uint64_t)(1000 + i), .start_ms = 7 + i};
   snprintf(t.id, sizeof t.id, "i-%08x", (unsigned)i * 2654435761U);
   snprintf(t.addr, sizeof t.addr, "10.0.%d.%d:80", i / 256, i % 256);
   g_strlcpy(t.service, i % 30 ? "models" : "desk", sizeof t.service);
@@ -39,7 +40,7 @@
 
 /* Copies all parts; their number and bytes. */
 static int copy(Targets *from, Targets *to, size_t *bytes) {
-  RosterAt at = {0};
+  RosterCursor at = {0};
   bool more = true;
   int parts = 0;
   for (*bytes = 0; more; parts++) {
@@ -60,11 +61,11 @@
     Targets *s = some(n), *t = targets_new("b", 2);
     size_t bytes;
     int parts = copy(s, t, &bytes);
-    cr_assert_leq(parts, n / ROSTER_ROWS + 3, "%d", n);
+    cr_assert_leq(parts, n / ROSTER_MAX_ROWS + 3, "%d", n);
     cr_assert_eq(targets_count(t, "models") + targets_count(t, "desk"), n);
     for (int i = 0; i < n; i += 97) {
       TargetInfo x = info(i);
-      cr_assert_eq(targets_life(t, x.id), targets_life(s, x.id));
+      cr_assert_eq(targets_hash_by_id(t, x.id), targets_hash_by_id(s, x.id));
     }
     cr_assert_leq(bytes / (size_t)MAX(n, 1), n > 500 ? 60 : 400, "%d", n);
     targets_free(s);
@@ -79,11 +80,11 @@
   leaves.leaving = true;
   leaves.revision = 5000;
   targets_set(s, NOW, &leaves);
-  targets_gone(s, NOW, info(2).id, false);
+  targets_remove(s, NOW, info(2).id, false);
   copy(s, t, &bytes);
-  cr_assert_neq(targets_life(t, info(0).id), 0);
-  cr_assert_neq(targets_life(t, leaves.id), 0);
-  cr_assert_eq(targets_life(t, info(2).id), 0);
+  cr_assert_neq(targets_hash_by_id(t, info(0).id), 0);
+  cr_assert_neq(targets_hash_by_id(t, leaves.id), 0);
+  cr_assert_eq(targets_hash_by_id(t, info(2).id), 0);
   cr_assert_eq(targets_count(t, "models") + targets_count(t, "desk"), 1);
   targets_free(s);
   targets_free(t);
@@ -158,7 +159,7 @@
   int made;
 } Giver;
 
-static char *make(void *ctx, RosterAt *at, bool *more) {
+static char *make(void *ctx, RosterCursor *at, bool *more) {
   Giver *g = ctx;
   g->made++;
   return roster_part(g->targets, NOW, at, more);
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -40,8 +40,8 @@
 
 static Targets *decider(double now, int rank, int of) {
   Targets *s = targets_new("a", g_rand_int(sim.dice));
-  targets_parts_are_told(s, of < FLEET_SMALL);
-  targets_place(s, now, rank, of);
+  targets_set_parts_exchanged(s, of < FLEET_SMALL);
+  targets_set_rank(s, now, rank, of);
   for (int i = 0; i < TARGETS; i++) {
     TargetInfo t = {.dc = "a", .slots = 64, .revision = 1};
     snprintf(t.id, sizeof t.id, "t%02d", i);
@@ -60,7 +60,7 @@
   sim.sides = n;
   for (int k = 0; k < n; k++) {
     sim.tally[k] = tally_new();
-    tally_members(sim.tally[k], -100, n, permits_count_none, NULL);
+    tally_set_members(sim.tally[k], -100, n, permits_count_none, NULL);
   }
   for (int i = 0; i < n; i++) sim.set[i] = decider(-100, i, n);
   for (int i = 0; i < TARGETS; i++) {
@@ -87,38 +87,39 @@
 /* The answer names the target's limit; who counts there is told. */
 static void answered(int who, double now, Target *t, int number) {
   TallyLimit m = {.target = target_hash(t), .limit = sim.limit[number]};
-  TargetNews news = target_limit(t, now, sim.limit[number]);
-  if (news != TARGET_KNOWN && !sim.silent[who])
-    tally_limit(sim.tally[sim.side[who]], now, &m);
+  TargetLimitChange news = target_set_limit(t, now, sim.limit[number]);
+  if (news != TARGET_LIMIT_KNOWN && !sim.silent[who])
+    tally_set_limit(sim.tally[sim.side[who]], now, &m);
 }
 
 /* All on a side hear of changes, as who counts there tells them. */
 static void spread(double now) {
   TallyLimit m;
   for (int k = 0; k < sim.sides; k++)
-    while (tally_limit_news(sim.tally[k], now, 2, &m))
+    while (tally_next_limit(sim.tally[k], now, 2, &m))
       for (int i = 0; i < sim.n; i++)
         if (sim.side[i] == k && !sim.silent[i])
-          targets_limit_told(sim.set[i], m.target, m.limit);
+          targets_apply_limit(sim.set[i], m.target, m.limit);
 }
 
 static void request(int who, double now) {
   Ask prompt = {.tokens_in = 3000, .tokens_out = 100};
-  TargetAsk ask = {.service = "engines", .ask = &prompt};
+  TargetRequest ask = {.service = "engines", .ask = &prompt};
   Tally *tally = sim.silent[who] ? NULL : sim.tally[sim.side[who]];
   TargetChoice c =
       permits_choose(sim.set[who], tally, (uint64_t)who, now, &ask, &sim.runs);
   if (!c.target) {
     cr_assert_eq(c.none, TARGET_NONE_FULL);
-    cr_assert(c.back_s > 0 && c.back_s < 4.001, "%g", c.back_s);
+    cr_assert(c.retry_after_s > 0 && c.retry_after_s < 4.001, "%g",
+              c.retry_after_s);
     sim.refused++;
     return;
   }
   uint64_t h = target_hash(c.target);
   int number = GPOINTER_TO_INT(g_hash_table_lookup(sim.numbers, &h)) - 1;
   double at = now + WAY_S * g_rand_double(sim.dice);
-  target_sent(c.target, now, &prompt, &c);
-  target_done(c.target, now, TARGET_OK, false, c.fresh, RUN_S);
+  target_note_sent(c.target, now, &prompt, &c);
+  target_note_done(c.target, now, TARGET_OK, false, c.uncached_tokens, RUN_S);
   g_array_append_val(sim.arrivals[number], at);
   answered(who, now, c.target, number);
   sim.served++;
@@ -247,19 +248,19 @@
   double per_s = MAX(40, MIN(10 * limit, 300) * TARGETS);
   int small = MAX(1, n / 10);
   load(0, 4, per_s);
-  tally_members(sim.tally[0], 4, n - small, permits_count_all, NULL);
-  tally_members(sim.tally[1], 4, small, permits_count_none, NULL);
+  tally_set_members(sim.tally[0], 4, n - small, permits_count_all, NULL);
+  tally_set_members(sim.tally[1], 4, small, permits_count_none, NULL);
   for (int i = 0; i < n; i++) {
     sim.side[i] = i < small;
     int of = sim.side[i] ? small : n - small;
-    targets_place(sim.set[i], 4, sim.side[i] ? i : i - small, of);
+    targets_set_rank(sim.set[i], 4, sim.side[i] ? i : i - small, of);
   }
   load(4, 16, per_s);
   for (int i = 0; i < n; i++) {
     sim.side[i] = after;
-    targets_place(sim.set[i], 16, i, n);
+    targets_set_rank(sim.set[i], 16, i, n);
   }
-  tally_members(sim.tally[after], 16, n, permits_count_all, NULL);
+  tally_set_members(sim.tally[after], 16, n, permits_count_all, NULL);
   load(16, 24, per_s);
   for (int i = 0; i < TARGETS; i++) check(limit, i, 3, 24);
   end();
@@ -281,9 +282,10 @@
       load(0, 4, per_s);
       for (int i = 0; i < sim.n; i++) {
         sim.side[i] = i;
-        targets_place(sim.set[i], 4, 0, 1);
-        tally_members(sim.tally[i], 4, 1,
-                      i == 0 ? permits_count_all : permits_count_none, NULL);
+        targets_set_rank(sim.set[i], 4, 0, 1);
+        tally_set_members(sim.tally[i], 4, 1,
+                          i == 0 ? permits_count_all : permits_count_none,
+                          NULL);
       }
       load(4, 16, per_s);
       for (int i = 0; i < TARGETS; i++) check(limits[l], i, 3, 16);
@@ -299,8 +301,8 @@
       for (int i = 0; i < TARGETS; i++) sim.limit[i] = limits[l];
       for (int round = 0; round < 5; round++) {
         load(round * 3, round * 3 + 3, 200);
-        tally_members(sim.tally[0], round * 3 + 3, sim.n, permits_count_none,
-                      NULL);
+        tally_set_members(sim.tally[0], round * 3 + 3, sim.n,
+                          permits_count_none, NULL);
       }
       for (int i = 0; i < TARGETS; i++) check(limits[l], i, 3, 15);
       end();
@@ -324,7 +326,7 @@
           m.target = text_hash(id);
           /* It is told as soon as it is known to who counts. */
           if (limits[l] < 100)
-            targets_limit_told(sim.set[i], m.target, m.limit);
+            targets_apply_limit(sim.set[i], m.target, m.limit);
         }
       }
       load(8, 16, 60);
@@ -337,21 +339,23 @@
 Test(limit, callers_come_back_at_the_pace_of_the_pool) {
   begin(1);
   Ask prompt = {.tokens_in = 3000, .tokens_out = 100};
-  TargetAsk ask = {
-      .service = "engines", .ask = &prompt, .engine = true, .no_permit = true};
+  TargetRequest ask = {.service = "engines",
+                       .ask = &prompt,
+                       .engine = true,
+                       .permits_exhausted = true};
   for (int i = 0; i < TARGETS; i++) {
     char id[LIMIT_NAME];
     snprintf(id, sizeof id, "t%02d", i);
-    targets_limit_told(sim.set[0], text_hash(id), 1);
+    targets_apply_limit(sim.set[0], text_hash(id), 1);
   }
-  double first = targets_pick(sim.set[0], 1, &ask).back_s, last = first;
+  double first = targets_pick(sim.set[0], 1, &ask).retry_after_s, last = first;
   for (int i = 1; i < TARGETS; i++) {
-    double back = targets_pick(sim.set[0], 1, &ask).back_s;
+    double back = targets_pick(sim.set[0], 1, &ask).retry_after_s;
     cr_assert_float_eq(back - last, 1.0 / TARGETS, 1e-6);
     last = back;
   }
   for (int i = 0; i < 1000; i++)
-    last = targets_pick(sim.set[0], 1, &ask).back_s;
+    last = targets_pick(sim.set[0], 1, &ask).retry_after_s;
   cr_assert_lt(last, 4.001);
   end();
 }
--- a/tests/test_loads.c
+++ b/tests/test_loads.c
@@ -32,8 +32,8 @@
   View *v = view_new(m, n);
   for (int i = 0; i < n; i++) {
     f->list[i] = loads_new(m[i].id);
-    loads_view(f->list[i], v);
-    loads_targets(f->list[i], t, targets);
+    loads_set_view(f->list[i], v);
+    loads_set_targets(f->list[i], t, targets);
   }
   view_free(v);
   g_free(t);
@@ -47,7 +47,7 @@
                  const LoadsMsg *m) {
   for (int i = from % regions; i < f->n; i += regions) {
     if (i == from || f->dead[i]) continue;
-    const LoadsTarget *t = loads_told(f->list[i], now, m);
+    const LoadsTarget *t = loads_apply_message(f->list[i], now, m);
     if (t && strcmp(t->name, "t0") == 0) f->heard[i] = now;
   }
 }
@@ -59,12 +59,13 @@
       LoadsTarget t;
       LoadsMsg m;
       if (f->dead[i]) continue;
-      while (loads_ask(f->list[i], now, &t)) {
+      while (loads_next_query(f->list[i], now, &t)) {
         f->asked[i]++;
         if (!f->cut[i] && strcmp(t.name, "t0") == 0) f->heard[i] = now;
-        loads_heard(f->list[i], now, t.name, !f->cut[i], 3, 1);
+        loads_apply_answer(f->list[i], now, t.name, !f->cut[i], 3, 1);
       }
-      while (loads_tell(f->list[i], now, &m)) tell(f, i, regions, now, &m);
+      while (loads_next_message(f->list[i], now, &m))
+        tell(f, i, regions, now, &m);
     }
 }
 
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -37,7 +37,7 @@
 }
 
 static TargetChoice choose(Targets *s, double now, const Ask *a) {
-  TargetAsk ask = {.service = "svc", .ask = a, .engine = true};
+  TargetRequest ask = {.service = "svc", .ask = a, .engine = true};
   return targets_pick(s, now, &ask);
 }
 
@@ -50,7 +50,7 @@
     Ask a = prompt(1);
     cr_assert_not_null(choose(s, 1, &a).target);
     double most = 2.0 * n * log2(n);
-    cr_assert_lt((double)targets_looks(s), most, "%d", n);
+    cr_assert_lt((double)targets_visits(s), most, "%d", n);
     targets_free(s);
   }
 }
@@ -60,12 +60,12 @@
     Targets *s = some(sizes[k], 1);
     Ask a = prompt(1);
     choose(s, 1, &a);
-    uint64_t before = targets_looks(s);
+    uint64_t before = targets_visits(s);
     for (int i = 0; i < 100; i++) {
       add(s, sizes[k] + i);
       choose(s, 1, &a);
     }
-    uint64_t each = (targets_looks(s) - before) / 100;
+    uint64_t each = (targets_visits(s) - before) / 100;
     cr_assert_lt(each, 800, "%d: %d looks", sizes[k], (int)each);
     targets_free(s);
   }
@@ -77,17 +77,17 @@
   double least = INFINITY, most = 0;
   for (size_t k = 0; k < SIZES; k++) {
     Targets *s = some(sizes[k], 1);
-    uint64_t asked[TARGETS_ASKED];
+    uint64_t asked[TARGETS_MAX_QUERIED];
     Ask a = prompt(1);
     choose(s, 1, &a);
-    uint64_t before = targets_looks(s);
+    uint64_t before = targets_visits(s);
     for (uint64_t i = 0; i < 100; i++) {
       a = prompt(i);
-      TargetAsk ask = {.service = "svc", .ask = &a, .engine = true};
-      cr_assert_geq(targets_to_ask(s, 1, &ask, asked), 1);
+      TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
+      cr_assert_geq(targets_to_query(s, 1, &ask, asked), 1);
       cr_assert_not_null(choose(s, 1, &a).target);
     }
-    double each = (double)(targets_looks(s) - before) / 100;
+    double each = (double)(targets_visits(s) - before) / 100;
     least = MIN(least, each);
     most = MAX(most, each);
     targets_free(s);
@@ -102,10 +102,10 @@
   for (int i = all - 1; i >= 0; i--) add(other, i);
   for (uint64_t k = 0; k < 200; k++) {
     Ask a = prompt(k);
-    TargetAsk ask = {.service = "svc", .ask = &a, .engine = true};
-    uint64_t here[TARGETS_ASKED], there[TARGETS_ASKED];
-    int n = targets_to_ask(s, 1, &ask, here);
-    cr_assert_eq(targets_to_ask(other, 1, &ask, there), n);
+    TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
+    uint64_t here[TARGETS_MAX_QUERIED], there[TARGETS_MAX_QUERIED];
+    int n = targets_to_query(s, 1, &ask, here);
+    cr_assert_eq(targets_to_query(other, 1, &ask, there), n);
     cr_assert_eq(here[0], there[0], "%d", (int)k);
     cr_assert(n < 2 || (here[1] == there[1] && here[0] != here[1]));
   }
@@ -123,10 +123,10 @@
     int whole = 0;
     for (uint64_t i = 0; i < 300; i++) {
       Ask a = prompt(i);
-      TargetAsk ask = {.service = "svc", .ask = &a, .engine = true};
-      uint64_t asked[TARGETS_ASKED];
-      int n = targets_to_ask(s, 1, &ask, asked);
-      whole += n == TARGETS_ASKED;
+      TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
+      uint64_t asked[TARGETS_MAX_QUERIED];
+      int n = targets_to_query(s, 1, &ask, asked);
+      whole += n == TARGETS_MAX_QUERIED;
       for (int x = 1; x < n; x++)
         cr_assert_eq(targets_counter(s, asked[x]),
                      targets_counter(s, asked[0]));
@@ -135,7 +135,7 @@
     for (int i = 0; i < sizes[k]; i++) {
       char id[LIMIT_NAME];
       snprintf(id, sizeof id, "i-%08x", (unsigned)i * 2654435761U);
-      uint64_t name = targets_counter(s, targets_life(s, id));
+      uint64_t name = targets_counter(s, targets_hash_by_id(s, id));
       g_hash_table_add(counters, g_memdup2(&name, sizeof name));
     }
     double each = (double)sizes[k] / g_hash_table_size(counters);
@@ -147,7 +147,7 @@
 
 Test(pool, a_small_pool_has_a_counter_for_each) {
   Targets *s = some(160, 1);
-  uint64_t life = targets_life(s, "i-00000000");
+  uint64_t life = targets_hash_by_id(s, "i-00000000");
   cr_assert_eq(targets_counter(s, life), life);
   cr_assert_eq(targets_counter(s, 12345), 0, "it is not known");
   targets_free(s);
@@ -157,9 +157,9 @@
 static void homes_of(Targets *s, uint64_t *homes, int prompts) {
   for (int k = 0; k < prompts; k++) {
     Ask a = prompt((uint64_t)k);
-    uint64_t asked[TARGETS_ASKED];
-    TargetAsk ask = {.service = "svc", .ask = &a, .engine = true};
-    targets_to_ask(s, 1, &ask, asked);
+    uint64_t asked[TARGETS_MAX_QUERIED];
+    TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
+    targets_to_query(s, 1, &ask, asked);
     homes[k] = asked[0];
   }
 }
@@ -182,7 +182,7 @@
   for (int i = 0; i < 6; i++) {
     char id[LIMIT_NAME];
     snprintf(id, sizeof id, "i-%08x", (unsigned)i * 2654435761U);
-    targets_gone(s, 1, id, false);
+    targets_remove(s, 1, id, false);
   }
   homes_of(s, after, PROMPTS);
   for (int k = 0; k < PROMPTS; k++) moved += before[k] != after[k];
@@ -200,7 +200,7 @@
   for (int i = 0; i < n - 2; i++) {
     char id[LIMIT_NAME];
     snprintf(id, sizeof id, "i-%08x", (unsigned)i * 2654435761U);
-    targets_gone(s, 0, id, false);
+    targets_remove(s, 0, id, false);
   }
   for (uint64_t k = 0; k < 20; k++) {
     Ask a = prompt(k);
@@ -214,11 +214,11 @@
 Test(pool, drawn_targets_share_the_work) {
   Targets *s = some(2000, 3);
   Ask a = {0};
-  TargetAsk ask = {.service = "svc", .ask = &a};
+  TargetRequest ask = {.service = "svc", .ask = &a};
   int most = 0;
   for (int i = 0; i < 4000; i++) {
     TargetChoice c = targets_pick(s, 1, &ask);
-    target_sent(c.target, 1, &a, &c);
+    target_note_sent(c.target, 1, &a, &c);
     most = MAX(most, target_open(c.target));
   }
   cr_assert_leq(most, 5, "two each in the mean, %d at the busiest", most);
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -61,9 +61,9 @@
 /* A decider that knows the `left` warm targets, and all cold ones. */
 static Targets *decider(double now, int rank, int of, int left) {
   Targets *s = targets_new("a", g_rand_int(dice));
-  targets_parts_are_told(s, of < FLEET_SMALL);
-  targets_cold_bound(s, OVERRUN, EXTRA);
-  targets_place(s, now, rank, of);
+  targets_set_parts_exchanged(s, of < FLEET_SMALL);
+  targets_set_cold_bound(s, OVERRUN, EXTRA);
+  targets_set_rank(s, now, rank, of);
   for (int i = 0; i < TARGETS; i++) {
     TargetInfo t;
     if (i >= left && i < COLD_FROM) continue;
@@ -82,7 +82,7 @@
   numbers = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
   for (int k = 0; k < 2; k++) {
     tallies[k] = tally_new();
-    tally_members(tallies[k], -100, n, permits_count_none, NULL);
+    tally_set_members(tallies[k], -100, n, permits_count_none, NULL);
   }
   for (int i = 0; i < n; i++) {
     deciders[i] = decider(0, i, n, left);
@@ -117,43 +117,43 @@
 static void deliver(GQueue *q, double now) {
   Tell *t;
   while ((t = g_queue_peek_head(q)) && t->at <= now) {
-    tally_take(tallies[t->side], now, t->from, &t->run);
+    tally_apply_run(tallies[t->side], now, t->from, &t->run);
     g_free(g_queue_pop_head(q));
   }
 }
 
-static int ask_counts(int who, double now, const TargetAsk *ask,
-                      TallyWord *words) {
-  uint64_t asked[TARGETS_ASKED];
+static int ask_counts(int who, double now, const TargetRequest *ask,
+                      TallyReport *words) {
+  uint64_t asked[TARGETS_MAX_QUERIED];
   if (!counted[who] || n_deciders < FLEET_SMALL) return 0;
-  int n = targets_to_ask(deciders[who], now, ask, asked);
+  int n = targets_to_query(deciders[who], now, ask, asked);
   for (int i = 0; i < n; i++) {
-    TallyAsk a = {.number = 1, .target = asked[i]};
-    words[i] = tally_word(tallies[side[who]], now, &a);
+    TallyQuery a = {.number = 1, .target = asked[i]};
+    words[i] = tally_report(tallies[side[who]], now, &a);
   }
   return n;
 }
 
 static void request(int who, double now) {
   Ask a = {.tokens_in = 3000, .tokens_out = 100};
-  TallyWord words[TARGETS_ASKED];
-  TargetAsk ask = {
-      .service = "engines", .ask = &a, .engine = true, .cold_rate = RATE};
-  ask.n_words = ask_counts(who, now, &ask, words);
-  ask.words = words;
+  TallyReport words[TARGETS_MAX_QUERIED];
+  TargetRequest ask = {
+      .service = "engines", .ask = &a, .engine = true, .cold_rate_per_s = RATE};
+  ask.n_reports = ask_counts(who, now, &ask, words);
+  ask.reports = words;
   Tally *tally = counted[who] ? tallies[side[who]] : NULL;
   TargetChoice c =
       permits_choose(deciders[who], tally, (uint64_t)who, now, &ask, &runs);
   if (!c.target) {
     cr_assert_eq(c.none, TARGET_NONE_FULL);
-    cr_assert(c.back_s > 0 && c.back_s < 10);
+    cr_assert(c.retry_after_s > 0 && c.retry_after_s < 10);
     refused++;
     return;
   }
   uint64_t h = target_hash(c.target);
   if (!c.bounded) runs++;
   TallyRun run = {.target = h, .run = runs, .open = true, .tokens = 3000};
-  target_sent(c.target, now, &a, &c);
+  target_note_sent(c.target, now, &a, &c);
   later(&tells, now + TELL_S, who, run);
   run.open = false;
   later(&ends, now + RUN_S, who, run);
@@ -241,11 +241,11 @@
     begin(sizes[k], 0);
     load(0, 1);
     int small = n_deciders / 3;
-    tally_members(tallies[1], 1, small, permits_count_none, NULL);
+    tally_set_members(tallies[1], 1, small, permits_count_none, NULL);
     for (int i = 0; i < n_deciders; i++) {
       side[i] = i < small;
       int of = side[i] ? small : n_deciders - small;
-      targets_place(deciders[i], 1, side[i] ? i : i - small, of);
+      targets_set_rank(deciders[i], 1, side[i] ? i : i - small, of);
     }
     load(1, 5);
     cr_assert_leq(busiest(), BOUND, "%d deciders: %d", sizes[k], busiest());
@@ -273,17 +273,17 @@
   begin(7, 1);
   Targets *s = deciders[0];
   Ask a = {0};
-  TargetAsk ask = {
-      .service = "engines", .ask = &a, .engine = true, .cold_rate = 1e-9};
-  ask.no_permit = true;
+  TargetRequest ask = {
+      .service = "engines", .ask = &a, .engine = true, .cold_rate_per_s = 1e-9};
+  ask.permits_exhausted = true;
   Target *t = targets_pick(s, 1, &ask).target;
   cr_assert_str_eq(target_id(t), "t000", "the warm one");
   cr_assert_not(targets_pick(s, 1, &ask).bounded);
-  target_cold(t, 1, 3);
+  target_set_cold(t, 1, 3);
   cr_assert_null(targets_pick(s, 2, &ask).target);
   cr_assert_eq(targets_pick(s, 2, &ask).none, TARGET_NONE_FULL);
   cr_assert_eq(targets_pick(s, 4.1, &ask).target, t, "it is warm again");
-  ask.no_permit = false;
+  ask.permits_exhausted = false;
   cr_assert(targets_pick(s, 2, &ask).bounded, "with a permit a cold one may");
   end();
 }
@@ -291,11 +291,11 @@
 Test(cold, who_does_not_know_its_place_sends_nothing) {
   QuotaShare s = {0};
   QuotaSends none = {0};
-  QuotaBounds b = {.cold = BOUND, .limit = QUOTA_UNLIMITED};
-  cr_assert(!quota_deals(&s, &none, 1, &b, 5));
-  cr_assert_eq(quota_reach(&s, 1), 0);
-  cr_assert_gt(quota_wait(&none, 1, &b, quota_reach(&s, 1)), 0);
-  quota_place(&s, 1, 0, 1);
-  cr_assert(!quota_deals(&s, &none, 2, &b, 5));
-  cr_assert(quota_deals(&s, &none, 3, &b, 5));
+  QuotaBounds b = {.cold_per_s = BOUND, .limit = QUOTA_UNLIMITED};
+  cr_assert(!quota_allows_fixed_share(&s, &none, 1, &b, 5));
+  cr_assert_eq(quota_reachable_share(&s, 1), 0);
+  cr_assert_gt(quota_wait_s(&none, 1, &b, quota_reachable_share(&s, 1)), 0);
+  quota_set_rank(&s, 1, 0, 1);
+  cr_assert(!quota_allows_fixed_share(&s, &none, 2, &b, 5));
+  cr_assert(quota_allows_fixed_share(&s, &none, 3, &b, 5));
 }
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -19,7 +19,7 @@
 
 static RegionSet listed(const Regions *r, const char *text) {
   char **names = g_strsplit(text, ",", -1);
-  RegionSet set = regions_listed(r, names, NULL);
+  RegionSet set = regions_from_list(r, names, NULL);
   g_strfreev(names);
   return set;
 }
@@ -44,8 +44,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     RegionSet a = rows[i].route ? listed(r, rows[i].route) : REGIONS_ANY;
     RegionSet b = rows[i].customer ? listed(r, rows[i].customer) : REGIONS_ANY;
-    RegionSet both = regions_both(a, b);
-    cr_assert_eq(both, regions_both(b, a));
+    RegionSet both = regions_intersect(a, b);
+    cr_assert_eq(both, regions_intersect(b, a));
     const struct {
       const char *dc;
       bool open;
@@ -72,9 +72,9 @@
   Regions *r = regions();
   char *names[] = {"south", "nowhere", NULL};
   const char *unknown = NULL;
-  cr_assert_eq(regions_listed(r, names, &unknown), listed(r, "south"));
+  cr_assert_eq(regions_from_list(r, names, &unknown), listed(r, "south"));
   cr_assert_str_eq(unknown, "nowhere");
-  cr_assert_eq(regions_listed(r, NULL, &unknown), REGIONS_ANY);
+  cr_assert_eq(regions_from_list(r, NULL, &unknown), REGIONS_ANY);
   cr_assert_null(unknown);
   regions_free(r);
 }
@@ -128,7 +128,7 @@
   Regions *regions;
   Targets *targets;
   Ask ask;
-  TargetAsk wanted;
+  TargetRequest wanted;
 } Rig;
 
 static void add(Rig *g, const char *dc) {
@@ -143,19 +143,19 @@
 static void open_rig(Rig *g, const char *allowed) {
   *g = (Rig){.regions = regions()};
   g->targets = targets_new("a1", 1);
-  targets_regions(g->targets, g->regions);
-  targets_parts_are_told(g->targets, true);
+  targets_set_regions(g->targets, g->regions);
+  targets_set_parts_exchanged(g->targets, true);
   add(g, "a1");
   add(g, "b1");
   add(g, "c1");
   g->ask = (Ask){.tokens_in = TOKENS, .n_parts = 2};
   g->ask.parts[0] = (AskPart){7, TOKENS - 1000};
   g->ask.parts[1] = (AskPart){8, 1000};
-  g->wanted = (TargetAsk){.service = "svc",
-                          .ask = &g->ask,
-                          .engine = true,
-                          .move_s = 1e-6,
-                          .regions = listed(g->regions, allowed)};
+  g->wanted = (TargetRequest){.service = "svc",
+                              .ask = &g->ask,
+                              .engine = true,
+                              .move_token_s = 1e-6,
+                              .regions = listed(g->regions, allowed)};
 }
 
 static void close_rig(Rig *g) {
@@ -173,12 +173,12 @@
    once that was tried there is none. */
 static bool leaks_to_target(void) {
   Rig g;
-  uint64_t asked[TARGETS_ASKED];
+  uint64_t asked[TARGETS_MAX_QUERIED];
   bool leaks = false;
   open_rig(&g, "south");
   for (int i = 0; i < 20; i++)
     leaks |= !is_in(targets_pick(g.targets, 1, &g.wanted).target, "b1");
-  leaks |= targets_to_ask(g.targets, 1, &g.wanted, asked) != 1;
+  leaks |= targets_to_query(g.targets, 1, &g.wanted, asked) != 1;
   const Target *tried[] = {targets_pick(g.targets, 1, &g.wanted).target};
   g.wanted.tried = tried;
   g.wanted.n_tried = 1;
@@ -192,10 +192,10 @@
 static bool leaks_from_donor(void) {
   Rig g;
   open_rig(&g, "south");
-  TargetAsk elsewhere = g.wanted;
+  TargetRequest elsewhere = g.wanted;
   elsewhere.regions = listed(g.regions, "west");
   TargetChoice c = targets_pick(g.targets, 1, &elsewhere);
-  target_sent(c.target, 1, &g.ask, &c);
+  target_note_sent(c.target, 1, &g.ask, &c);
   c = targets_pick(g.targets, 3, &g.wanted);
   cr_assert(is_in(c.target, "b1"));
   bool leaks = c.donor != NULL;
@@ -208,8 +208,10 @@
   Regions *r = regions();
   TallyParts parts = {2, {11, 12}};
   RegionSet north = listed(r, "north");
-  TallyParts far = tally_parts_to(&parts, north, regions_named(r, "south"));
-  TallyParts near = tally_parts_to(&parts, north, regions_named(r, "north"));
+  TallyParts far =
+      tally_allowed_parts(&parts, north, regions_by_name(r, "south"));
+  TallyParts near =
+      tally_allowed_parts(&parts, north, regions_by_name(r, "north"));
   cr_assert(near.n == 2 && near.names[1] == 12);
   regions_free(r);
   return far.n != 0;
@@ -221,27 +223,27 @@
   TargetParts news;
   open_rig(&g, "south");
   TargetChoice c = targets_pick(g.targets, 1, &g.wanted);
-  target_sent(c.target, 1, &g.ask, &c);
-  bool leaks = targets_parts_news(g.targets, &news);
+  target_note_sent(c.target, 1, &g.ask, &c);
+  bool leaks = targets_next_parts(g.targets, &news);
   close_rig(&g);
   open_rig(&g, "north");
   c = targets_pick(g.targets, 1, &g.wanted);
-  target_sent(c.target, 1, &g.ask, &c);
-  cr_assert(targets_parts_news(g.targets, &news), "they may know");
+  target_note_sent(c.target, 1, &g.ask, &c);
+  cr_assert(targets_next_parts(g.targets, &news), "they may know");
   close_rig(&g);
   return leaks;
 }
 
 Test(regions, no_way_out_leads_elsewhere_and_each_open_one_is_seen) {
-  static bool (*const ways[REGIONS_WAYS])(void) = {
+  static bool (*const ways[REGIONS_PATHS])(void) = {
       [REGIONS_TARGET] = leaks_to_target,
       [REGIONS_DONOR] = leaks_from_donor,
       [REGIONS_COUNTER] = leaks_to_counter,
       [REGIONS_PEERS] = leaks_to_peers};
-  for (int w = 0; w < REGIONS_WAYS; w++) {
+  for (int w = 0; w < REGIONS_PATHS; w++) {
     cr_assert_not(ways[w](), "way %d", w);
-    regions_break((RegionsWay)w);
+    regions_bypass_check((RegionsPath)w);
     cr_assert(ways[w](), "the mutant of way %d was not seen", w);
-    regions_break(REGIONS_WAYS);
+    regions_bypass_check(REGIONS_PATHS);
   }
 }
--- a/tests/test_retries.c
+++ b/tests/test_retries.c
@@ -36,13 +36,13 @@
     Retries *all[INSTANCES];
     for (int k = 0; k < INSTANCES; k++) {
       all[k] = retries_new(&options);
-      retries_instances(all[k], 0, INSTANCES);
+      retries_set_instances(all[k], 0, INSTANCES);
     }
     for (int i = 0; i < N; i++)
       for (int k = 0; k < INSTANCES; k++) {
         bool busy = (i / 70 + k) % 3 != 0;
         for (int r = g_rand_int_range(rand, 0, busy ? 6 : 1); r > 0; r--) {
-          retries_first(all[k], i * STEP, "svc");
+          retries_note_first(all[k], i * STEP, "svc");
           first[i]++;
         }
         for (int r = g_rand_int_range(rand, 0, 6); r > 0; r--)
@@ -64,20 +64,20 @@
    the window that still runs. */
 Test(retries, a_smaller_fleet_has_larger_parts_only_after_a_window) {
   Retries *r = retries_new(&options);
-  retries_instances(r, 0, 9);
+  retries_set_instances(r, 0, 9);
   cr_assert_eq(take_all(r, 5, "a"), 0, "a restart begins with nothing");
   cr_assert_eq(take_all(r, 10.5, "a"), 6);
-  retries_instances(r, 30, 3);
+  retries_set_instances(r, 30, 3);
   cr_assert_eq(take_all(r, 35, "a"), 6, "six others went just now");
   cr_assert_eq(take_all(r, 46, "a"), 18);
-  retries_instances(r, 47, 27);
+  retries_set_instances(r, 47, 27);
   cr_assert_eq(take_all(r, 60, "a"), 2, "more come: at once");
   retries_free(r);
 }
 
 Test(retries, services_do_not_share) {
   Retries *r = retries_new(&options);
-  retries_instances(r, 0, 1);
+  retries_set_instances(r, 0, 1);
   cr_assert_eq(take_all(r, 20, "a"), 54);
   cr_assert(retries_take(r, 20, "b"));
   retries_free(r);
--- a/tests/test_route.c
+++ b/tests/test_route.c
@@ -12,28 +12,28 @@
     list[i].slots = slots;
   }
   Route *r = route_new(1, ROUTE_OURS);
-  route_targets(r, list, n);
-  for (int i = 0; i < n; i++) route_report(r, 0, list[i].name, 0, 0, 0.001);
+  route_set_targets(r, list, n);
+  for (int i = 0; i < n; i++) route_apply_load(r, 0, list[i].name, 0, 0, 0.001);
   return r;
 }
 
 static int count_picks(Route *r, double now, const char *name, int tries) {
   int n = 0;
   for (int i = 0; i < tries; i++) {
-    RouteAsk ask = {.tokens = 10};
+    RouteRequest ask = {.tokens = 10};
     RouteChoice c;
     if (!route_pick(r, now, &ask, &c)) continue;
     n += strcmp(c.name, name) == 0;
-    route_done(r, now, c.name, ROUTE_OK, 10, 0.01, 1);
+    route_note_done(r, now, c.name, ROUTE_OK, 10, 0.01, 1);
   }
   return n;
 }
 
 Test(route, a_leaving_target_gets_nothing) {
   Route *r = fleet(3, 8);
-  route_leaving(r, "t1", true);
+  route_set_leaving(r, "t1", true);
   cr_assert_eq(count_picks(r, 0, "t1", 200), 0);
-  route_leaving(r, "t1", false);
+  route_set_leaving(r, "t1", false);
   cr_assert_gt(count_picks(r, 0, "t1", 200), 20);
   route_free(r);
 }
@@ -42,26 +42,26 @@
 Test(route, each_of_two_hundred_targets_gets_work) {
   Route *r = fleet(200, 1);
   for (int i = 0; i < 200; i++) {
-    RouteAsk ask = {.tokens = 10};
+    RouteRequest ask = {.tokens = 10};
     RouteChoice c;
     cr_assert(route_pick(r, 0, &ask, &c));
     cr_assert_eq(c.candidates, 200);
   }
-  for (int i = 0; i < 200; i++) cr_assert_eq(route_state(r, 0, i).own, 1);
+  for (int i = 0; i < 200; i++) cr_assert_eq(route_state(r, 0, i).own_open, 1);
   route_free(r);
 }
 
 Test(route, own_dispatches_count_until_the_next_report) {
   Route *r = fleet(2, 4);
   for (int i = 0; i < 8; i++) {
-    RouteAsk ask = {.tokens = 10};
+    RouteRequest ask = {.tokens = 10};
     RouteChoice c;
     cr_assert(route_pick(r, 0, &ask, &c));
   }
-  cr_assert_eq(route_room(r, 0), 0);
+  cr_assert_eq(route_free_slots(r, 0), 0);
   RouteState a = route_state(r, 0, 0), b = route_state(r, 0, 1);
-  cr_assert_eq(a.own, 4);
-  cr_assert_eq(b.own, 4);
+  cr_assert_eq(a.own_open, 4);
+  cr_assert_eq(b.own_open, 4);
   route_free(r);
 }
 
@@ -70,14 +70,14 @@
   int there = 0;
   for (uint32_t k = 0; k < 8; k++) {
     Route *r = fleet(4, 8);
-    route_peers(r, peers);
+    route_set_instances(r, peers);
     for (int i = 0; i < 4; i++) {
       char name[8];
       snprintf(name, sizeof name, "t%d", i);
-      route_report(r, 0, name, i == 0 ? 2 : 5, 0, 0.001);
+      route_apply_load(r, 0, name, i == 0 ? 2 : 5, 0, 0.001);
     }
     for (int i = 0; i < 4; i++) {
-      RouteAsk ask = {.tokens = 10};
+      RouteRequest ask = {.tokens = 10};
       RouteChoice c;
       route_pick(r, 0.2, &ask, &c);
       there += strcmp(c.name, "t0") == 0;
@@ -98,8 +98,8 @@
   Route *r = fleet(4, 64);
   char prompt[8192];
   memset(prompt, 'x', sizeof prompt);
-  RouteAsk ask = {.tokens = 2048};
-  ask.n = route_blocks(prompt, sizeof prompt, ask.blocks);
+  RouteRequest ask = {.tokens = 2048};
+  ask.n = route_hash_blocks(prompt, sizeof prompt, ask.blocks);
   cr_assert_eq(ask.n, 32);
   RouteChoice first, c;
   cr_assert(route_pick(r, 0, &ask, &first));
@@ -117,7 +117,7 @@
     for (int i = 0; i < 4; i++) {
       char name[8];
       snprintf(name, sizeof name, "t%d", i);
-      route_silent(r, 0, name);
+      route_note_unresponsive(r, 0, name);
     }
   int out = 0;
   for (int i = 0; i < 4; i++) out += route_state(r, 0, i).ejected;
@@ -127,18 +127,18 @@
 
 Test(route, an_ejected_target_is_probed_by_one_request) {
   Route *r = fleet(2, 8);
-  for (int i = 0; i < 3; i++) route_silent(r, 0, "t0");
+  for (int i = 0; i < 3; i++) route_note_unresponsive(r, 0, "t0");
   cr_assert(route_state(r, 0, 0).ejected);
   cr_assert_eq(count_picks(r, 0.1, "t0", 50), 0);
   int probes = 0;
   for (int i = 0; i < 50; i++) {
-    RouteAsk ask = {.tokens = 10};
+    RouteRequest ask = {.tokens = 10};
     RouteChoice c;
     cr_assert(route_pick(r, 40, &ask, &c));
     probes += c.probe;
   }
   cr_assert_eq(probes, 1);
-  route_done(r, 40, "t0", ROUTE_OK, 10, 0.01, 1);
+  route_note_done(r, 40, "t0", ROUTE_OK, 10, 0.01, 1);
   cr_assert_not(route_state(r, 40, 0).ejected);
   route_free(r);
 }
@@ -156,7 +156,7 @@
 
 Test(route, a_target_that_failed_a_request_does_not_get_it_again) {
   Route *r = fleet(2, 8);
-  RouteAsk ask = {.tokens = 10, .tried = {"t0"}};
+  RouteRequest ask = {.tokens = 10, .tried = {"t0"}};
   RouteChoice c;
   for (int i = 0; i < 20; i++) {
     cr_assert(route_pick(r, 0, &ask, &c));
@@ -176,7 +176,8 @@
     snprintf(customer, sizeof customer, "c%d", i);
     n += route_may_retry(r, customer, "t1");
     /* The pool's budget is full again, by another target. */
-    for (int k = 0; k < 20; k++) route_done(r, 0, "t0", ROUTE_OK, 10, 0.01, 1);
+    for (int k = 0; k < 20; k++)
+      route_note_done(r, 0, "t0", ROUTE_OK, 10, 0.01, 1);
   }
   cr_assert_eq(n, 5, "that target's is spent: %d", n);
   cr_assert(route_may_retry(r, "c0", "t2"), "others' are not");
@@ -187,7 +188,7 @@
   n = 0;
   while (n < 10 && route_may_retry(r, "a", "t2")) n++;
   cr_assert_eq(n, 2, "the customer's is not");
-  for (int i = 0; i < 20; i++) route_succeeded(r, "a");
+  for (int i = 0; i < 20; i++) route_note_success(r, "a");
   cr_assert(route_may_retry(r, "a", "t2"), "two were earned");
   route_free(r);
 }
@@ -198,7 +199,7 @@
       {.name = "b", .dc = "sued", .adapters = "tuned2", .version = "v2"},
       {.name = "c", .dc = "west", .version = "v1"}};
   static const struct {
-    RouteAsk ask;
+    RouteRequest ask;
     const char *fit;
   } cases[] = {{{.adapter = "tuned"}, "a"},
                {{.adapter = "tuned2"}, "b"},
@@ -213,7 +214,7 @@
     Route *r = route_new(1, ROUTE_ROUND_ROBIN);
     RouteChoice c;
     for (int i = 0; i < 3; i++) list[i].slots = 8;
-    route_targets(r, list, 3);
+    route_set_targets(r, list, 3);
     bool ok = route_pick(r, 0, &cases[k].ask, &c);
     cr_assert_eq(ok, cases[k].fit[0] != '\0', "case %zu", k);
     if (ok) cr_assert_not_null(strstr(cases[k].fit, c.name), "case %zu", k);
