--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -19,7 +19,7 @@
 static int marks_in(Ends *e) {
   EndsMark m;
   int n = 0;
-  while (ends_next(e, &m)) n++;
+  while (ends_next_mark(e, &m)) n++;
   return n;
 }
 
@@ -48,12 +48,12 @@
 Test(ends, a_target_that_refuses_connections_after_a_break_has_ended) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1), n = mark(7, 2);
-  cr_assert_not(ends_broke(e, 10, &m, true, 1));
-  cr_assert(ends_asks(e, 10, 7));
-  cr_assert_not(ends_asks(e, 10, 7), "asked twice");
-  cr_assert_not(ends_broke(e, 10, &n, true, 0));
+  cr_assert_not(ends_note_break(e, 10, &m, true, 1));
+  cr_assert(ends_start_probe(e, 10, 7));
+  cr_assert_not(ends_start_probe(e, 10, 7), "asked twice");
+  cr_assert_not(ends_note_break(e, 10, &n, true, 0));
   cr_assert_eq(marks_in(e), 0);
-  cr_assert(ends_refused(e, 10.003, 7, 0));
+  cr_assert(ends_note_refused(e, 10.003, 7, 0));
   cr_assert_eq(marks_in(e), 2);
   ends_free(e);
 }
@@ -61,16 +61,16 @@
 Test(ends, a_break_alone_marks_nobody) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1);
-  ends_broke(e, 10, &m, true, 0);
-  ends_reached(e, 10.003, 7);
-  cr_assert_not(ends_refused(e, 10.5, 7, 0), "it was reached before");
+  ends_note_break(e, 10, &m, true, 0);
+  ends_note_connected(e, 10.003, 7);
+  cr_assert_not(ends_note_refused(e, 10.5, 7, 0), "it was reached before");
   cr_assert_eq(marks_in(e), 0);
   ends_free(e);
 }
 
 Test(ends, a_refusal_without_a_break_marks_nobody) {
   Ends *e = ends_new();
-  cr_assert_not(ends_refused(e, 10, 7, 0));
+  cr_assert_not(ends_note_refused(e, 10, 7, 0));
   cr_assert(ends_is_idle(e));
   ends_free(e);
 }
@@ -78,8 +78,8 @@
 Test(ends, one_that_is_overrun_goes_on_with_what_it_has) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1);
-  ends_broke(e, 10, &m, true, 3);
-  cr_assert_not(ends_refused(e, 10.003, 7, 3));
+  ends_note_break(e, 10, &m, true, 3);
+  cr_assert_not(ends_note_refused(e, 10.003, 7, 3));
   cr_assert_eq(marks_in(e), 0);
   ends_free(e);
 }
@@ -87,10 +87,10 @@
 Test(ends, it_ends_with_the_last_exchange_that_breaks) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1), n = mark(7, 2), o = mark(7, 3);
-  ends_broke(e, 10, &m, true, 2);
-  ends_refused(e, 10.003, 7, 2);
-  cr_assert_not(ends_broke(e, 10.004, &n, true, 1));
-  cr_assert(ends_broke(e, 10.005, &o, true, 0));
+  ends_note_break(e, 10, &m, true, 2);
+  ends_note_refused(e, 10.003, 7, 2);
+  cr_assert_not(ends_note_break(e, 10.004, &n, true, 1));
+  cr_assert(ends_note_break(e, 10.005, &o, true, 0));
   cr_assert_eq(marks_in(e), 3);
   ends_free(e);
 }
@@ -98,9 +98,9 @@
 Test(ends, who_had_run_for_long_is_not_marked) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1), n = mark(7, 2);
-  ends_broke(e, 10, &m, false, 1);
-  ends_broke(e, 10, &n, true, 0);
-  ends_refused(e, 10.003, 7, 0);
+  ends_note_break(e, 10, &m, false, 1);
+  ends_note_break(e, 10, &n, true, 0);
+  ends_note_refused(e, 10.003, 7, 0);
   cr_assert_eq(marks_in(e), 1);
   ends_free(e);
 }
@@ -108,9 +108,9 @@
 Test(ends, one_that_started_again_at_once_has_ended) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1);
-  ends_broke(e, 10, &m, true, 0);
-  ends_reached(e, 10.003, 7);
-  cr_assert(ends_again(e, 10.8, 7));
+  ends_note_break(e, 10, &m, true, 0);
+  ends_note_connected(e, 10.003, 7);
+  cr_assert(ends_note_restart(e, 10.8, 7));
   cr_assert_eq(marks_in(e), 1);
   ends_free(e);
 }
@@ -118,11 +118,11 @@
 Test(ends, whoever_left_just_before_is_marked_as_well) {
   Ends *e = ends_new();
   EndsMark gone = mark(7, 1), m = mark(7, 2);
-  ends_left(e, 10, &gone);
-  cr_assert_not(ends_asks(e, 10, 7), "callers leave all the time");
-  ends_broke(e, 10.1, &m, true, 0);
-  cr_assert(ends_asks(e, 10.1, 7));
-  ends_refused(e, 10.103, 7, 0);
+  ends_note_abandoned(e, 10, &gone);
+  cr_assert_not(ends_start_probe(e, 10, 7), "callers leave all the time");
+  ends_note_break(e, 10.1, &m, true, 0);
+  cr_assert(ends_start_probe(e, 10.1, 7));
+  ends_note_refused(e, 10.103, 7, 0);
   cr_assert_eq(marks_in(e), 2);
   ends_free(e);
 }
@@ -130,8 +130,8 @@
 Test(ends, what_broke_long_before_counts_no_more) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1);
-  ends_broke(e, 10, &m, true, 0);
-  cr_assert_not(ends_refused(e, 15, 7, 0));
+  ends_note_break(e, 10, &m, true, 0);
+  cr_assert_not(ends_note_refused(e, 15, 7, 0));
   ends_sweep(e, 15);
   cr_assert(ends_is_idle(e));
   ends_free(e);
@@ -149,17 +149,17 @@
 /* The kind of the next message; SUSPECTS_KINDS: there is none. */
 static SuspectsKind said(Suspects *s) {
   SuspectsMsg m;
-  return suspects_next(s, &m) ? m.kind : SUSPECTS_KINDS;
+  return suspects_next_message(s, &m) ? m.kind : SUSPECTS_KINDS;
 }
 
 Test(suspects, the_second_target_names_it) {
   Suspects *s = suspects_new();
   SuspectsMsg a = marked(7, 1), b = marked(8, 1);
-  suspects_take(s, 10, &a);
-  suspects_take(s, 10, &a); /* another instance saw the same end */
+  suspects_apply_message(s, 10, &a);
+  suspects_apply_message(s, 10, &a); /* another instance saw the same end */
   cr_assert_eq(said(s), SUSPECTS_KINDS);
   cr_assert_not(suspects_has(s, digest(1)));
-  suspects_take(s, 12, &b);
+  suspects_apply_message(s, 12, &b);
   cr_assert(suspects_has(s, digest(1)));
   cr_assert_eq(said(s), SUSPECTS_NAMED);
   suspects_free(s);
@@ -169,7 +169,7 @@
   Suspects *s = suspects_new();
   for (uint64_t t = 7; t <= 9; t++) {
     SuspectsMsg m = marked(t, 1);
-    suspects_take(s, (double)t, &m);
+    suspects_apply_message(s, (double)t, &m);
   }
   cr_assert_eq(said(s), SUSPECTS_NAMED);
   cr_assert_eq(said(s), SUSPECTS_NAMED);
@@ -181,32 +181,34 @@
   for (uint64_t t = 0; t < 40; t++)
     for (uint64_t n = 0; n < 63; n++) {
       SuspectsMsg m = marked(t + 1, 1000 + t * 63 + n);
-      suspects_take(s, 10, &m);
+      suspects_apply_message(s, 10, &m);
     }
-  cr_assert_not(suspects_any(s));
+  cr_assert_not(suspects_has_any(s));
   suspects_free(s);
 }
 
 Test(suspects, an_attempt_that_ends_well_between_clears_it_at_its_home) {
   Suspects *s = suspects_new();
   SuspectsMsg a = marked(7, 1), b = marked(8, 1);
-  suspects_take(s, 10, &a);
-  suspects_ran(s, 11, digest(1));
-  suspects_take(s, 12, &b);
+  suspects_apply_message(s, 10, &a);
+  suspects_note_success(s, 11, digest(1));
+  suspects_apply_message(s, 12, &b);
   cr_assert_not(suspects_has(s, digest(1)));
   suspects_free(s);
 }
 
 Test(suspects, whoever_saw_it_end_well_objects_when_it_is_named) {
   Suspects *s = suspects_new();
-  SuspectsMsg named = {
-      .kind = SUSPECTS_NAMED, .digest = digest(1), .owner = 1, .age_s = 3};
-  suspects_ran(s, 10, digest(1));
-  suspects_take(s, 12, &named);
+  SuspectsMsg named = {.kind = SUSPECTS_NAMED,
+                       .digest = digest(1),
+                       .owner = 1,
+                       .first_mark_age_s = 3};
+  suspects_note_success(s, 10, digest(1));
+  suspects_apply_message(s, 12, &named);
   cr_assert_not(suspects_has(s, digest(1)));
   cr_assert_eq(said(s), SUSPECTS_CLEARED);
-  named.age_s = 1; /* its first mark came after that */
-  suspects_take(s, 12, &named);
+  named.first_mark_age_s = 1; /* its first mark came after that */
+  suspects_apply_message(s, 12, &named);
   cr_assert(suspects_has(s, digest(1)));
   cr_assert_eq(said(s), SUSPECTS_KINDS);
   suspects_free(s);
@@ -216,13 +218,13 @@
   Suspects *s = suspects_new(), *other = suspects_new();
   SuspectsMsg named = {.kind = SUSPECTS_NAMED, .digest = digest(1), .owner = 1};
   SuspectsMsg m;
-  suspects_take(s, 12, &named);
-  suspects_take(other, 12, &named);
-  suspects_ran(s, 13, digest(1));
-  cr_assert_not(suspects_any(s));
-  cr_assert(suspects_next(s, &m));
-  suspects_take(other, 13, &m);
-  cr_assert_not(suspects_any(other));
+  suspects_apply_message(s, 12, &named);
+  suspects_apply_message(other, 12, &named);
+  suspects_note_success(s, 13, digest(1));
+  cr_assert_not(suspects_has_any(s));
+  cr_assert(suspects_next_message(s, &m));
+  suspects_apply_message(other, 13, &m);
+  cr_assert_not(suspects_has_any(other));
   suspects_free(s);
   suspects_free(other);
 }
@@ -231,10 +233,10 @@
   Suspects *s = suspects_new();
   SuspectsMsg theirs = {
       .kind = SUSPECTS_NAMED, .digest = digest(1), .owner = 1};
-  suspects_take(s, 1, &theirs);
+  suspects_apply_message(s, 1, &theirs);
   for (uint64_t n = 2; n < 3000; n++) {
     SuspectsMsg m = {.kind = SUSPECTS_NAMED, .digest = digest(n), .owner = 2};
-    suspects_take(s, 2, &m);
+    suspects_apply_message(s, 2, &m);
   }
   cr_assert(suspects_has(s, digest(1)));
   cr_assert_not(suspects_has(s, digest(2)), "the oldest of the flood goes");
@@ -244,11 +246,11 @@
 
 Test(suspects, nothing_is_looked_at_while_no_target_ends) {
   Suspects *s = suspects_new();
-  cr_assert_not(suspects_looks(s, 10));
+  cr_assert_not(suspects_track_successes(s, 10));
   EndsMark m = mark(7, 1);
   suspects_mark(s, 10, &m);
-  cr_assert(suspects_looks(s, 11));
-  cr_assert_not(suspects_looks(s, 1000));
+  cr_assert(suspects_track_successes(s, 11));
+  cr_assert_not(suspects_track_successes(s, 1000));
   suspects_free(s);
 }
 
@@ -275,7 +277,7 @@
 static void end_attempts(Play *p, double now) {
   for (guint i = p->attempts->len; i-- > 0;) {
     if (now < g_array_index(p->attempts, Attempt, i).until) continue;
-    suspects_ran(p->s, now, digest(1));
+    suspects_note_success(p->s, now, digest(1));
     g_array_remove_index_fast(p->attempts, i);
   }
 }
@@ -284,11 +286,11 @@
   SuspectsMsg m = marked(p->lives[target], 1);
   for (guint i = p->attempts->len; i-- > 0;) {
     if (g_array_index(p->attempts, Attempt, i).target != target) continue;
-    suspects_take(p->s, now, &m);
+    suspects_apply_message(p->s, now, &m);
     g_array_remove_index_fast(p->attempts, i);
   }
   p->lives[target] = ++p->life;
-  while (suspects_next(p->s, &m)) p->named += m.kind == SUSPECTS_NAMED;
+  while (suspects_next_message(p->s, &m)) p->named += m.kind == SUSPECTS_NAMED;
 }
 
 /* How often it is named: `per_s` attempts of `run_s`, an end each `ends_s`. */
@@ -383,7 +385,7 @@
   for (uint64_t revision = 1; revision <= 2; revision++) {
     cr_assert_eq(verdict(t, 10, true), TRIALS_TRY);
     Trial x = trials_begin(t, digest(1), 1, 1000);
-    x = trials_close(&x, TRIALS_NOTHING);
+    x = trials_close(&x, TRIALS_INCONCLUSIVE);
     x.revision = revision;
     trials_set(t, 10, &x);
   }
@@ -407,7 +409,7 @@
   Trials *t = trials_new();
   Trial x = trial(1, 3);
   trials_set(t, 10, &x);
-  trials_gone(t, digest(1));
+  trials_remove(t, digest(1));
   cr_assert_eq(verdict(t, 10, false), TRIALS_FREE);
   trials_free(t);
 }
@@ -433,7 +435,7 @@
   trials_set(t, 10, &b);
   digest_text(b.digest, name);
   g_hash_table_add(names, name);
-  trials_only(t, names);
+  trials_retain_only(t, names);
   cr_assert_eq(verdict(t, 10, false), TRIALS_FREE);
   cr_assert_eq(trials_verdict(t, 10, digest(2), false), TRIALS_HELD);
   g_hash_table_destroy(names);
@@ -465,13 +467,13 @@
   Trial theirs = {.digest = digest(1), .owner = 1, .tries = 1, .began = 1};
   Trial gone;
   trials_set(t, 10, &theirs);
-  cr_assert_not(trials_shed(t, &gone));
+  cr_assert_not(trials_choose_evicted(t, &gone));
   for (uint64_t n = 2; n < 500; n++) {
     Trial x = {.digest = digest(n), .owner = 2, .tries = 1, .began = (int)n};
     x.open = n == 2;
     trials_set(t, 10, &x);
   }
-  cr_assert(trials_shed(t, &gone));
+  cr_assert(trials_choose_evicted(t, &gone));
   cr_assert(digest_equal(gone.digest, digest(3)), "the second is being tried");
   trials_free(t);
 }
--- a/tests/test_tally.c
+++ b/tests/test_tally.c
@@ -16,26 +16,26 @@
   return (TallyRun){.target = T, .run = run, .open = open, .tokens = tokens};
 }
 
-static TallyWord ask(Tally *t, double now) {
-  TallyAsk a = {.number = 5, .target = T, .parts = {2, {11, 12}}};
-  return tally_word(t, now, &a);
+static TallyReport ask(Tally *t, double now) {
+  TallyQuery a = {.number = 5, .target = T, .parts = {2, {11, 12}}};
+  return tally_report(t, now, &a);
 }
 
 Test(tally, requests_count_from_their_start_to_their_end) {
   Tally *t = tally_new();
   TallyRun a = run_of(1, true, 900), b = run_of(1, true, 100);
-  tally_take(t, 1, 8, &a);
-  tally_take(t, 1, 9, &b); /* the same number of another sender */
-  TallyWord w = ask(t, 1.1);
+  tally_apply_run(t, 1, 8, &a);
+  tally_apply_run(t, 1, 9, &b); /* the same number of another sender */
+  TallyReport w = ask(t, 1.1);
   cr_assert(w.number == 5 && w.target == T);
   cr_assert(w.open == 2 && w.tokens == 1000);
   a.tokens = 0;
-  tally_take(t, 1.2, 8, &a);
-  tally_take(t, 1.2, 8, &a); /* told twice */
+  tally_apply_run(t, 1.2, 8, &a);
+  tally_apply_run(t, 1.2, 8, &a); /* told twice */
   w = ask(t, 1.3);
   cr_assert(w.open == 2 && w.tokens == 100);
   a.open = false;
-  tally_take(t, 2, 8, &a);
+  tally_apply_run(t, 2, 8, &a);
   w = ask(t, 2);
   cr_assert(w.open == 1 && w.tokens == 100);
   tally_free(t);
@@ -47,9 +47,9 @@
   cr_assert_gt(ask(t, 1).starts, 50, "what came before is not known");
   for (int i = 0; i < 4; i++) {
     TallyRun a = run_of((uint64_t)i, true, 10);
-    tally_take(t, 3 + i * 0.4, 8, &a);
+    tally_apply_run(t, 3 + i * 0.4, 8, &a);
     a.tokens = 0;
-    tally_take(t, 3 + i * 0.4, 8, &a); /* it was read: no start */
+    tally_apply_run(t, 3 + i * 0.4, 8, &a); /* it was read: no start */
   }
   cr_assert_eq(ask(t, 4.3).starts, 3);
   cr_assert_eq(ask(t, 6).starts, 0);
@@ -60,7 +60,7 @@
 Test(tally, what_is_not_heard_of_again_runs_out) {
   Tally *t = tally_new();
   TallyRun a = run_of(1, true, 900);
-  tally_take(t, 1, 8, &a);
+  tally_apply_run(t, 1, 8, &a);
   tally_sweep(t, 3);
   cr_assert_eq(ask(t, 3).tokens, 900);
   tally_sweep(t, 5);
@@ -74,12 +74,12 @@
   Tally *t = tally_new();
   TallyRun a = run_of(1, true, 900);
   a.parts = (TallyParts){1, {11}};
-  cr_assert_eq(ask(t, 1).known, 0);
-  tally_take(t, 1, 8, &a);
-  cr_assert(ask(t, 1.1).known == 1 && ask(t, 1.1).ripe == 0);
+  cr_assert_eq(ask(t, 1).known_parts, 0);
+  tally_apply_run(t, 1, 8, &a);
+  cr_assert(ask(t, 1.1).known_parts == 1 && ask(t, 1.1).finished_parts == 0);
   a.parts = (TallyParts){2, {11, 12}};
-  tally_take(t, 1.2, 9, &a);
-  cr_assert(ask(t, 1.6).known == 2 && ask(t, 1.6).ripe == 1);
+  tally_apply_run(t, 1.2, 9, &a);
+  cr_assert(ask(t, 1.6).known_parts == 2 && ask(t, 1.6).finished_parts == 1);
   tally_free(t);
 }
 
@@ -146,14 +146,14 @@
   if (s->tally) tally_free(s->tally);
 }
 
-static int ask_words(Sim *s, double now, int who, TargetAsk *a,
-                     const Ask *prompt, TallyWord *words) {
-  uint64_t out[TARGETS_ASKED];
-  TallyAsk q = {.parts = {1, {prompt->parts[0].id}}};
-  int n = targets_to_ask(s->set[who], now, a, out);
+static int ask_words(Sim *s, double now, int who, TargetRequest *a,
+                     const Ask *prompt, TallyReport *words) {
+  uint64_t out[TARGETS_MAX_QUERIED];
+  TallyQuery q = {.parts = {1, {prompt->parts[0].id}}};
+  int n = targets_to_query(s->set[who], now, a, out);
   for (int i = 0; i < n; i++) {
     q.target = out[i];
-    words[i] = tally_word(s->tally, now, &q);
+    words[i] = tally_report(s->tally, now, &q);
   }
   return n;
 }
@@ -162,13 +162,13 @@
 static void one(Sim *s, double now, int who, int session, int64_t shared,
                 uint64_t number) {
   Ask prompt = {.tokens_in = shared + 4000, .n_parts = 2};
-  TallyWord words[TARGETS_ASKED];
-  TargetAsk a = {.service = "m", .ask = &prompt, .engine = true};
+  TallyReport words[TARGETS_MAX_QUERIED];
+  TargetRequest a = {.service = "m", .ask = &prompt, .engine = true};
   prompt.parts[0] = (AskPart){(uint64_t)session + 1, shared};
   prompt.parts[1] = (AskPart){number + 1000000, 4000};
   if (s->tally) {
-    a.n_words = ask_words(s, now, who, &a, &prompt, words);
-    a.words = words;
+    a.n_reports = ask_words(s, now, who, &a, &prompt, words);
+    a.reports = words;
   }
   TargetChoice c = targets_pick(s->set[who], now, &a);
   uint64_t hash = target_hash(c.target);
@@ -181,12 +181,12 @@
   double read_s = (double)(4000 + (had ? 0 : shared)) / RATE;
   s->free_at[k] = MAX(s->free_at[k], now) + read_s;
   s->late += s->free_at[k] - now > AIM;
-  target_sent(c.target, now, &prompt, &c);
+  target_note_sent(c.target, now, &prompt, &c);
   TallyRun r = {.target = hash, .run = number, .open = true};
   r.tokens = (int64_t)(read_s * RATE);
   r.parts = (TallyParts){1, {prompt.parts[0].id}};
   if (!s->tally) return;
-  tally_take(s->tally, now, (uint64_t)who, &r);
+  tally_apply_run(s->tally, now, (uint64_t)who, &r);
   Reading g = {.run = r, .who = who, .until = s->free_at[k]};
   g_array_append_val(s->reading, g);
 }
@@ -197,7 +197,7 @@
     Reading g = g_array_index(s->reading, Reading, i);
     if (g.until > now) continue;
     g.run.open = false;
-    tally_take(s->tally, now, (uint64_t)g.who, &g.run);
+    tally_apply_run(s->tally, now, (uint64_t)g.who, &g.run);
     g_array_remove_index_fast(s->reading, i);
   }
 }
--- a/tests/test_targets.c
+++ b/tests/test_targets.c
@@ -24,13 +24,13 @@
 }
 
 static Target *pick(Targets *s, double now, const Ask *a, bool engine) {
-  TargetAsk ask = {.service = "svc", .ask = a, .engine = engine};
+  TargetRequest ask = {.service = "svc", .ask = a, .engine = engine};
   return targets_pick(s, now, &ask).target;
 }
 
 static void sent(Target *t, double now, const Ask *a, int64_t fresh) {
-  TargetChoice c = {.target = t, .fresh = fresh};
-  target_sent(t, now, a, &c);
+  TargetChoice c = {.target = t, .uncached_tokens = fresh};
+  target_note_sent(t, now, a, &c);
 }
 
 Test(targets, a_leaving_one_gets_no_new_work) {
@@ -52,9 +52,9 @@
 Test(targets, an_entry_that_lapsed_with_the_store_is_used_a_little_longer) {
   Targets *s = some(2);
   Ask a = {0};
-  targets_gone(s, 10, "i-0", false);
+  targets_remove(s, 10, "i-0", false);
   cr_assert_str_eq(target_id(pick(s, 10, &a, false)), "i-1");
-  targets_gone(s, 10, "i-1", true);
+  targets_remove(s, 10, "i-1", true);
   cr_assert_not_null(pick(s, 11, &a, false));
   cr_assert_null(pick(s, 11.6, &a, false), "its bound is two seconds");
   TargetInfo t = info(1, "svc");
@@ -70,8 +70,8 @@
 Test(targets, a_lapsed_one_gets_work_only_when_there_is_no_other) {
   Targets *s = some(3);
   Ask a = {0};
-  targets_gone(s, 10, "i-0", true);
-  targets_gone(s, 10, "i-1", true);
+  targets_remove(s, 10, "i-0", true);
+  targets_remove(s, 10, "i-1", true);
   for (int i = 0; i < 20; i++) {
     Target *t = pick(s, 10.1, &a, false);
     cr_assert_str_eq(target_id(t), "i-2");
@@ -84,7 +84,7 @@
   Targets *s = some(3);
   GHashTable *ids = g_hash_table_new(g_str_hash, g_str_equal);
   g_hash_table_add(ids, "i-2");
-  targets_only(s, 5, ids, false);
+  targets_retain_only(s, 5, ids, false);
   cr_assert_eq(targets_count(s, "svc"), 1);
   g_hash_table_destroy(ids);
   targets_free(s);
@@ -94,7 +94,7 @@
   Targets *s = some(2);
   Ask a = {0};
   Target *t = pick(s, 1, &a, false);
-  target_ended(t, 1);
+  target_note_ended(t, 1);
   for (double now = 1; now < 4.8; now += 0.1)
     cr_assert_neq(pick(s, now, &a, false), t, "%f", now);
   targets_free(s);
@@ -103,8 +103,8 @@
 Test(targets, what_may_end_its_target_goes_where_the_fewest_run) {
   Targets *s = some(3);
   Ask a = {0};
-  TargetAsk alone = {
-      .service = "svc", .ask = &a, .engine = true, .alone = true};
+  TargetRequest alone = {
+      .service = "svc", .ask = &a, .engine = true, .isolate = true};
   Target *t = pick(s, 1, &a, true);
   sent(t, 1, &a, 0);
   for (int i = 0; i < 20; i++)
@@ -117,11 +117,11 @@
   Ask a = {0};
   Target *t = pick(s, 1, &a, false);
   sent(t, 1, &a, 0);
-  target_done(t, 1, TARGET_SILENT, false, 0, 0.1);
+  target_note_done(t, 1, TARGET_UNRESPONSIVE, false, 0, 0.1);
   for (int i = 0; i < 20; i++) cr_assert_neq(pick(s, 1.1, &a, false), t);
   Target *u = pick(s, 1.1, &a, false);
   sent(u, 1.1, &a, 0);
-  target_done(u, 1.1, TARGET_SILENT, false, 0, 0.1);
+  target_note_done(u, 1.1, TARGET_UNRESPONSIVE, false, 0, 0.1);
   cr_assert_not_null(pick(s, 1.2, &a, false));
   targets_free(s);
 }
@@ -153,7 +153,7 @@
   Target *home = pick(s, 1, &a, true);
   sent(home, 1, &a, 200000); /* four seconds of reading */
   cr_assert_neq(pick(s, 1, &a, true), home);
-  target_first(home, 200000, 0, 4.5);
+  target_note_first_byte(home, 200000, 0, 4.5);
   cr_assert_eq(pick(s, 1, &a, true), home);
   targets_free(s);
 }
@@ -161,7 +161,7 @@
 Test(targets, another_at_its_address_ends_it) {
   Targets *s = some(1);
   Ask a = {0};
-  targets_replaced(s, 1, pick(s, 1, &a, false));
+  targets_mark_replaced(s, 1, pick(s, 1, &a, false));
   cr_assert_null(pick(s, 1, &a, false));
   targets_free(s);
 }
@@ -173,19 +173,19 @@
   TargetParts m;
   a.parts[0] = (AskPart){7, 8000};
   a.parts[1] = (AskPart){8, 1000};
-  targets_parts_are_told(s, true);
-  targets_parts_are_told(other, true);
-  TargetAsk ask = {.service = "svc", .ask = &a, .engine = true};
+  targets_set_parts_exchanged(s, true);
+  targets_set_parts_exchanged(other, true);
+  TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
   TargetChoice c = targets_pick(other, 1, &ask);
-  cr_assert_eq(c.fresh, 9000, "nobody has read it");
-  target_sent(c.target, 1, &a, &c);
-  cr_assert(targets_parts_news(other, &m));
-  cr_assert_not(targets_parts_news(other, &m), "once");
-  targets_parts_told(s, 1, &m);
+  cr_assert_eq(c.uncached_tokens, 9000, "nobody has read it");
+  target_note_sent(c.target, 1, &a, &c);
+  cr_assert(targets_next_parts(other, &m));
+  cr_assert_not(targets_next_parts(other, &m), "once");
+  targets_apply_parts(s, 1, &m);
   a.parts[1].id = 9;
   c = targets_pick(s, 1.1, &ask);
   cr_assert_eq(text_hash(target_id(c.target)), m.target);
-  cr_assert_eq(c.fresh, 1000);
+  cr_assert_eq(c.uncached_tokens, 1000);
   targets_free(s);
   targets_free(other);
 }
@@ -196,11 +196,12 @@
   Ask a = {.tokens_in = 9000, .n_parts = 2};
   a.parts[0] = (AskPart){7, 8000};
   a.parts[1] = (AskPart){8, 1000};
-  targets_parts_are_told(s, true);
-  TargetAsk ask = {.service = "svc", .ask = &a, .engine = true, .move_s = 2e-6};
+  targets_set_parts_exchanged(s, true);
+  TargetRequest ask = {
+      .service = "svc", .ask = &a, .engine = true, .move_token_s = 2e-6};
   TargetChoice first = targets_pick(s, 1, &ask);
   cr_assert_null(first.donor, "nobody has it");
-  target_sent(first.target, 1, &a, &first);
+  target_note_sent(first.target, 1, &a, &first);
   a.parts[1].id = 9;
   sent(first.target, 1.1, &a, 200000); /* four seconds of reading */
   TargetChoice early = targets_pick(s, 1.1, &ask);
@@ -209,14 +210,16 @@
   TargetChoice c = targets_pick(s, 3, &ask);
   cr_assert_neq(c.target, first.target);
   cr_assert_eq(c.donor, first.target);
-  cr_assert(c.moved == 9000 && c.fresh == 0, "%ld", (long)c.moved);
-  ask.move_s = 1; /* a slow link */
+  cr_assert(c.moved_tokens == 9000 && c.uncached_tokens == 0, "%ld",
+            (long)c.moved_tokens);
+  ask.move_token_s = 1; /* a slow link */
   cr_assert_null(targets_pick(s, 3, &ask).donor);
-  ask.move_s = 2e-6;
-  target_done(first.target, 3, TARGET_FAILED, false, first.fresh, 1);
+  ask.move_token_s = 2e-6;
+  target_note_done(first.target, 3, TARGET_FAILED, false, first.uncached_tokens,
+                   1);
   for (int i = 0; i < 9; i++) {
     sent(first.target, 3, &a, 0);
-    target_done(first.target, 3, TARGET_FAILED, false, 0, 1);
+    target_note_done(first.target, 3, TARGET_FAILED, false, 0, 1);
   }
   cr_assert_null(targets_pick(s, 3.1, &ask).donor, "one that is put aside");
   targets_free(s);
@@ -225,27 +228,27 @@
 /* Streams beside long prompts are held up: those get targets of their own. */
 Test(targets, short_prompts_run_where_no_long_ones_are_read) {
   Targets *s = some(12);
-  targets_parts_are_told(s, true);
+  targets_set_parts_exchanged(s, true);
   GHashTable *longs = g_hash_table_new(g_str_hash, g_str_equal);
   for (uint64_t k = 1; k <= 200; k++) {
     Ask a = {.tokens_in = 9000, .n_parts = 1};
     a.parts[0] = (AskPart){k, 9000};
-    TargetAsk ask = {
-        .service = "svc", .ask = &a, .engine = true, .pause_s = 0.3};
+    TargetRequest ask = {
+        .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
     TargetChoice c = targets_pick(s, 1, &ask);
-    cr_assert(c.long_prompt && c.beside_long);
-    target_sent(c.target, 1, &a, &c);
+    cr_assert(c.long_prompt && c.serves_long);
+    target_note_sent(c.target, 1, &a, &c);
     g_hash_table_add(longs, (gpointer)target_id(c.target));
   }
   for (uint64_t k = 1000; k <= 1200; k++) {
     Ask a = {.tokens_in = 400, .n_parts = 1};
     a.parts[0] = (AskPart){k, 400};
-    TargetAsk ask = {
-        .service = "svc", .ask = &a, .engine = true, .pause_s = 0.3};
+    TargetRequest ask = {
+        .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
     TargetChoice c = targets_pick(s, 1, &ask);
-    cr_assert_not(c.long_prompt || c.beside_long);
+    cr_assert_not(c.long_prompt || c.serves_long);
     cr_assert_not(g_hash_table_contains(longs, target_id(c.target)));
-    target_sent(c.target, 1, &a, &c);
+    target_note_sent(c.target, 1, &a, &c);
   }
   g_hash_table_destroy(longs);
   targets_free(s);
@@ -256,16 +259,16 @@
   Targets *s = some(6);
   bool used[6] = {false};
   Ask a = {.tokens_in = 400, .n_parts = 1};
-  TargetAsk ask = {.service = "svc",
-                   .ask = &a,
-                   .engine = true,
-                   .move_s = 2e-6,
-                   .pause_s = 0.3};
+  TargetRequest ask = {.service = "svc",
+                       .ask = &a,
+                       .engine = true,
+                       .move_token_s = 2e-6,
+                       .max_pause_s = 0.3};
   for (uint64_t k = 0; k < 60; k++) {
     a.parts[0] = (AskPart){k + 1, 400};
     TargetChoice c = targets_pick(s, 1 + (double)k, &ask);
-    cr_assert(c.beside_long && !c.donor);
-    target_sent(c.target, 1 + (double)k, &a, &c);
+    cr_assert(c.serves_long && !c.donor);
+    target_note_sent(c.target, 1 + (double)k, &a, &c);
     used[target_id(c.target)[2] - '0'] = true;
   }
   for (int i = 0; i < 6; i++) cr_assert(used[i], "%d", i);
@@ -275,17 +278,19 @@
 /* With all targets for long prompts dark the others serve them. */
 Test(targets, long_prompts_spill_where_none_of_their_targets_is_sound) {
   Targets *s = some(6);
-  targets_parts_are_told(s, true);
+  targets_set_parts_exchanged(s, true);
   Ask a = {.tokens_in = 9000};
-  TargetAsk ask = {.service = "svc", .ask = &a, .engine = true, .pause_s = 0.3};
+  TargetRequest ask = {
+      .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
   for (int i = 0; i < 5; i++) {
     TargetChoice c = targets_pick(s, 1, &ask);
-    target_sent(c.target, 1, &a, &c);
-    target_done(c.target, 1, TARGET_SILENT, false, c.fresh, 0.1);
+    target_note_sent(c.target, 1, &a, &c);
+    target_note_done(c.target, 1, TARGET_UNRESPONSIVE, false, c.uncached_tokens,
+                     0.1);
   }
   TargetChoice c = targets_pick(s, 1.1, &ask);
-  target_sent(c.target, 1.1, &a, &c);
-  target_done(c.target, 1.1, TARGET_OK, true, c.fresh, 0.1);
+  target_note_sent(c.target, 1.1, &a, &c);
+  target_note_done(c.target, 1.1, TARGET_OK, true, c.uncached_tokens, 0.1);
   cr_assert_eq(targets_pick(s, 1.2, &ask).target, c.target,
                "the sixth, which answers, and none that is dark");
   targets_free(s);
@@ -296,16 +301,16 @@
   Targets *s = some(2);
   Ask a = {.tokens_in = 100};
   TargetWork w = {.target = text_hash("i-0"), .open = 4, .tokens = 90000};
-  targets_others(s, 1, 77, &w);
+  targets_apply_work(s, 1, 77, &w);
   for (int i = 0; i < 20; i++)
     cr_assert_str_eq(target_id(pick(s, 1.5, &a, true)), "i-1");
   w.target = text_hash("i-1");
   w.tokens = 180000;
-  targets_others(s, 1.5, 78, &w);
+  targets_apply_work(s, 1.5, 78, &w);
   cr_assert_str_eq(target_id(pick(s, 1.6, &a, true)), "i-0", "the less");
   w.open = 0;
   w.tokens = 0;
-  targets_others(s, 1.7, 78, &w);
+  targets_apply_work(s, 1.7, 78, &w);
   cr_assert_str_eq(target_id(pick(s, 1.8, &a, true)), "i-1", "the newer word");
   bool first = false;
   for (int i = 0; i < 40; i++)
@@ -318,18 +323,18 @@
   Targets *s = some(2);
   Ask a = {.tokens_in = 500};
   TargetWork w;
-  cr_assert_not(targets_changed(s, &w));
+  cr_assert_not(targets_next_work(s, &w));
   Target *t = pick(s, 1, &a, true);
   sent(t, 1, &a, 500);
-  cr_assert(targets_changed(s, &w));
+  cr_assert(targets_next_work(s, &w));
   cr_assert_eq(w.target, text_hash(target_id(t)));
   cr_assert(w.open == 1 && w.tokens == 500);
-  cr_assert_not(targets_changed(s, &w));
-  target_first(t, 500, 0, 0.02);
-  target_done(t, 2, TARGET_OK, true, 500, 1);
-  cr_assert(targets_changed(s, &w));
+  cr_assert_not(targets_next_work(s, &w));
+  target_note_first_byte(t, 500, 0, 0.02);
+  target_note_done(t, 2, TARGET_OK, true, 500, 1);
+  cr_assert(targets_next_work(s, &w));
   cr_assert(w.open == 0 && w.tokens == 0);
-  cr_assert_not(targets_changed(s, &w), "both changes in one");
+  cr_assert_not(targets_next_work(s, &w), "both changes in one");
   targets_free(s);
 }
 
@@ -362,20 +367,20 @@
 Test(targets, an_evacuated_data_centre_gets_nothing_until_it_is_taken_back) {
   Targets *s = two_places();
   cr_assert(gets_work(s, 1, "b"));
-  cr_assert(targets_evacuate(s, "b", true));
+  cr_assert(targets_set_evacuated(s, "b", true));
   cr_assert(!gets_work(s, 1, "b"));
   cr_assert(gets_work(s, 1, "a"));
   cr_assert(!gets_work(s, 100000, "b"), "never by time");
-  cr_assert(!targets_evacuate(s, "b", true), "the same twice");
-  cr_assert(targets_evacuate(s, "b", false));
+  cr_assert(!targets_set_evacuated(s, "b", true), "the same twice");
+  cr_assert(targets_set_evacuated(s, "b", false));
   cr_assert(gets_work(s, 100001, "b"));
-  cr_assert(!targets_evacuate(s, "b", false), "it was taken back before");
+  cr_assert(!targets_set_evacuated(s, "b", false), "it was taken back before");
   targets_free(s);
 }
 
 Test(targets, a_target_that_appears_in_an_evacuated_data_centre_gets_nothing) {
   Targets *s = two_places();
-  targets_evacuate(s, "b", true);
+  targets_set_evacuated(s, "b", true);
   TargetInfo t = info(9, "svc");
   g_strlcpy(t.dc, "b", sizeof t.dc);
   targets_set(s, 2, &t);
@@ -390,12 +395,12 @@
 Test(targets, a_listing_of_evacuations_ends_those_that_it_does_not_hold) {
   Targets *s = two_places();
   GHashTable *dcs = g_hash_table_new(g_str_hash, g_str_equal);
-  targets_evacuate(s, "a", true);
+  targets_set_evacuated(s, "a", true);
   g_hash_table_add(dcs, "b");
-  cr_assert(targets_evacuate_only(s, dcs));
+  cr_assert(targets_set_evacuated_dcs(s, dcs));
   cr_assert(gets_work(s, 1, "a"));
   cr_assert(!gets_work(s, 1, "b"));
-  cr_assert(!targets_evacuate_only(s, dcs));
+  cr_assert(!targets_set_evacuated_dcs(s, dcs));
   g_hash_table_destroy(dcs);
   targets_free(s);
 }
@@ -404,22 +409,23 @@
    second try. */
 Test(targets, nothing_touches_an_evacuated_target) {
   Targets *s = two_places();
-  targets_parts_are_told(s, true);
+  targets_set_parts_exchanged(s, true);
   Ask a = {.tokens_in = 9000, .n_parts = 2};
   a.parts[0] = (AskPart){77, 8000};
   a.parts[1] = (AskPart){78, 1000};
-  TargetAsk ask = {.service = "svc", .ask = &a, .engine = true, .move_s = 1e-6};
+  TargetRequest ask = {
+      .service = "svc", .ask = &a, .engine = true, .move_token_s = 1e-6};
   Target *home = targets_pick(s, 1, &ask).target;
   sent(home, 1, &a, 9000);
   const char *dc = target_id(home)[2] >= '2' ? "b" : "a";
-  targets_evacuate(s, dc, true);
+  targets_set_evacuated(s, dc, true);
   for (int i = 0; i < 20; i++) {
     TargetChoice c = targets_pick(s, 3, &ask);
     cr_assert_not_null(c.target);
     cr_assert_neq(c.target, home);
     cr_assert_null(c.donor);
-    uint64_t asked[TARGETS_ASKED];
-    int n = targets_to_ask(s, 3, &ask, asked);
+    uint64_t asked[TARGETS_MAX_QUERIED];
+    int n = targets_to_query(s, 3, &ask, asked);
     for (int k = 0; k < n; k++) cr_assert_neq(asked[k], target_hash(home));
   }
   targets_free(s);
@@ -428,13 +434,13 @@
 Test(targets, a_choice_tells_that_an_evacuation_left_none) {
   Targets *s = two_places();
   Ask a = {0};
-  TargetAsk ask = {.service = "svc", .ask = &a};
-  targets_evacuate(s, "a", true);
-  targets_evacuate(s, "b", true);
+  TargetRequest ask = {.service = "svc", .ask = &a};
+  targets_set_evacuated(s, "a", true);
+  targets_set_evacuated(s, "b", true);
   cr_assert_null(targets_pick(s, 1, &ask).target);
   cr_assert_eq(targets_pick(s, 1, &ask).none, TARGET_NONE_EVACUATED);
-  targets_evacuate(s, "nowhere", true); /* nobody knows it */
-  cr_assert_eq(targets_in(s, "nowhere"), 0);
+  targets_set_evacuated(s, "nowhere", true); /* nobody knows it */
+  cr_assert_eq(targets_count_in_dc(s, "nowhere"), 0);
   targets_free(s);
 }
 
@@ -443,10 +449,10 @@
   char dc[16];
   for (int i = 0; i < 1000; i++) {
     snprintf(dc, sizeof dc, "x%d", i);
-    targets_evacuate(s, dc, true);
+    targets_set_evacuated(s, dc, true);
   }
-  cr_assert(!targets_evacuate(s, "x999", false), "it was passed over");
-  cr_assert(targets_evacuate(s, "x1", false));
+  cr_assert(!targets_set_evacuated(s, "x999", false), "it was passed over");
+  cr_assert(targets_set_evacuated(s, "x1", false));
   targets_free(s);
 }
 
@@ -461,20 +467,20 @@
 
 static TargetInfo born(int64_t at, uint64_t revision) {
   TargetInfo t = info(0, "svc");
-  t.born = at;
+  t.start_ms = at;
   t.revision = revision;
   return t;
 }
 
 /* What is to be read there of this prompt. */
 static int64_t fresh(Targets *s, double now, const Ask *a) {
-  TargetAsk ask = {.service = "svc", .ask = a, .engine = true};
-  return targets_pick(s, now, &ask).fresh;
+  TargetRequest ask = {.service = "svc", .ask = a, .engine = true};
+  return targets_pick(s, now, &ask).uncached_tokens;
 }
 
 Test(targets, who_starts_again_under_its_id_holds_nothing_of_before) {
   Targets *s = targets_new("a", 1);
-  targets_parts_are_told(s, true);
+  targets_set_parts_exchanged(s, true);
   Ask a = prompt();
   TargetInfo t = born(1000, 10);
   cr_assert(!targets_set(s, 0, &t), "the first time");
@@ -486,9 +492,9 @@
   Target *again = pick(s, 3, &a, true);
   cr_assert_neq(again, old);
   cr_assert_eq(fresh(s, 3, &a), 3000, "its memory is empty");
-  cr_assert_eq(target_load_now(again, 3).open, 0, "what it ran is lost");
-  cr_assert_eq(target_load_now(old, 3).open, 1, "and ends by itself");
-  target_done(old, 4, TARGET_SILENT, false, 3000, 3);
+  cr_assert_eq(target_current_load(again, 3).open, 0, "what it ran is lost");
+  cr_assert_eq(target_current_load(old, 3).open, 1, "and ends by itself");
+  target_note_done(old, 4, TARGET_UNRESPONSIVE, false, 3000, 3);
   cr_assert_not_null(pick(s, 4, &a, true),
                      "its end says nothing of the new one");
   targets_sweep(s, 100);
@@ -520,12 +526,12 @@
   targets_set(s, 0, &t);
   TargetWork old = {
       .target = target_hash(pick(s, 0, &a, true)), .open = 7, .tokens = 9000};
-  targets_others(s, 0, 77, &old);
-  cr_assert_eq(target_load_now(pick(s, 0, &a, true), 0).open, 7);
+  targets_apply_work(s, 0, 77, &old);
+  cr_assert_eq(target_current_load(pick(s, 0, &a, true), 0).open, 7);
   t = born(2000, 11);
   targets_set(s, 1, &t);
-  targets_others(s, 1, 77, &old);
-  cr_assert_eq(target_load_now(pick(s, 1, &a, true), 1).open, 0);
+  targets_apply_work(s, 1, 77, &old);
+  cr_assert_eq(target_current_load(pick(s, 1, &a, true), 1).open, 0);
   targets_free(s);
 }
 
@@ -548,7 +554,7 @@
   Targets *s = some(4);
   Ask a = {0};
   Target *busy = pick(s, 1, &a, false);
-  target_load(busy, 1, 0, 0, 4);
+  target_set_load(busy, 1, 0, 0, 4);
   for (int i = 0; i < 20; i++) cr_assert_neq(pick(s, 1.02, &a, false), busy);
   int back = 0;
   for (int i = 0; i < 200; i++) back += pick(s, 1.5, &a, false) == busy;
@@ -559,13 +565,13 @@
 Test(targets, a_pace_that_is_absurd_is_believed_within_bounds) {
   static const double paces[] = {0, 1, 1e9, 1e-9};
   Ask a = {0};
-  TargetAsk ask = {.service = "svc", .ask = &a};
+  TargetRequest ask = {.service = "svc", .ask = &a};
   for (size_t k = 0; k < G_N_ELEMENTS(paces); k++) {
     Targets *s = some(1);
     Target *t = pick(s, 1, &a, false);
     sent(t, 1, &a, 0);
-    target_load(t, 1.02, 0, 0, paces[k]);
-    target_done(t, 1.02, TARGET_OK, true, 0, 0.02);
+    target_set_load(t, 1.02, 0, 0, paces[k]);
+    target_note_done(t, 1.02, TARGET_OK, true, 0, 0.02);
     double wait_s = targets_pick(s, 2, &ask).wait_s;
     cr_assert(wait_s >= 0.001 && wait_s <= 0.04, "%g: %f", paces[k], wait_s);
     if (paces[k] <= 1 && paces[k] != 1e-9)
@@ -581,13 +587,13 @@
   Ask a = {0};
   Target *t = pick(s, 1, &a, false);
   sent(t, 1, &a, 0);
-  target_load(t, 1.12, 0, 0, 4);
-  target_done(t, 1.12, TARGET_OK, true, 0, 0.12);
+  target_set_load(t, 1.12, 0, 0, 4);
+  target_note_done(t, 1.12, TARGET_OK, true, 0, 0.12);
   Target *u = pick(s, 1.13, &a, false);
   cr_assert_neq(u, t);
   sent(u, 1.13, &a, 0);
-  target_load(u, 1.18, 0, 0, 1);
-  target_done(u, 1.18, TARGET_OK, true, 0, 0.05);
+  target_set_load(u, 1.18, 0, 0, 1);
+  target_note_done(u, 1.18, TARGET_OK, true, 0, 0.05);
   int used = 0;
   for (int i = 0; i < 50; i++) used += pick(s, 3, &a, false) == t;
   cr_assert_gt(used, 40, "30 ms beside 50 ms, as they usually take");
@@ -599,10 +605,10 @@
 Test(targets, what_another_reader_told_is_no_news) {
   Targets *s = some(1);
   TargetInfo t = info(0, "svc"), other = info(1, "svc");
-  cr_assert_not(targets_is_news(s, &t), "just this was told");
+  cr_assert_not(targets_is_newer(s, &t), "just this was told");
   t.revision--;
-  cr_assert_not(targets_is_news(s, &t), "older than what is known");
-  cr_assert(targets_is_news(s, &other));
+  cr_assert_not(targets_is_newer(s, &t), "older than what is known");
+  cr_assert(targets_is_newer(s, &other));
   targets_free(s);
 }
 
@@ -612,8 +618,8 @@
   Targets *s = some(1);
   TargetInfo t = info(0, "svc");
   t.revision++;
-  cr_assert(targets_is_news(s, &t));
-  targets_gone(s, 5, t.id, true);
-  cr_assert(targets_is_news(s, &t));
+  cr_assert(targets_is_newer(s, &t));
+  targets_remove(s, 5, t.id, true);
+  cr_assert(targets_is_newer(s, &t));
   targets_free(s);
 }
