--- a/packages/route/ends.c
+++ b/packages/route/ends.c
@@ -1,24 +1,26 @@
-/* ends.c: what broke at each target, until it is known whether it has ended. */
+/* ends.c: broken exchanges of each target, until it is known whether it has
+   ended. */
 #include "route/ends.h"
 
 #include <glib.h>
 
-/* Seconds from a break until its target's end has to show: a connection is
-   refused within milliseconds or given up after 0.4 s; that a target has
-   started again under its name is in the store within one, and known here a
-   quarter of a second later. */
+/* Longest time from a break until the target's end is known: a connection is
+   refused within milliseconds or given up after 0.4 s; a restart under its
+   name is in the store within a second, and known here a quarter of a second
+   later. */
 #define END_WAIT_S 2.0
-/* Requests that are kept for one target; it runs 64 and queues some. */
+/* Most requests kept for one target, which runs 64 and queues some. */
 #define MAX_BROKEN_REQUESTS 256
 
 typedef struct Break {
-  double at;      /* of the last exchange that broke */
-  bool broke;     /* one did by itself */
-  bool probed;    /* a connection is to tell */
-  bool refused;   /* it was */
-  bool connected; /* it was taken */
-  bool ended;     /* the target has ended */
-  GArray *broken; /* EndsMark, while it is not known */
+  double at;               /* time of the last broken exchange */
+  bool has_broken;         /* an exchange broke by itself */
+  bool probed;             /* a connection probes the target */
+  bool refused;            /* a connection was refused */
+  bool connected;          /* a connection was accepted */
+  bool ended;              /* the target has ended */
+  GArray *broken_requests; /* EndsMark, until it is known whether the target
+                              ended */
 } Break;
 
 struct Ends {
@@ -28,7 +30,7 @@
 
 static void break_free(gpointer p) {
   Break *b = p;
-  g_array_free(b->broken, TRUE);
+  g_array_free(b->broken_requests, TRUE);
   g_free(b);
 }
 
@@ -50,8 +52,8 @@
   return now - b->at > END_WAIT_S;
 }
 
-/* What is known of breaks at a target; NULL: none that still counts. */
-static Break *find(const Ends *e, double now, uint64_t target) {
+/* The breaks at a target; NULL: none that has not expired. */
+static Break *find_break(const Ends *e, double now, uint64_t target) {
   Break *b = g_hash_table_lookup(e->breaks, &target);
   return b && !is_break_expired(b, now) ? b : NULL;
 }
@@ -59,7 +61,7 @@
 static Break *start_break(Ends *e, double now, uint64_t target) {
   Break *b = g_new0(Break, 1);
   b->at = now;
-  b->broken = g_array_new(FALSE, FALSE, sizeof(EndsMark));
+  b->broken_requests = g_array_new(FALSE, FALSE, sizeof(EndsMark));
   g_hash_table_replace(e->breaks, g_memdup2(&target, sizeof target), b);
   return b;
 }
@@ -70,14 +72,14 @@
 
 static bool mark_ended(Ends *e, Break *b) {
   b->ended = true;
-  for (guint i = 0; i < b->broken->len; i++)
-    queue_mark(e, &g_array_index(b->broken, EndsMark, i));
-  g_array_set_size(b->broken, 0);
+  for (guint i = 0; i < b->broken_requests->len; i++)
+    queue_mark(e, &g_array_index(b->broken_requests, EndsMark, i));
+  g_array_set_size(b->broken_requests, 0);
   return true;
 }
 
-/* One that is overrun refuses connections as well, but goes on with those that
-   it has. */
+/* An overloaded target refuses connections as well, but continues the
+   exchanges that it has. */
 static bool mark_ended_if_idle(Ends *e, Break *b, int open) {
   bool idle = b->refused && !b->connected && open == 0;
   return idle && !b->ended && mark_ended(e, b);
@@ -86,47 +88,47 @@
 static void add_request(Ends *e, Break *b, const EndsMark *mark) {
   if (b->ended)
     queue_mark(e, mark);
-  else if (b->broken->len < MAX_BROKEN_REQUESTS)
-    g_array_append_val(b->broken, *mark);
+  else if (b->broken_requests->len < MAX_BROKEN_REQUESTS)
+    g_array_append_val(b->broken_requests, *mark);
 }
 
-bool ends_note_break(Ends *e, double now, const EndsMark *mark, bool young,
-                     int open) {
-  Break *b = find(e, now, mark->target);
+bool ends_note_break(Ends *e, double now, const EndsMark *mark,
+                     bool recently_started, int open) {
+  Break *b = find_break(e, now, mark->target);
   if (!b || b->connected) b = start_break(e, now, mark->target);
   if (!b->ended) b->at = now;
-  b->broke = true;
-  if (young) add_request(e, b, mark);
+  b->has_broken = true;
+  if (recently_started) add_request(e, b, mark);
   return mark_ended_if_idle(e, b, open);
 }
 
 void ends_note_abandoned(Ends *e, double now, const EndsMark *mark) {
-  Break *b = find(e, now, mark->target);
+  Break *b = find_break(e, now, mark->target);
   if (!b || b->connected) b = start_break(e, now, mark->target);
   add_request(e, b, mark);
 }
 
 bool ends_start_probe(Ends *e, double now, uint64_t target) {
-  Break *b = find(e, now, target);
-  if (!b || !b->broke || b->probed || b->refused || b->ended) return false;
+  Break *b = find_break(e, now, target);
+  if (!b || !b->has_broken || b->probed || b->refused || b->ended) return false;
   b->probed = true;
   return true;
 }
 
 bool ends_note_refused(Ends *e, double now, uint64_t target, int open) {
-  Break *b = find(e, now, target);
-  if (!b) return false; /* nothing of ours was there */
+  Break *b = find_break(e, now, target);
+  if (!b) return false; /* we had no exchange with it */
   b->refused = true;
   return mark_ended_if_idle(e, b, open);
 }
 
 void ends_note_connected(Ends *e, double now, uint64_t target) {
-  Break *b = find(e, now, target);
+  Break *b = find_break(e, now, target);
   if (b) b->connected = true;
 }
 
 bool ends_note_restart(Ends *e, double now, uint64_t target) {
-  Break *b = find(e, now, target);
+  Break *b = find_break(e, now, target);
   return b && !b->ended && mark_ended(e, b);
 }
 
--- a/packages/route/ends.h
+++ b/packages/route/ends.h
@@ -1,9 +1,10 @@
 /* ends.h: which targets have ended, and under which requests; pure, for one
-   instance. An exchange that breaks says little: connections are reset, answers
-   are lost, a target may fail a part of its work. A target has ended when an
-   exchange with it broke, the next connection to it is refused and no exchange
-   with it goes on, or when it starts again under its name. That is known some
-   milliseconds after the break; until then what broke there is kept. */
+   instance. A broken exchange is little evidence: connections are reset,
+   answers are lost, and a target may fail part of its work. A target has ended
+   when an exchange with it broke, the next connection to it is refused and no
+   other exchange with it goes on, or when it restarts under its name. That is
+   known some milliseconds after the break; until then the requests that broke
+   are kept. */
 #ifndef ROUTE_ENDS_H
 #define ROUTE_ENDS_H
 
@@ -14,7 +15,7 @@
 
 /* A request that may have ended its target. */
 typedef struct EndsMark {
-  uint64_t target; /* target_hash: of one life of it */
+  uint64_t target; /* target_hash: of its id and start time */
   Digest digest;
   uint64_t owner; /* text_hash of the customer */
 } EndsMark;
@@ -24,31 +25,32 @@
 Ends *ends_new(void);
 void ends_free(Ends *e);
 
-/* Those that return a bool: true when the target has ended, as is known just
-   now. `open`: our exchanges with it that still go on. */
+/* The functions that return a bool return true if the target is now known to
+   have ended. `open`: number of our exchanges with it that go on. */
 
 /* An exchange with the target broke. `young`: the request of `mark` had just
-   begun to run there, or was still to begin. */
-bool ends_note_break(Ends *e, double now, const EndsMark *mark, bool young,
-                     int open);
-/* We broke an exchange with the target off, as its caller left or had no time
-   left. Should the target end, its request counts like those that broke. */
+   begun to run there, or had not begun yet. */
+bool ends_note_break(Ends *e, double now, const EndsMark *mark,
+                     bool recently_started, int open);
+/* We aborted an exchange with the target because its caller left or ran out of
+   time. If the target ends, its request counts like those that broke. */
 void ends_note_abandoned(Ends *e, double now, const EndsMark *mark);
-/* Something broke there, and whether it has ended is not known: a connection
-   to it would tell. Asked once for each break. */
+/* Whether to probe the target with a connection, since an exchange broke and
+   it is unknown whether the target has ended. True once for each break. */
 bool ends_start_probe(Ends *e, double now, uint64_t target);
-/* A connection to it was refused. */
+/* A connection attempt was refused. */
 bool ends_note_refused(Ends *e, double now, uint64_t target, int open);
-/* It took a connection: it goes on, unless it is told that it started again. */
+/* A connection was accepted: the target goes on unless a restart is
+   reported. */
 void ends_note_connected(Ends *e, double now, uint64_t target);
-/* It has started again under its name. */
+/* The target has restarted under its name. */
 bool ends_note_restart(Ends *e, double now, uint64_t target);
 
 /* The next request under which a target has ended; false: there is none. */
 bool ends_next_mark(Ends *e, EndsMark *m);
-/* Nothing broke of late. */
+/* Nothing broke recently. */
 bool ends_is_idle(const Ends *e);
-/* Forgets what is old; about once a second. */
+/* Drops what has expired; call it about once a second. */
 void ends_sweep(Ends *e, double now);
 
 #endif
--- a/packages/route/fair.c
+++ b/packages/route/fair.c
@@ -1,9 +1,10 @@
 /* fair.c: counts entries by owner. */
 #include "route/fair.h"
 
-/* The owner of most entries that may go; *most: how many. */
+/* The owner with the most entries that may be evicted; *most: their number. */
 static uint64_t largest_owner(GHashTable *table,
-                              FairEntry (*look)(gconstpointer), gsize *most) {
+                              FairEntry (*read_entry)(gconstpointer),
+                              gsize *most) {
   GHashTable *sizes =
       g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
   GHashTableIter it;
@@ -12,7 +13,7 @@
   *most = 0;
   g_hash_table_iter_init(&it, table);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    FairEntry e = look(v);
+    FairEntry e = read_entry(v);
     if (e.is_pinned) continue;
     gsize n = GPOINTER_TO_SIZE(g_hash_table_lookup(sizes, &e.owner)) + 1;
     g_hash_table_replace(sizes, g_memdup2(&e.owner, sizeof e.owner),
@@ -26,15 +27,15 @@
 }
 
 gpointer fair_choose_evicted(GHashTable *table,
-                             FairEntry (*look)(gconstpointer value)) {
+                             FairEntry (*read_entry)(gconstpointer value)) {
   GHashTableIter it;
   gpointer v, victim = NULL;
   double least = 0;
   gsize n;
-  uint64_t owner = largest_owner(table, look, &n);
+  uint64_t owner = largest_owner(table, read_entry, &n);
   g_hash_table_iter_init(&it, table);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    FairEntry e = look(v);
+    FairEntry e = read_entry(v);
     if (e.is_pinned || e.owner != owner) continue;
     if (victim && e.age >= least) continue;
     victim = v;
--- a/packages/route/fair.h
+++ b/packages/route/fair.h
@@ -1,5 +1,5 @@
-/* fair.h: what a full table sheds, so that one customer's many entries don't
-   push out another's; pure. */
+/* fair.h: which entry a full table evicts, so that one customer's many entries
+   don't displace another's; pure. */
 #ifndef ROUTE_FAIR_H
 #define ROUTE_FAIR_H
 
@@ -7,16 +7,17 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What counts of an entry. */
+/* The properties of an entry that matter. */
 typedef struct FairEntry {
   uint64_t owner; /* text_hash of the customer */
-  double age;     /* rank among those of an owner: the least goes first */
-  bool is_pinned; /* it is not to be shed */
+  double
+      age; /* rank among the entries of an owner: the lowest is evicted first */
+  bool is_pinned; /* it must not be evicted */
 } FairEntry;
 
-/* The entry to be shed: of the owner with most entries the one of least age.
-   `look` reads one of the table's values; NULL: none may go. */
+/* The entry to evict: of the owner with the most entries, the one with the
+   lowest age. `look` reads a value of the table; NULL: none may be evicted. */
 gpointer fair_choose_evicted(GHashTable *table,
-                             FairEntry (*look)(gconstpointer value));
+                             FairEntry (*read_entry)(gconstpointer value));
 
 #endif
--- a/packages/route/fit.c
+++ b/packages/route/fit.c
@@ -1,14 +1,14 @@
-/* fit.c: least squares with fading weights. */
+/* fit.c: least squares with exponentially fading weights. */
 #include "route/fit.h"
 
 #include <glib.h>
 
 #define POINT_KEEP_RATIO                                                       \
-  0.98                   /* weight kept by a point when the next one comes */
-#define INITIAL_WEIGHT 6 /* points that each end of the first line counts for  \
-                          */
-#define OUTLIER_RATIO                                                          \
-  4.0 /* a value beyond so many times the line is cut there */
+  0.98 /* weight that a point keeps when the next one comes */
+/* Points that each end of the initial line counts for. */
+#define INITIAL_WEIGHT 6
+/* A value is clamped to this multiple of the line. */
+#define OUTLIER_RATIO 4.0
 #define MIN_SPREAD 1e-9
 
 static void add_point(Fit *f, double x, double y, double weight) {
--- a/packages/route/loads.h
+++ b/packages/route/loads.h
@@ -1,7 +1,8 @@
-/* loads.h: who asks which target for its load; the pure core. In each region
-   one instance, by rendezvous, asks a target and tells the others, so that a
-   target is not asked by every instance there is. Whoever hears nothing of a
-   target asks by itself. docs/ROUTING.md. */
+/* loads.h: which instance queries a target's load; the pure core. In each
+   region one instance, chosen by rendezvous hashing, queries a target and
+   sends the answer to the others, so that not every instance queries every
+   target. An instance that receives no messages about a target queries it
+   itself. docs/ROUTING.md. */
 #ifndef ROUTE_LOADS_H
 #define ROUTE_LOADS_H
 
@@ -12,13 +13,13 @@
 #include "kernel/limits.h"
 #include "member/view.h"
 
-/* A target that is to be watched. */
+/* A target whose load is monitored. */
 typedef struct LoadsTarget {
   char name[LIMIT_NAME], url[LIMIT_NAME], dc[LIMIT_NAME];
   char pool[LIMIT_NAME + 8];
 } LoadsTarget;
 
-/* What instances of a region tell each other of one target. */
+/* A message about one target between the instances of a region. */
 typedef struct LoadsMsg {
   uint64_t target; /* hash of its name */
   int running, waiting;
@@ -30,18 +31,18 @@
 Loads *loads_new(const char *self);
 void loads_free(Loads *l);
 void loads_set_view(Loads *l, const View *v);
-/* Targets that stay keep what is known of them. */
+/* Targets that remain keep their state. */
 void loads_set_targets(Loads *l, const LoadsTarget *list, int n);
 
-/* The next target that we have to ask now; false: none. Its answer must come
-   with loads_heard. */
+/* The next target to query now; false: none. Its answer must be passed to
+   loads_apply_answer. */
 bool loads_next_query(Loads *l, double now, LoadsTarget *t);
 void loads_apply_answer(Loads *l, double now, const char *name, bool ok,
                         int running, int waiting);
-/* The next word to all others of our region; false: none. */
+/* The next message to all others of our region; false: none. */
 bool loads_next_message(Loads *l, double now, LoadsMsg *m);
-/* Another instance's word. The target it speaks of, NULL: unknown, or silent:
-   then we ask it ourselves before we believe it. */
+/* Applies another instance's message. Returns its target; NULL if that is
+   unknown or unresponsive: then we query it ourselves before we believe it. */
 const LoadsTarget *loads_apply_message(Loads *l, double now, const LoadsMsg *m);
 
 #endif
--- a/packages/route/regions.c
+++ b/packages/route/regions.c
@@ -1,4 +1,4 @@
-/* regions.c: a short list of regions, and the data centres of each. */
+/* regions.c: the list of regions, and the region of each data centre. */
 #include "route/regions.h"
 
 #include <glib.h>
@@ -6,13 +6,13 @@
 
 struct Regions {
   GPtrArray *names; /* of regions, in the order of their bits */
-  GHashTable *dcs;  /* data centre -> its bit, as a number from 1 on */
+  GHashTable *dcs;  /* data centre -> number of its region, from 1 */
 };
 
 static RegionsPath bypassed = REGIONS_PATHS;
 
-/* The number of a region, from 1 on, which is given if need be; 0: there are
-   too many. */
+/* The number of a region, from 1, assigned if it is new; 0: there are too
+   many. */
 static guint ensure_region_number(Regions *r, const char *region) {
   for (guint i = 0; i < r->names->len; i++)
     if (strcmp(r->names->pdata[i], region) == 0) return i + 1;
@@ -80,10 +80,10 @@
   return b == REGIONS_ANY ? a : a & b;
 }
 
-bool regions_admit(RegionSet allowed, RegionSet at, RegionsPath way) {
-  return allowed == REGIONS_ANY || way == bypassed || (allowed & at) != 0;
+bool regions_admit(RegionSet allowed, RegionSet at, RegionsPath path) {
+  return allowed == REGIONS_ANY || path == bypassed || (allowed & at) != 0;
 }
 
-void regions_bypass_check(RegionsPath way) {
-  bypassed = way;
+void regions_bypass_check(RegionsPath path) {
+  bypassed = path;
 }
--- a/packages/route/regions.h
+++ b/packages/route/regions.h
@@ -1,17 +1,17 @@
-/* regions.h: which regions a request may be served in, and which way its bytes
-   may leave this instance; pure. */
+/* regions.h: the regions in which a request may be served, and the paths by
+   which its bytes may leave this instance; pure. */
 #ifndef ROUTE_REGIONS_H
 #define ROUTE_REGIONS_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* A set of regions, one bit each. That of a request that is bound to some has
-   REGIONS_BOUND besides, so that "nowhere" and "anywhere" differ. */
+/* A set of regions, one bit each. The set of a restricted request also has
+   REGIONS_BOUND, so that "nowhere" and "anywhere" differ. */
 typedef uint64_t RegionSet;
-#define REGIONS_ANY ((RegionSet)0) /* of a request that is not bound */
+#define REGIONS_ANY ((RegionSet)0) /* of a request without restriction */
 #define REGIONS_BOUND ((RegionSet)1 << 63)
-#define REGIONS_MAX 63 /* regions of one fleet */
+#define REGIONS_MAX 63 /* most regions of one fleet */
 
 typedef struct Regions Regions;
 
@@ -20,33 +20,33 @@
 Regions *regions_new(const char *dc, const char *region, const char *map);
 void regions_free(Regions *r);
 
-/* The region as a set of one; empty: it is not known. */
+/* The set with just this region; empty: it is unknown. */
 RegionSet regions_by_name(const Regions *r, const char *region);
-/* The same of the region of a data centre. */
+/* The set with just the region of a data centre. */
 RegionSet regions_of_dc(const Regions *r, const char *dc);
-/* The regions of an operators' list that ends with NULL; a list that is NULL
-   bounds nothing. A name that is not known allows nothing; the first such is
-   put into `unknown`, unless that is NULL. */
+/* The regions of an operators' list that ends with NULL; a NULL list does not
+   restrict. An unknown name allows nothing; the first one is stored in
+   `unknown`, unless that is NULL. */
 RegionSet regions_from_list(const Regions *r, char *const *names,
                             const char **unknown);
-/* What two lists allow together. */
+/* The regions that both sets allow. */
 RegionSet regions_intersect(RegionSet a, RegionSet b);
 
-/* Ways by which bytes of a request leave the instance that its caller spoke
-   to. All of them ask regions_admit. */
+/* Paths by which bytes of a request leave the instance that received it. All
+   of them check regions_admit. */
 typedef enum {
-  REGIONS_TARGET,  /* to a target: first try, retry, resumed stream */
-  REGIONS_DONOR,   /* prompt memory, from one target to another */
-  REGIONS_COUNTER, /* names of prompt parts, to who counts a target's work */
+  REGIONS_TARGET,  /* to a target: first attempt, retry, resumed stream */
+  REGIONS_DONOR,   /* cached prompt state, from one target to another */
+  REGIONS_COUNTER, /* hashes of prompt parts, to the counting instance */
   REGIONS_PEERS,   /* the same, to all instances of our region */
   REGIONS_PATHS
 } RegionsPath;
 
-/* Whether bytes of a request that is bound to `allowed` may go to `at`. A place
-   whose region is not known is open only to a request that is not bound. */
-bool regions_admit(RegionSet allowed, RegionSet at, RegionsPath way);
+/* Whether bytes of a request bound to `allowed` may go to `at`. A place whose
+   region is unknown is open only to a request without restriction. */
+bool regions_admit(RegionSet allowed, RegionSet at, RegionsPath path);
 
-/* For tests: a way that lets everything through; REGIONS_WAYS: none does. */
-void regions_bypass_check(RegionsPath way);
+/* For tests: disables the check on one path; REGIONS_PATHS: on none. */
+void regions_bypass_check(RegionsPath path);
 
 #endif
--- a/packages/route/retries.c
+++ b/packages/route/retries.c
@@ -5,12 +5,13 @@
 #include <math.h>
 #include <string.h>
 
-#define WINDOW_BUCKETS                                                         \
-  20 /* of one window; one more is counted, so that every                      \
-        sliding window lies within what is counted */
+/* Buckets of one window; one more is counted, so that the counted time covers
+   every sliding window. */
+#define WINDOW_BUCKETS 20
 
-#define INITIAL_INSTANCES 1000000 /* instances: the others are not known yet   \
-                                   */
+/* While the number of instances is unknown, our part of the extra retries is
+   zero. */
+#define INITIAL_INSTANCES 1000000
 
 typedef struct Counts {
   int64_t at; /* number of the newest bucket */
@@ -20,8 +21,8 @@
 
 struct Retries {
   RetriesOptions o;
-  int instances,
-      previous_instances; /* before: larger, and counts until `until` */
+  int instances, previous_instances; /* the previous, larger number counts until
+                                        previous_until */
   double previous_until;
   GHashTable *services; /* name -> Counts */
 };
@@ -54,7 +55,7 @@
   r->instances = n;
 }
 
-/* The counts of a service, moved on to now. */
+/* The counts of a service, advanced to `now`. */
 static Counts *current_counts(Retries *r, double now, const char *service) {
   int64_t at = (int64_t)floor(now / (r->o.window_s / WINDOW_BUCKETS));
   Counts *c = g_hash_table_lookup(r->services, service);
@@ -84,7 +85,7 @@
     first += c->first[i];
     retried += c->retried[i];
   }
-  /* The oldest bucket lies partly outside of the window that ends now. */
+  /* The oldest bucket is partly outside the window that ends now. */
   first -= c->first[(c->at + 1) % (WINDOW_BUCKETS + 1)];
   double most =
       r->o.ratio * first + floor(r->o.extra / instances_sharing(r, now));
--- a/packages/route/roster.c
+++ b/packages/route/roster.c
@@ -1,4 +1,4 @@
-/* roster.c: rows of figures and names, services and data centres by number. */
+/* roster.c: rows of numbers and names; services and data centres by index. */
 #include "route/roster.h"
 
 #include <jansson.h>
@@ -7,12 +7,12 @@
 
 #include "route/state.h"
 
-#define MS 1000.0
+#define MS_PER_S 1000.0
 
 /* == writing == */
 
-/* The number of a name in a list, which is added if need be. */
-static int number_in(json_t *list, const char *name) {
+/* The index of a name in a list, which is extended if necessary. */
+static int index_of_name(json_t *list, const char *name) {
   size_t i;
   json_t *known;
   json_array_foreach(list, i, known) if (strcmp(json_string_value(known),
@@ -21,23 +21,23 @@
   return (int)json_array_size(list) - 1;
 }
 
-static json_t *row_of(const Target *t, double now, json_t *services,
-                      json_t *dcs) {
+static json_t *make_row(const Target *t, double now, json_t *services,
+                        json_t *dcs) {
   const TargetInfo *i = &t->info;
-  int cold_ms = (int)(MAX(0, t->cold_until - now) * MS);
+  int cold_ms = (int)(MAX(0, t->cold_until - now) * MS_PER_S);
   return json_pack("[s,s,i,i,i,b,i,I,I]", i->id, i->addr,
-                   number_in(services, i->service), number_in(dcs, i->dc),
-                   i->slots, (int)i->leaving, cold_ms, (json_int_t)i->start_ms,
-                   (json_int_t)i->revision);
+                   index_of_name(services, i->service),
+                   index_of_name(dcs, i->dc), i->slots, (int)i->leaving,
+                   cold_ms, (json_int_t)i->start_ms, (json_int_t)i->revision);
 }
 
-/* It is there as far as its entry says. */
+/* Its entry is present. */
 static bool is_listed(const Target *t) {
   return !t->lapsed && (t->info.leaving || isinf(t->leave_at));
 }
 
-/* The pool to go on with: the first whose hash is not below; NULL: none. */
-static Pool *pool_from(const Targets *s, uint64_t hash) {
+/* The pool to continue with, the first whose hash is not lower; NULL: none. */
+static Pool *next_pool(const Targets *s, uint64_t hash) {
   Pool *next = NULL;
   GHashTableIter it;
   gpointer v;
@@ -53,16 +53,16 @@
 static bool add_rows(Pool *p, double now, RosterCursor *at, json_t *rows,
                      json_t *services, json_t *dcs) {
   GPtrArray *members = pool_sorted_members(p);
-  bool inside = at->has_target && at->pool == p->hash;
+  bool after_target = at->has_target && at->pool == p->hash;
   at->pool = p->hash;
   for (guint i = 0; i < members->len; i++) {
     const Target *t = members->pdata[i];
-    if (inside && t->hash <= at->target) continue;
+    if (after_target && t->hash <= at->target) continue;
     if (json_array_size(rows) == ROSTER_MAX_ROWS) return false;
     at->target = t->hash;
     at->has_target = true;
     if (is_listed(t))
-      json_array_append_new(rows, row_of(t, now, services, dcs));
+      json_array_append_new(rows, make_row(t, now, services, dcs));
   }
   return true;
 }
@@ -71,7 +71,7 @@
   json_t *rows = json_array(), *services = json_array(), *dcs = json_array();
   Pool *p;
   *more = false;
-  while (!*more && (p = pool_from(s, at->pool)) != NULL) {
+  while (!*more && (p = next_pool(s, at->pool)) != NULL) {
     *more = !add_rows(p, now, at, rows, services, dcs);
     if (!*more && p->hash == UINT64_MAX) break;
     if (!*more) *at = (RosterCursor){.pool = p->hash + 1};
@@ -93,15 +93,16 @@
                      TargetInfo *t) {
   const char *id, *addr;
   int service, dc, leaving, cold_ms;
-  json_int_t born, revision;
+  json_int_t start_ms, revision;
   memset(t, 0, sizeof *t);
   if (json_unpack(row, "[s,s,i,i,i,b,i,I,I!]", &id, &addr, &service, &dc,
-                  &t->slots, &leaving, &cold_ms, &born, &revision) != 0)
+                  &t->slots, &leaving, &cold_ms, &start_ms, &revision) != 0)
+    return false;
+  if (t->slots < 0 || cold_ms < 0 || start_ms < 0 || revision <= 0)
     return false;
-  if (t->slots < 0 || cold_ms < 0 || born < 0 || revision <= 0) return false;
   t->leaving = leaving;
-  t->cold_s = cold_ms / MS;
-  t->start_ms = born;
+  t->cold_s = cold_ms / MS_PER_S;
+  t->start_ms = start_ms;
   t->revision = (uint64_t)revision;
   return copy_name(t->id, sizeof t->id, id) &&
          copy_name(t->addr, sizeof t->addr, addr) &&
@@ -112,7 +113,7 @@
                    json_string_value(json_array_get(dcs, (size_t)dc)));
 }
 
-/* All rows, or none. */
+/* All rows; NULL: one is damaged. */
 static GArray *read_rows(json_t *o) {
   GArray *list = g_array_new(FALSE, FALSE, sizeof(TargetInfo));
   json_t *services, *dcs, *rows, *row;
--- a/packages/route/route.c
+++ b/packages/route/route.c
@@ -1,4 +1,4 @@
-/* route.c: filter, cost, choice, ejection and the retry budget. */
+/* route.c: filter, cost, choice, ejection and retry budgets. */
 #include "route/route.h"
 
 #include <math.h>
@@ -8,41 +8,42 @@
 #include "kernel/list.h"
 
 #define SAMPLE_WEIGHT 0.1      /* weight of a new sample */
-#define PATH_SAMPLE_WEIGHT 0.3 /* the same; the path is seldom measured */
-#define EJECT_AFTER_FAILURES 3 /* failures in a row that eject */
-#define EJECT_MIN_S 1.0        /* seconds, doubled each time */
+#define PATH_SAMPLE_WEIGHT 0.3 /* higher, since the path is seldom measured */
+#define EJECT_AFTER_FAILURES 3 /* failures in a row that eject a target */
+#define EJECT_MIN_S 1.0        /* doubled with each ejection */
 #define EJECT_MAX_S 30.0
-#define MAX_KEPT_BLOCKS 65536   /* block hashes remembered of one pool */
+#define MAX_KEPT_BLOCKS 65536   /* block hashes kept for one pool */
 #define RETRIES_PER_SUCCESS 0.1 /* retries for each success */
 #define MAX_SAVED_RETRIES 5.0
-#define STALE_MAX_S 5.0 /* seconds of age that still raise the margin */
+#define STALE_MAX_S 5.0 /* the margin does not grow with age above this */
 #define STALE_MARGIN_PER_S                                                     \
-  0.02                      /* margin for each second of age, of a full wait */
-#define NEAR_BEST_RATIO 0.2 /* choices within this part of the best cost... */
-#define NEAR_BEST_S 0.005   /* ...or this many seconds are as good */
+  0.02 /* margin per second of age, relative to a full wait */
+#define NEAR_BEST_RATIO 0.2 /* costs within this fraction of the lowest... */
+#define NEAR_BEST_S 0.005   /* ...or within this time count as equal */
 
-typedef struct State {
+typedef struct TargetState {
   RouteTarget t;
-  const char *given; /* interned: adapters that it was ordered to load */
+  const char *assigned_adapters; /* interned: adapters that the fleet ordered it
+                                    to load */
   bool leaving;
   int running, waiting;  /* as reported */
-  int own;               /* our dispatches in progress */
-  int sent_since_report; /* our dispatches since the report, still open */
-  double reported;       /* 0: never */
+  int own_open;          /* our dispatches in progress */
+  int sent_since_report; /* those of them sent since the report */
+  double reported_at;    /* 0: never */
   double path_s, prefill_s, service_s;
   bool path_known;
-  int fails;
+  int consecutive_failures;
   int64_t failures;
   double ejected_until, eject_s;
-  double retries; /* left after its failures */
+  double retries; /* remaining retries */
   bool ejected, probing;
   GHashTable *recent_blocks,
       *older_blocks; /* block hashes sent there, two generations */
-} State;
+} TargetState;
 
-/* One candidate of a choice. */
+/* A candidate of a choice. */
 typedef struct Candidate {
-  State *s;
+  TargetState *s;
   RouteChoice c;
   double score;
 } Candidate;
@@ -51,31 +52,31 @@
   GPtrArray *list; /* State* */
   GRand *rng;
   RoutePolicy policy;
-  int instances; /* instances that choose as we do */
-  guint turn;
+  int instances; /* number that choose among these targets */
+  guint next_turn;
   double retries;
-  GHashTable *customers; /* name -> double*, retries left */
+  GHashTable *customers; /* name -> double*, remaining retries */
   int64_t ejections;
-  GArray *priced; /* Price, of the choice being made */
+  GArray *priced; /* Candidate, of the current choice */
 };
 
-/* == memory == */
+/* == construction == */
 
 static GHashTable *block_set(void) {
   return g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 }
 
 static void state_free(gpointer p) {
-  State *s = p;
+  TargetState *s = p;
   g_hash_table_destroy(s->recent_blocks);
   g_hash_table_destroy(s->older_blocks);
   g_free(s);
 }
 
-static State *state_new(const RouteTarget *t) {
-  State *s = g_new0(State, 1);
+static TargetState *state_new(const RouteTarget *t) {
+  TargetState *s = g_new0(TargetState, 1);
   s->t = *t;
-  s->given = "";
+  s->assigned_adapters = "";
   s->path_s = 0.001;
   s->prefill_s = 0.0001;
   s->service_s = 1.0;
@@ -106,9 +107,9 @@
   g_free(r);
 }
 
-static State *find(const Route *r, const char *name) {
+static TargetState *find_state(const Route *r, const char *name) {
   for (guint i = 0; i < r->list->len; i++) {
-    State *s = r->list->pdata[i];
+    TargetState *s = r->list->pdata[i];
     if (strcmp(s->t.name, name) == 0) return s;
   }
   return NULL;
@@ -117,7 +118,7 @@
 void route_set_targets(Route *r, const RouteTarget *list, int n) {
   GPtrArray *next = g_ptr_array_new_with_free_func(state_free);
   for (int i = 0; i < n; i++) {
-    State *s = find(r, list[i].name);
+    TargetState *s = find_state(r, list[i].name);
     if (s) {
       for (guint k = 0; k < r->list->len; k++)
         if (r->list->pdata[k] == s) {
@@ -134,12 +135,12 @@
 
 void route_set_assigned_adapters(Route *r, const char *name,
                                  const char *adapters) {
-  State *s = find(r, name);
-  if (s) s->given = g_intern_string(adapters);
+  TargetState *s = find_state(r, name);
+  if (s) s->assigned_adapters = g_intern_string(adapters);
 }
 
 void route_set_leaving(Route *r, const char *name, bool leaving) {
-  State *s = find(r, name);
+  TargetState *s = find_state(r, name);
   if (s) s->leaving = leaving;
 }
 
@@ -163,20 +164,21 @@
   return n;
 }
 
-static bool has_block(const State *s, const uint64_t *b) {
+static bool has_block(const TargetState *s, const uint64_t *b) {
   return g_hash_table_contains(s->recent_blocks, b) ||
          g_hash_table_contains(s->older_blocks, b);
 }
 
-/* Blocks of the ask that the target is thought to have cached. */
-static int cached_blocks(const State *s, const RouteRequest *ask) {
+/* Blocks of the prompt that the target has probably cached. */
+static int cached_blocks(const TargetState *s, const RouteRequest *ask) {
   int n = 0;
-  while (n < ask->n && has_block(s, &ask->blocks[n])) n++;
+  while (n < ask->n_blocks && has_block(s, &ask->blocks[n])) n++;
   return n;
 }
 
-static void remember_blocks(const Route *r, State *s, const RouteRequest *ask) {
-  for (int i = 0; i < ask->n; i++)
+static void remember_blocks(const Route *r, TargetState *s,
+                            const RouteRequest *ask) {
+  for (int i = 0; i < ask->n_blocks; i++)
     g_hash_table_add(s->recent_blocks,
                      g_memdup2(&ask->blocks[i], sizeof ask->blocks[i]));
   if (g_hash_table_size(s->recent_blocks) < MAX_KEPT_BLOCKS / 2 / r->list->len)
@@ -191,13 +193,13 @@
 static int ejected_count(const Route *r) {
   int n = 0;
   for (guint i = 0; i < r->list->len; i++)
-    n += ((State *)r->list->pdata[i])->ejected;
+    n += ((TargetState *)r->list->pdata[i])->ejected;
   return n;
 }
 
-static void eject(Route *r, State *s, double now) {
-  /* Never more than half: with most of them failing the fault is elsewhere,
-     and refusing everything would help nobody. */
+static void eject(Route *r, TargetState *s, double now) {
+  /* Never ejects more than half of the targets: if most of them fail, the
+     cause is elsewhere, and refusing all requests would not help. */
   bool allowed = s->ejected || 2 * (ejected_count(r) + 1) <= route_count(r);
   if (!allowed) return;
   if (!s->ejected) r->ejections++;
@@ -207,39 +209,41 @@
   s->eject_s = MIN(s->eject_s * 2, EJECT_MAX_S);
 }
 
-static void record_failure(Route *r, State *s, double now) {
-  s->fails++;
+static void record_failure(Route *r, TargetState *s, double now) {
+  s->consecutive_failures++;
   s->failures++;
-  if (s->fails >= EJECT_AFTER_FAILURES || s->ejected) eject(r, s, now);
+  if (s->consecutive_failures >= EJECT_AFTER_FAILURES || s->ejected)
+    eject(r, s, now);
 }
 
-static void record_success(State *s) {
-  s->fails = 0;
+static void record_success(TargetState *s) {
+  s->consecutive_failures = 0;
   s->ejected = s->probing = false;
   s->eject_s = EJECT_MIN_S;
 }
 
 /* == load == */
 
-/* In progress there: the report, and what we sent since. */
-static int inflight(const State *s) {
+/* Requests in progress there: the reported ones and those sent since. */
+static int count_inflight(const TargetState *s) {
   int reported = s->running + s->waiting;
-  return MAX(reported + s->sent_since_report, s->own);
+  return MAX(reported + s->sent_since_report, s->own_open);
 }
 
-/* The same as it is likely to be now: what was reported has partly ended, and
-   the other instances have sent there about what we have. */
-static double estimate_inflight(const Route *r, const State *s, double now) {
-  double age = s->reported > 0 ? now - s->reported : 0;
+/* Estimates the current number: some of the reported requests have ended, and
+   the other instances have sent about as many as this one. */
+static double estimate_inflight(const Route *r, const TargetState *s,
+                                double now) {
+  double age = s->reported_at > 0 ? now - s->reported_at : 0;
   double left = (s->running + s->waiting) * exp(-age / s->service_s);
-  return MAX(left + (double)s->sent_since_report * r->instances, s->own);
+  return MAX(left + (double)s->sent_since_report * r->instances, s->own_open);
 }
 
-/* Targets of one data centre are as far as each other, and most of them are
-   asked by other instances than us. */
-static void record_path(Route *r, const State *s, double path_s) {
+/* All targets of a data centre share the latency of its path, since other
+   instances query most of them. */
+static void record_path(Route *r, const TargetState *s, double path_s) {
   for (guint i = 0; i < r->list->len; i++) {
-    State *x = r->list->pdata[i];
+    TargetState *x = r->list->pdata[i];
     bool there = x == s || (s->t.dc[0] && strcmp(x->t.dc, s->t.dc) == 0);
     if (!there) continue;
     x->path_s +=
@@ -250,28 +254,29 @@
 
 void route_apply_load(Route *r, double now, const char *name, int running,
                       int waiting, double path_s) {
-  State *s = find(r, name);
+  TargetState *s = find_state(r, name);
   if (!s) return;
   s->running = running;
   s->waiting = waiting;
   s->sent_since_report = 0;
-  s->reported = now;
+  s->reported_at = now;
   if (path_s >= 0) record_path(r, s, path_s);
-  /* A live answer ends an ejection only through a probe with real work. */
-  if (!s->ejected && path_s >= 0) s->fails = 0;
+  /* Only a probe with a real request ends an ejection, not an answer to a
+     query. */
+  if (!s->ejected && path_s >= 0) s->consecutive_failures = 0;
 }
 
 void route_note_unresponsive(Route *r, double now, const char *name) {
-  State *s = find(r, name);
+  TargetState *s = find_state(r, name);
   if (s) record_failure(r, s, now);
 }
 
 int route_free_slots(const Route *r, double now) {
   int room = 0;
   for (guint i = 0; i < r->list->len; i++) {
-    const State *s = r->list->pdata[i];
+    const TargetState *s = r->list->pdata[i];
     bool out = s->leaving || (s->ejected && now < s->ejected_until);
-    if (!out) room += s->t.slots - inflight(s);
+    if (!out) room += s->t.slots - count_inflight(s);
   }
   return room;
 }
@@ -279,7 +284,7 @@
 double route_max_rate(const Route *r) {
   double rate = 0;
   for (guint i = 0; i < r->list->len; i++) {
-    const State *s = r->list->pdata[i];
+    const TargetState *s = r->list->pdata[i];
     if (!s->leaving && !s->ejected) rate += s->t.slots / s->service_s;
   }
   return rate;
@@ -297,25 +302,26 @@
   return what && what[0];
 }
 
-static bool meets_requirements(const State *s, const RouteRequest *ask) {
+static bool meets_requirements(const TargetState *s, const RouteRequest *ask) {
   const RouteTarget *t = &s->t;
   const char *adapter = ask->adapter;
   if (is_required(adapter) && !list_has(t->adapters, adapter) &&
-      !list_has(s->given, adapter))
+      !list_has(s->assigned_adapters, adapter))
     return false;
   if (is_required(ask->version) && strcmp(t->version, ask->version) != 0)
     return false;
   return !is_required(ask->dcs) || list_has(ask->dcs, t->dc);
 }
 
-static bool may_send_to(const State *s, double now, const RouteRequest *ask) {
+static bool may_send_to(const TargetState *s, double now,
+                        const RouteRequest *ask) {
   if (s->leaving || was_tried(ask, s->t.name) || !meets_requirements(s, ask))
     return false;
   if (!s->ejected) return true;
   return now >= s->ejected_until && !s->probing; /* one probe at a time */
 }
 
-static void compute_cost(const Route *r, const State *s, double now,
+static void compute_cost(const Route *r, const TargetState *s, double now,
                          const RouteRequest *ask, RouteChoice *c) {
   int64_t cached = (int64_t)cached_blocks(s, ask) * ROUTE_BLOCK_BYTES / 4;
   c->cached = MIN(cached, ask->tokens);
@@ -323,32 +329,33 @@
   c->prefill = (double)(ask->tokens - c->cached) * s->prefill_s;
   double there = estimate_inflight(r, s, now), over = there + 1 - s->t.slots;
   c->wait = over > 0 ? over * s->service_s / s->t.slots : 0;
-  /* An old report hides what others sent since; the fuller the target was,
-     the likelier that it is full by now. */
+  /* An old report hides what other instances sent since; the higher the load
+     was, the more likely the target is full by now. */
   double age =
-      s->reported > 0 ? MIN(now - s->reported, STALE_MAX_S) : STALE_MAX_S;
+      s->reported_at > 0 ? MIN(now - s->reported_at, STALE_MAX_S) : STALE_MAX_S;
   double load = there / s->t.slots;
   c->margin = age * STALE_MARGIN_PER_S * load * s->service_s;
   c->cost = c->path + c->prefill + c->wait + c->margin;
 }
 
-static double compute_score(const Route *r, const State *s,
+static double compute_score(const Route *r, const TargetState *s,
                             const RouteRequest *ask, const RouteChoice *c,
                             guint i) {
-  if (ask->prefer && strcmp(ask->prefer, s->t.name) == 0) return -1;
+  if (ask->preferred && strcmp(ask->preferred, s->t.name) == 0) return -1;
   switch (r->policy) {
   case ROUTE_ROUND_ROBIN:
-    return (double)((i + r->list->len - r->turn % r->list->len) % r->list->len);
-  case ROUTE_LEAST_LOADED: return (double)inflight(s) / s->t.slots;
+    return (double)((i + r->list->len - r->next_turn % r->list->len) %
+                    r->list->len);
+  case ROUTE_LEAST_LOADED: return (double)count_inflight(s) / s->t.slots;
   case ROUTE_NEAREST: return c->path;
   case ROUTE_PREFIX: return c->prefill;
   default: return c->cost;
   }
 }
 
-static void record_dispatch(const Route *r, State *s, const RouteRequest *ask,
-                            RouteChoice *c) {
-  s->own++;
+static void record_dispatch(const Route *r, TargetState *s,
+                            const RouteRequest *ask, RouteChoice *c) {
+  s->own_open++;
   s->sent_since_report++;
   c->probe = s->ejected;
   s->probing = s->ejected;
@@ -371,9 +378,9 @@
   }
   guint n = r->priced->len;
   if (n == 0) return false;
-  r->turn++;
-  /* Among those about as good as the best the choice is by lot, so that many
-     instances with the same old reports do not all take the same one. */
+  r->next_turn++;
+  /* Chooses at random among those about as good as the best, so that instances
+     with the same old reports do not all choose the same one. */
   double slack = 0;
   if (r->policy == ROUTE_OURS) slack = MAX(best * NEAR_BEST_RATIO, NEAR_BEST_S);
   const Candidate *pick = NULL;
@@ -391,11 +398,11 @@
 }
 
 void route_note_done(Route *r, double now, const char *name,
-                     RouteOutcome outcome, int64_t fresh_tokens, double first_s,
-                     double all_s) {
-  State *s = find(r, name);
+                     RouteOutcome outcome, int64_t uncached_tokens,
+                     double first_s, double all_s) {
+  TargetState *s = find_state(r, name);
   if (!s) return;
-  s->own = MAX(s->own - 1, 0);
+  s->own_open = MAX(s->own_open - 1, 0);
   s->sent_since_report = MAX(s->sent_since_report - 1, 0);
   if (outcome != ROUTE_OK) {
     record_failure(r, s, now);
@@ -405,9 +412,9 @@
   r->retries = MIN(r->retries + RETRIES_PER_SUCCESS, MAX_SAVED_RETRIES);
   s->retries = MIN(s->retries + RETRIES_PER_SUCCESS, MAX_SAVED_RETRIES);
   if (all_s > 0) s->service_s += (all_s - s->service_s) * SAMPLE_WEIGHT;
-  bool clear = inflight(s) < s->t.slots && fresh_tokens > 64;
+  bool clear = count_inflight(s) < s->t.slots && uncached_tokens > 64;
   if (first_s > s->path_s && clear) {
-    double each = (first_s - s->path_s) / (double)fresh_tokens;
+    double each = (first_s - s->path_s) / (double)uncached_tokens;
     s->prefill_s += (each - s->prefill_s) * SAMPLE_WEIGHT;
   }
 }
@@ -427,7 +434,7 @@
 }
 
 bool route_may_retry(Route *r, const char *customer, const char *target) {
-  State *s = find(r, target);
+  TargetState *s = find_state(r, target);
   double *theirs = customer_retries(r, customer);
   if (r->retries < 1 || *theirs < 1 || (s && s->retries < 1)) return false;
   r->retries -= 1;
@@ -441,15 +448,16 @@
 }
 
 RouteState route_state(const Route *r, double now, int i) {
-  const State *s = r->list->pdata[i];
+  const TargetState *s = r->list->pdata[i];
   return (RouteState){.target = s->t,
-                      .assigned_adapters = s->given,
+                      .assigned_adapters = s->assigned_adapters,
                       .running = s->running,
                       .waiting = s->waiting,
-                      .own_open = s->own,
+                      .own_open = s->own_open,
                       .leaving = s->leaving,
                       .ejected = s->ejected,
-                      .age = s->reported > 0 ? now - s->reported : -1,
+                      .report_age_s =
+                          s->reported_at > 0 ? now - s->reported_at : -1,
                       .path_s = s->path_s,
                       .failures = s->failures};
 }
--- a/packages/route/suspects.c
+++ b/packages/route/suspects.c
@@ -1,4 +1,4 @@
-/* suspects.c: marks are counted, suspects named and cleared. */
+/* suspects.c: counts marks, names and clears suspects. */
 #include "route/suspects.h"
 
 #include <glib.h>
@@ -6,24 +6,24 @@
 #include "kernel/count.h"
 #include "route/fair.h"
 
-#define MARKS_TO_NAME 2 /* targets that ended under it make it a suspect */
-/* Requests that are kept, as a home and as suspects; 100 bytes each. Nothing is
-   forgotten by time: the bad one may come again after an hour. */
+#define MARKS_TO_NAME 2 /* number of targets that ended under a suspect */
+/* Most requests kept as a home and as suspects, 100 bytes each. They don't
+   expire, since the harmful one may return after an hour. */
 #define MAX_COUNTS 4096
 #define MAX_NAMED 1024
-/* Attempts that ended well, the last ones: half a minute of the busiest
-   instance of the users' days, 40 requests a second. */
+/* Last attempts that ended well: half a minute of the busiest instance, with
+   40 requests a second. */
 #define MAX_SUCCESSES 2048
-/* Seconds for which they are kept after a mark, or a word of one. */
+/* Successes are kept for this long after a mark or a message about one. */
 #define TRACK_SUCCESSES_S 60.0
 
-/* One request, as it is kept in a table. */
+/* A request in a table. */
 typedef struct Entry {
   Digest digest;
   uint64_t owner;
-  double first, last; /* marks */
+  double first, last; /* times of marks */
   int n;
-  uint64_t targets[MARKS_TO_NAME]; /* that ended under it, the first ones */
+  uint64_t targets[MARKS_TO_NAME]; /* the first ones that ended under it */
 } Entry;
 
 typedef struct Success {
@@ -32,12 +32,12 @@
 } Success;
 
 struct Suspects {
-  GHashTable *counts; /* Digest -> Entry, where we are its home */
+  GHashTable *counts; /* Digest -> Entry, where we are a home */
   GHashTable *named;  /* Digest -> Entry */
   Success successes[MAX_SUCCESSES];
-  int64_t success_count; /* that were put there in all */
-  double last_mark_at;   /* of a mark */
-  GQueue out;            /* SuspectsMsg* */
+  int64_t success_count; /* total number ever added */
+  double last_mark_at;
+  GQueue to_send; /* SuspectsMsg* */
 };
 
 Suspects *suspects_new(void) {
@@ -45,14 +45,14 @@
   s->counts = g_hash_table_new_full(digest_hash, digest_same, NULL, g_free);
   s->named = g_hash_table_new_full(digest_hash, digest_same, NULL, g_free);
   s->last_mark_at = -TRACK_SUCCESSES_S;
-  g_queue_init(&s->out);
+  g_queue_init(&s->to_send);
   return s;
 }
 
 void suspects_free(Suspects *s) {
   g_hash_table_destroy(s->counts);
   g_hash_table_destroy(s->named);
-  g_queue_clear_full(&s->out, g_free);
+  g_queue_clear_full(&s->to_send, g_free);
   g_free(s);
 }
 
@@ -70,7 +70,7 @@
   count_add(COUNT_SUSPECTS_SHED, 1);
 }
 
-static Entry *find(GHashTable *table, Digest d) {
+static Entry *find_entry(GHashTable *table, Digest d) {
   return g_hash_table_lookup(table, &d);
 }
 
@@ -96,7 +96,7 @@
 }
 
 static void queue_message(Suspects *s, const SuspectsMsg *m) {
-  g_queue_push_tail(&s->out, g_memdup2(m, sizeof *m));
+  g_queue_push_tail(&s->to_send, g_memdup2(m, sizeof *m));
 }
 
 static void clear_suspect(Suspects *s, Digest d) {
@@ -108,7 +108,7 @@
 
 void suspects_note_success(Suspects *s, double now, Digest d) {
   s->successes[s->success_count++ % MAX_SUCCESSES] = (Success){d, now};
-  if (find(s->named, d))
+  if (find_entry(s->named, d))
     clear_suspect(s, d);
   else
     g_hash_table_remove(s->counts, &d);
@@ -129,28 +129,29 @@
   queue_message(s, &m);
 }
 
-static void take_named(Suspects *s, double now, const SuspectsMsg *m) {
+static void apply_named(Suspects *s, double now, const SuspectsMsg *m) {
   double first = now - m->first_mark_age_s;
   if (succeeded_since(s, m->digest, first)) {
     clear_suspect(s, m->digest);
     return;
   }
-  Entry *e = find(s->named, m->digest);
+  Entry *e = find_entry(s->named, m->digest);
   if (!e) e = insert_entry(s->named, MAX_NAMED, m, first);
   e->last = now;
 }
 
-/* Each instance at which requests broke with a target tells of its end. */
+/* Each instance that had requests at a target reports its end. */
 static bool has_target(const Entry *e, uint64_t target) {
   for (int i = 0; i < MIN(e->n, MARKS_TO_NAME); i++)
     if (e->targets[i] == target) return true;
   return false;
 }
 
-/* We are one of its homes. Once it is named, each further mark names it again:
-   it comes from somebody who has not heard, or that was under way. */
-static void take_mark(Suspects *s, double now, const SuspectsMsg *m) {
-  Entry *e = find(s->counts, m->digest);
+/* Counts a mark as one of the request's homes. Once the request is named, each
+   further mark names it again: its sender did not receive the name, or the
+   attempt was already under way. */
+static void apply_mark(Suspects *s, double now, const SuspectsMsg *m) {
+  Entry *e = find_entry(s->counts, m->digest);
   if (!e) e = insert_entry(s->counts, MAX_COUNTS, m, now);
   e->last = now;
   if (has_target(e, m->target)) return;
@@ -162,18 +163,18 @@
                        .owner = m->owner,
                        .first_mark_age_s = now - e->first};
   queue_message(s, &named);
-  take_named(s, now, &named);
+  apply_named(s, now, &named);
 }
 
 void suspects_apply_message(Suspects *s, double now, const SuspectsMsg *m) {
   switch (m->kind) {
   case SUSPECTS_MARK:
     s->last_mark_at = now;
-    take_mark(s, now, m);
+    apply_mark(s, now, m);
     break;
   case SUSPECTS_NAMED:
     s->last_mark_at = now;
-    take_named(s, now, m);
+    apply_named(s, now, m);
     break;
   case SUSPECTS_CLEARED:
     g_hash_table_remove(s->named, &m->digest);
@@ -194,7 +195,7 @@
 }
 
 bool suspects_next_message(Suspects *s, SuspectsMsg *m) {
-  SuspectsMsg *first = g_queue_pop_head(&s->out);
+  SuspectsMsg *first = g_queue_pop_head(&s->to_send);
   if (!first) return false;
   *m = *first;
   g_free(first);
--- a/packages/route/suspects.h
+++ b/packages/route/suspects.h
@@ -1,18 +1,20 @@
 /* suspects.h: requests under which targets ended; pure, for one instance.
 
-   One end proves nothing, since dozens of requests run at a target. It tells
-   when it happens to a request again, at another target, and no attempt of it
-   ended well since. So two homes, chosen by the digest among all instances,
-   count the marks of a request, and with the second one name it to all. Whoever
-   saw an attempt of it end well after its first mark clears it for all. Until
-   then it is tried at one target at a time, over the whole fleet: trials.h.
-
-   The load that this answers: a request that ends each target that begins to
-   run it comes again and again at any instance, beside dozens of others at each
-   target. Of 40 ends under it, it was marked 40 times, its neighbours once or
-   twice. Where targets end by themselves, 19 in 15 s of ten, and one harmless
-   request comes ten times a second, attempts that end well lie between nearly
-   all of its marks. */
+      A single end is no evidence, since dozens of requests run at a target. It
+   is evidence when it happens to the request again, at another target, and no
+   attempt of it ended well in between. So two homes, instances chosen by the
+   request's digest, count its marks, each of which says that a target ended
+   under it. With the second mark they name it a suspect to all instances. An
+   instance that saw an attempt of it end well after its first mark clears it
+   for all. Until then it is tried at only one target of the fleet at a time:
+   trials.h.
+
+      The load that this is for: a request that ends each target that begins to
+   run it keeps coming to any instance, beside dozens of other requests at each
+   target. In 40 ends under it, it was marked 40 times, its neighbours once or
+   twice. Where targets end by themselves, 19 times in 15 s among ten targets,
+   and one harmless request comes ten times a second, attempts that end well
+   lie between nearly all of its marks. */
 #ifndef ROUTE_SUSPECTS_H
 #define ROUTE_SUSPECTS_H
 
@@ -28,7 +30,7 @@
 typedef struct SuspectsMsg {
   SuspectsKind kind;
   Digest digest;
-  uint64_t owner;          /* text_hash of its customer; not with CLEARED */
+  uint64_t owner;          /* text_hash of its customer; unset in CLEARED */
   uint64_t target;         /* MARK: target_hash of the one that ended */
   double first_mark_age_s; /* NAMED: since its first mark */
 } SuspectsMsg;
@@ -40,19 +42,20 @@
 
 /* A target ended here under a request. */
 void suspects_mark(Suspects *s, double now, const EndsMark *m);
-/* Another instance says so, or names or clears one. */
+/* Applies another instance's message. */
 void suspects_apply_message(Suspects *s, double now, const SuspectsMsg *m);
-/* An attempt ended with a target's answer; told while suspects_looks. */
+/* An attempt ended with a target's answer. To be called while
+   suspects_track_successes. */
 void suspects_note_success(Suspects *s, double now, Digest d);
-/* Whether attempts that end well matter at present: nothing is to be computed
-   for each request while no target ends. */
+/* Whether attempts that end well matter at present. While no target ends,
+   nothing is computed for them. */
 bool suspects_track_successes(const Suspects *s, double now);
 
-/* Whether any request is named, and whether this one is. */
+/* Whether any request is a suspect, and whether this one is. */
 bool suspects_has_any(const Suspects *s);
 bool suspects_has(const Suspects *s, Digest d);
 
-/* The next message that is to be sent; false: there is none. */
+/* The next message to send; false: there is none. */
 bool suspects_next_message(Suspects *s, SuspectsMsg *m);
 
 #endif
--- a/packages/route/trials.c
+++ b/packages/route/trials.c
@@ -1,56 +1,56 @@
-/* trials.c: what the store says of trials. */
+/* trials.c: decisions by the trials in the store. */
 #include "route/trials.h"
 
 #include "route/fair.h"
 
-/* Tries that may tell nothing, as the caller left or the target refused it:
-   each of them comes to a target, and three more may after the third that
-   ended. */
+/* Attempts that may have no result, because the caller left or the target
+   refused: each of them reaches a target, and three more may do so after the
+   third that ended. */
 #define MAX_INCONCLUSIVE_TRIES 2
-/* Seconds after which whoever tries it has been lost, or can't reach the store,
-   and another one may: the longest request of the users' sheets has 15. */
+/* After this an instance that tries the request is lost or can't reach the
+   store, and another one may try it: the longest requests take 15 s. */
 #define MAX_OPEN_S 30.0
-/* Objects in the store: a page of a listing has some five hundred. */
+/* Objects in the store: one page of a listing has some five hundred. */
 #define MAX_OBJECTS 400
 
 typedef struct TrialEntry {
   Trial trial;
-  double since; /* it is open from then on, as known here */
+  double since; /* when we learned that it is open */
 } TrialEntry;
 
 struct Trials {
-  GHashTable *all; /* Digest -> Kept */
+  GHashTable *entries; /* Digest -> TrialEntry */
 };
 
 Trials *trials_new(void) {
   Trials *t = g_new0(Trials, 1);
-  t->all = g_hash_table_new_full(digest_hash, digest_same, NULL, g_free);
+  t->entries = g_hash_table_new_full(digest_hash, digest_same, NULL, g_free);
   return t;
 }
 
 void trials_free(Trials *t) {
-  g_hash_table_destroy(t->all);
+  g_hash_table_destroy(t->entries);
   g_free(t);
 }
 
-static TrialEntry *find(const Trials *t, Digest d) {
-  return g_hash_table_lookup(t->all, &d);
+static TrialEntry *find_entry(const Trials *t, Digest d) {
+  return g_hash_table_lookup(t->entries, &d);
 }
 
 void trials_set(Trials *t, double now, const Trial *x) {
-  TrialEntry *k = find(t, x->digest);
+  TrialEntry *k = find_entry(t, x->digest);
   if (k && x->revision < k->trial.revision) return;
   if (!k) {
     k = g_new0(TrialEntry, 1);
     k->trial.digest = x->digest;
-    g_hash_table_insert(t->all, &k->trial.digest, k);
+    g_hash_table_insert(t->entries, &k->trial.digest, k);
   }
   if (x->revision > k->trial.revision) k->since = now;
   k->trial = *x;
 }
 
 void trials_remove(Trials *t, Digest digest) {
-  g_hash_table_remove(t->all, &digest);
+  g_hash_table_remove(t->entries, &digest);
 }
 
 static gboolean is_missing(gpointer key, gpointer value, gpointer names) {
@@ -61,18 +61,18 @@
 }
 
 void trials_retain_only(Trials *t, GHashTable *names) {
-  g_hash_table_foreach_remove(t->all, is_missing, names);
+  g_hash_table_foreach_remove(t->entries, is_missing, names);
 }
 
 bool trials_has_any(const Trials *t) {
-  return g_hash_table_size(t->all) > 0;
+  return g_hash_table_size(t->entries) > 0;
 }
 
 /* == decisions == */
 
 TrialsVerdict trials_verdict(const Trials *t, double now, Digest digest,
                              bool suspect) {
-  const TrialEntry *k = find(t, digest);
+  const TrialEntry *k = find_entry(t, digest);
   if (!k) return suspect ? TRIALS_TRY : TRIALS_FREE;
   if (k->trial.open && now - k->since < MAX_OPEN_S) return TRIALS_BUSY;
   if (k->trial.ended || k->trial.tries >= MAX_INCONCLUSIVE_TRIES)
@@ -82,7 +82,7 @@
 
 Trial trials_begin(const Trials *t, Digest digest, uint64_t owner,
                    int64_t unix_ms) {
-  const TrialEntry *k = find(t, digest);
+  const TrialEntry *k = find_entry(t, digest);
   Trial x = {.digest = digest, .owner = owner, .began = unix_ms};
   if (k) x = k->trial;
   x.open = true;
@@ -105,8 +105,8 @@
 }
 
 bool trials_choose_evicted(const Trials *t, Trial *x) {
-  if (g_hash_table_size(t->all) < MAX_OBJECTS) return false;
-  const TrialEntry *victim = fair_choose_evicted(t->all, fair_entry_of);
+  if (g_hash_table_size(t->entries) < MAX_OBJECTS) return false;
+  const TrialEntry *victim = fair_choose_evicted(t->entries, fair_entry_of);
   if (victim) *x = victim->trial;
   return victim != NULL;
 }
