--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -1,9 +1,9 @@
-/* test_pool.c: what learning and choosing among thousands of targets costs, in
-   looks at single targets, and where prompts have their homes there.
+/* test_pool.c: the cost of adding and choosing among thousands of targets, in
+   visits to single targets, and the homes of prompts there.
 
-   The load that this answers: a thousand instances with half a request a second
-   each before ten thousand targets, so that what is done once for each target
-   or member is most of the work. */
+      The load that this is for: a thousand instances with half a request per
+   second each and ten thousand targets, so that work done once for each target
+   or member dominates. */
 #include <criterion/criterion.h>
 #include <math.h>
 #include <stdio.h>
@@ -23,7 +23,7 @@
   targets_set(s, 0, &t);
 }
 
-static Targets *some(int n, uint32_t seed) {
+static Targets *targets_with(int n, uint32_t seed) {
   Targets *s = targets_new("a", seed);
   for (int i = 0; i < n; i++) add(s, i);
   return s;
@@ -41,23 +41,23 @@
   return targets_pick(s, now, &ask);
 }
 
-/* At most so many looks for n that come: those of one sort, and one look each
-   for those that come later. */
-Test(pool, learning_many_costs_one_sort) {
+/* Adding n targets costs at most the visits of one sort, and one visit for
+   each later target. */
+Test(pool, adding_many_targets_costs_one_sort) {
   for (size_t k = 0; k < SIZES; k++) {
     int n = sizes[k];
-    Targets *s = some(n, 1);
+    Targets *s = targets_with(n, 1);
     Ask a = prompt(1);
     cr_assert_not_null(choose(s, 1, &a).target);
-    double most = 2.0 * n * log2(n);
-    cr_assert_lt((double)targets_visits(s), most, "%d", n);
+    double highest = 2.0 * n * log2(n);
+    cr_assert_lt((double)targets_visits(s), highest, "%d", n);
     targets_free(s);
   }
 }
 
-Test(pool, one_that_comes_later_costs_no_sort) {
+Test(pool, later_target_costs_no_sort) {
   for (size_t k = 0; k < SIZES; k++) {
-    Targets *s = some(sizes[k], 1);
+    Targets *s = targets_with(sizes[k], 1);
     Ask a = prompt(1);
     choose(s, 1, &a);
     uint64_t before = targets_visits(s);
@@ -66,39 +66,39 @@
       choose(s, 1, &a);
     }
     uint64_t each = (targets_visits(s) - before) / 100;
-    cr_assert_lt(each, 800, "%d: %d looks", sizes[k], (int)each);
+    cr_assert_lt(each, 800, "%d: %d visits", sizes[k], (int)each);
     targets_free(s);
   }
 }
 
-/* A choice looks at a number of targets that does not follow the pool: twenty
-   times as many cost a few steps more of a binary search. */
-Test(pool, a_choice_looks_at_a_bounded_number) {
-  double least = INFINITY, most = 0;
+/* The number of visits for a choice does not grow with the pool: twenty times
+   as many targets cost a few more steps of a binary search. */
+Test(pool, choice_visits_a_bounded_number_of_targets) {
+  double lowest = INFINITY, highest = 0;
   for (size_t k = 0; k < SIZES; k++) {
-    Targets *s = some(sizes[k], 1);
-    uint64_t asked[TARGETS_MAX_QUERIED];
+    Targets *s = targets_with(sizes[k], 1);
+    uint64_t queried[TARGETS_MAX_QUERIED];
     Ask a = prompt(1);
     choose(s, 1, &a);
     uint64_t before = targets_visits(s);
     for (uint64_t i = 0; i < 100; i++) {
       a = prompt(i);
       TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
-      cr_assert_geq(targets_to_query(s, 1, &ask, asked), 1);
+      cr_assert_geq(targets_to_query(s, 1, &ask, queried), 1);
       cr_assert_not_null(choose(s, 1, &a).target);
     }
     double each = (double)(targets_visits(s) - before) / 100;
-    least = MIN(least, each);
-    most = MAX(most, each);
+    lowest = MIN(lowest, each);
+    highest = MAX(highest, each);
     targets_free(s);
   }
-  cr_assert_lt(most, 2000);
-  cr_assert_lt(most, 1.5 * least, "%g to %g looks", least, most);
+  cr_assert_lt(highest, 2000);
+  cr_assert_lt(highest, 1.5 * lowest, "%g to %g visits", lowest, highest);
 }
 
-Test(pool, instances_agree_on_homes_in_whatever_order_they_learned) {
+Test(pool, homes_do_not_depend_on_the_order_of_additions) {
   int all = 2000;
-  Targets *s = some(all, 1), *other = targets_new("b", 99);
+  Targets *s = targets_with(all, 1), *other = targets_new("b", 99);
   for (int i = all - 1; i >= 0; i--) add(other, i);
   for (uint64_t k = 0; k < 200; k++) {
     Ask a = prompt(k);
@@ -113,25 +113,26 @@
   targets_free(other);
 }
 
-/* Whoever sends a request speaks to one instance about it, whatever the pool.
- */
-Test(pool, those_that_are_asked_for_have_one_counter) {
+/* The sender of a request queries a single instance, however large the pool
+   is. */
+Test(pool, queried_targets_have_one_counting_instance) {
   for (size_t k = 0; k < SIZES; k++) {
-    Targets *s = some(sizes[k], 1);
+    Targets *s = targets_with(sizes[k], 1);
     GHashTable *counters =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     int whole = 0;
     for (uint64_t i = 0; i < 300; i++) {
       Ask a = prompt(i);
       TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
-      uint64_t asked[TARGETS_MAX_QUERIED];
-      int n = targets_to_query(s, 1, &ask, asked);
+      uint64_t queried[TARGETS_MAX_QUERIED];
+      int n = targets_to_query(s, 1, &ask, queried);
       whole += n == TARGETS_MAX_QUERIED;
       for (int x = 1; x < n; x++)
-        cr_assert_eq(targets_counter(s, asked[x]),
-                     targets_counter(s, asked[0]));
+        cr_assert_eq(targets_counter(s, queried[x]),
+                     targets_counter(s, queried[0]));
     }
-    cr_assert_gt(whole, 285, "%d: groups of fewer than three are rare", whole);
+    cr_assert_gt(whole, 285, "%d: groups of fewer than three should be rare",
+                 whole);
     for (int i = 0; i < sizes[k]; i++) {
       char id[LIMIT_NAME];
       snprintf(id, sizeof id, "i-%08x", (unsigned)i * 2654435761U);
@@ -139,52 +140,53 @@
       g_hash_table_add(counters, g_memdup2(&name, sizeof name));
     }
     double each = (double)sizes[k] / g_hash_table_size(counters);
-    cr_assert(each >= 8 && each <= 20, "%d: %g of each", sizes[k], each);
+    cr_assert(each >= 8 && each <= 20, "%d: %g targets per counting instance",
+              sizes[k], each);
     g_hash_table_destroy(counters);
     targets_free(s);
   }
 }
 
-Test(pool, a_small_pool_has_a_counter_for_each) {
-  Targets *s = some(160, 1);
-  uint64_t life = targets_hash_by_id(s, "i-00000000");
-  cr_assert_eq(targets_counter(s, life), life);
-  cr_assert_eq(targets_counter(s, 12345), 0, "it is not known");
+Test(pool, each_target_of_a_small_pool_has_its_own_counter) {
+  Targets *s = targets_with(160, 1);
+  uint64_t hash = targets_hash_by_id(s, "i-00000000");
+  cr_assert_eq(targets_counter(s, hash), hash);
+  cr_assert_eq(targets_counter(s, 12345), 0, "unknown target");
   targets_free(s);
 }
 
 /* The first home of each of many prompts. */
-static void homes_of(Targets *s, uint64_t *homes, int prompts) {
+static void find_homes(Targets *s, uint64_t *homes, int prompts) {
   for (int k = 0; k < prompts; k++) {
     Ask a = prompt((uint64_t)k);
-    uint64_t asked[TARGETS_MAX_QUERIED];
+    uint64_t queried[TARGETS_MAX_QUERIED];
     TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
-    targets_to_query(s, 1, &ask, asked);
-    homes[k] = asked[0];
+    targets_to_query(s, 1, &ask, queried);
+    homes[k] = queried[0];
   }
 }
 
-Test(pool, homes_are_shared_out_and_stay_when_others_go) {
+Test(pool, homes_are_balanced_and_stable) {
   enum { TARGETS = 600, PROMPTS = 12000 };
-  Targets *s = some(TARGETS, 1);
+  Targets *s = targets_with(TARGETS, 1);
   uint64_t *before = g_new(uint64_t, PROMPTS),
            *after = g_new(uint64_t, PROMPTS);
   GHashTable *counts = g_hash_table_new(g_int64_hash, g_int64_equal);
-  int most = 0, moved = 0;
-  homes_of(s, before, PROMPTS);
+  int highest = 0, moved = 0;
+  find_homes(s, before, PROMPTS);
   for (int k = 0; k < PROMPTS; k++) {
     int n = GPOINTER_TO_INT(g_hash_table_lookup(counts, &before[k])) + 1;
     g_hash_table_insert(counts, &before[k], GINT_TO_POINTER(n));
-    most = MAX(most, n);
+    highest = MAX(highest, n);
   }
-  cr_assert_lt(most, 3 * PROMPTS / TARGETS, "%d of %d at one", most,
+  cr_assert_lt(highest, 3 * PROMPTS / TARGETS, "%d of %d at one", highest,
                PROMPTS / TARGETS);
   for (int i = 0; i < 6; i++) {
     char id[LIMIT_NAME];
     snprintf(id, sizeof id, "i-%08x", (unsigned)i * 2654435761U);
     targets_remove(s, 1, id, false);
   }
-  homes_of(s, after, PROMPTS);
+  find_homes(s, after, PROMPTS);
   for (int k = 0; k < PROMPTS; k++) moved += before[k] != after[k];
   cr_assert_lt(moved, 3 * 6 * PROMPTS / TARGETS, "%d moved", moved);
   g_hash_table_destroy(counts);
@@ -193,10 +195,10 @@
   targets_free(s);
 }
 
-/* Where next to all are out of use the few that are left are found. */
-Test(pool, the_last_usable_ones_are_found) {
+/* The few usable targets are found where nearly all are unusable. */
+Test(pool, last_usable_targets_are_found) {
   int n = 5000;
-  Targets *s = some(n, 1);
+  Targets *s = targets_with(n, 1);
   for (int i = 0; i < n - 2; i++) {
     char id[LIMIT_NAME];
     snprintf(id, sizeof id, "i-%08x", (unsigned)i * 2654435761U);
@@ -209,18 +211,18 @@
   targets_free(s);
 }
 
-/* Sixteen drawn ones beside the homes, against the walk of all: plain requests,
-   each instance knowing its own alone. */
-Test(pool, drawn_targets_share_the_work) {
-  Targets *s = some(2000, 3);
+/* Sixteen sampled targets besides the homes instead of all: plain requests,
+   and each instance knows only its own. */
+Test(pool, sampled_targets_share_the_work) {
+  Targets *s = targets_with(2000, 3);
   Ask a = {0};
   TargetRequest ask = {.service = "svc", .ask = &a};
-  int most = 0;
+  int highest = 0;
   for (int i = 0; i < 4000; i++) {
     TargetChoice c = targets_pick(s, 1, &ask);
     target_note_sent(c.target, 1, &a, &c);
-    most = MAX(most, target_open(c.target));
+    highest = MAX(highest, target_open(c.target));
   }
-  cr_assert_leq(most, 5, "two each in the mean, %d at the busiest", most);
+  cr_assert_leq(highest, 5, "two each on average, %d at most", highest);
   targets_free(s);
 }
--- a/tests/test_route.c
+++ b/tests/test_route.c
@@ -29,7 +29,7 @@
   return n;
 }
 
-Test(route, a_leaving_target_gets_nothing) {
+Test(route, leaving_target_gets_no_requests) {
   Route *r = fleet(3, 8);
   route_set_leaving(r, "t1", true);
   cr_assert_eq(count_picks(r, 0, "t1", 200), 0);
@@ -38,8 +38,8 @@
   route_free(r);
 }
 
-/* A pool may be large: none of it is left without work. */
-Test(route, each_of_two_hundred_targets_gets_work) {
+/* Even in a large pool every target gets work. */
+Test(route, all_of_two_hundred_targets_get_requests) {
   Route *r = fleet(200, 1);
   for (int i = 0; i < 200; i++) {
     RouteRequest ask = {.tokens = 10};
@@ -51,7 +51,7 @@
   route_free(r);
 }
 
-Test(route, own_dispatches_count_until_the_next_report) {
+Test(route, own_dispatches_count_until_the_next_load_report) {
   Route *r = fleet(2, 4);
   for (int i = 0; i < 8; i++) {
     RouteRequest ask = {.tokens = 10};
@@ -65,12 +65,13 @@
   route_free(r);
 }
 
-/* All have the same old report, by which one target is the emptiest. */
-static int herd(int peers) {
-  int there = 0;
+/* All instances have the same old report, in which one target has the lowest
+   load. */
+static int herd(int instances) {
+  int count = 0;
   for (uint32_t k = 0; k < 8; k++) {
     Route *r = fleet(4, 8);
-    route_set_instances(r, peers);
+    route_set_instances(r, instances);
     for (int i = 0; i < 4; i++) {
       char name[8];
       snprintf(name, sizeof name, "t%d", i);
@@ -80,21 +81,21 @@
       RouteRequest ask = {.tokens = 10};
       RouteChoice c;
       route_pick(r, 0.2, &ask, &c);
-      there += strcmp(c.name, "t0") == 0;
+      count += strcmp(c.name, "t0") == 0;
     }
     route_free(r);
   }
-  return there;
+  return count;
 }
 
-Test(route, many_instances_do_not_herd_on_an_old_report) {
+Test(route, many_instances_do_not_herd_on_a_stale_report) {
   int alone = herd(1), together = herd(8);
   cr_assert(together <= 16 && together < alone,
-            "%d of 32 sent to one of four, %d without the others in mind",
-            together, alone);
+            "%d of 32 sent to one of four, %d for a single instance", together,
+            alone);
 }
 
-Test(route, a_cached_prefix_draws_its_kind) {
+Test(route, equal_prefixes_go_to_the_same_target) {
   Route *r = fleet(4, 64);
   char prompt[8192];
   memset(prompt, 'x', sizeof prompt);
@@ -111,7 +112,7 @@
   route_free(r);
 }
 
-Test(route, failing_targets_are_ejected_but_never_more_than_half) {
+Test(route, at_most_half_of_the_targets_are_ejected) {
   Route *r = fleet(4, 8);
   for (int round = 0; round < 10; round++)
     for (int i = 0; i < 4; i++) {
@@ -125,7 +126,7 @@
   route_free(r);
 }
 
-Test(route, an_ejected_target_is_probed_by_one_request) {
+Test(route, one_request_probes_an_ejected_target) {
   Route *r = fleet(2, 8);
   for (int i = 0; i < 3; i++) route_note_unresponsive(r, 0, "t0");
   cr_assert(route_state(r, 0, 0).ejected);
@@ -150,11 +151,11 @@
   cr_assert_leq(retries, 5);
   count_picks(r, 0, "t0", 100);
   for (int i = 0; i < 1000; i++) retries += route_may_retry(r, "c", "t0");
-  cr_assert_leq(retries, 10, "one for ten successes, five at once");
+  cr_assert_leq(retries, 10, "one for ten successes, and a burst of five");
   route_free(r);
 }
 
-Test(route, a_target_that_failed_a_request_does_not_get_it_again) {
+Test(route, failed_request_is_not_sent_to_the_same_target) {
   Route *r = fleet(2, 8);
   RouteRequest ask = {.tokens = 10, .tried = {"t0"}};
   RouteChoice c;
@@ -167,7 +168,7 @@
   route_free(r);
 }
 
-/* One failing target or one customer does not use up the retries of all. */
+/* A single failing target or customer does not use up the retries of all. */
 Test(route, retries_have_budgets_for_target_and_customer) {
   Route *r = fleet(3, 8);
   int n = 0;
@@ -175,25 +176,25 @@
     char customer[8];
     snprintf(customer, sizeof customer, "c%d", i);
     n += route_may_retry(r, customer, "t1");
-    /* The pool's budget is full again, by another target. */
+    /* Successes of another target refill the budget of the pool. */
     for (int k = 0; k < 20; k++)
       route_note_done(r, 0, "t0", ROUTE_OK, 10, 0.01, 1);
   }
-  cr_assert_eq(n, 5, "that target's is spent: %d", n);
-  cr_assert(route_may_retry(r, "c0", "t2"), "others' are not");
+  cr_assert_eq(n, 5, "the target's budget is used up: %d", n);
+  cr_assert(route_may_retry(r, "c0", "t2"), "other budgets are not");
   route_free(r);
   r = fleet(3, 8);
   for (int i = 0; i < 3; i++) cr_assert(route_may_retry(r, "a", "t1"));
-  count_picks(r, 0, "t0", 300); /* the pool's is full again */
+  count_picks(r, 0, "t0", 300); /* refills the budget of the pool */
   n = 0;
   while (n < 10 && route_may_retry(r, "a", "t2")) n++;
-  cr_assert_eq(n, 2, "the customer's is not");
+  cr_assert_eq(n, 2, "the customer's budget is not full");
   for (int i = 0; i < 20; i++) route_note_success(r, "a");
-  cr_assert(route_may_retry(r, "a", "t2"), "two were earned");
+  cr_assert(route_may_retry(r, "a", "t2"), "successes earned two retries");
   route_free(r);
 }
 
-Test(route, only_targets_that_fit_are_asked) {
+Test(route, only_targets_that_meet_the_requirements_are_candidates) {
   RouteTarget list[3] = {
       {.name = "a", .dc = "nord", .adapters = "x;tuned", .version = "v2"},
       {.name = "b", .dc = "sued", .adapters = "tuned2", .version = "v2"},
--- a/tests/test_targets.c
+++ b/tests/test_targets.c
@@ -1,4 +1,4 @@
-/* test_targets.c: which targets may get work, and which one gets it. */
+/* test_targets.c: which targets may get work, and which of them is chosen. */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -14,7 +14,7 @@
   return t;
 }
 
-static Targets *some(int n) {
+static Targets *targets_with(int n) {
   Targets *s = targets_new("a", 1);
   for (int i = 0; i < n; i++) {
     TargetInfo t = info(i, "svc");
@@ -28,13 +28,14 @@
   return targets_pick(s, now, &ask).target;
 }
 
-static void sent(Target *t, double now, const Ask *a, int64_t fresh) {
-  TargetChoice c = {.target = t, .uncached_tokens = fresh};
+static void note_sent(Target *t, double now, const Ask *a,
+                      int64_t uncached_tokens) {
+  TargetChoice c = {.target = t, .uncached_tokens = uncached_tokens};
   target_note_sent(t, now, a, &c);
 }
 
-Test(targets, a_leaving_one_gets_no_new_work) {
-  Targets *s = some(1);
+Test(targets, leaving_target_gets_no_new_work) {
+  Targets *s = targets_with(1);
   Ask a = {0};
   cr_assert_not_null(pick(s, 1, &a, false));
   TargetInfo t = info(0, "svc");
@@ -43,45 +44,46 @@
   targets_set(s, 1, &t);
   cr_assert_null(pick(s, 1, &a, false));
   t.leaving = false;
-  t.revision = 9; /* older news */
+  t.revision = 9; /* an older revision */
   targets_set(s, 2, &t);
   cr_assert_null(pick(s, 2, &a, false));
   targets_free(s);
 }
 
-Test(targets, an_entry_that_lapsed_with_the_store_is_used_a_little_longer) {
-  Targets *s = some(2);
+Test(targets, lapsed_entry_stays_usable_for_a_short_time) {
+  Targets *s = targets_with(2);
   Ask a = {0};
   targets_remove(s, 10, "i-0", false);
   cr_assert_str_eq(target_id(pick(s, 10, &a, false)), "i-1");
   targets_remove(s, 10, "i-1", true);
   cr_assert_not_null(pick(s, 11, &a, false));
-  cr_assert_null(pick(s, 11.6, &a, false), "its bound is two seconds");
+  cr_assert_null(pick(s, 11.6, &a, false),
+                 "lapsed entries expire within two seconds");
   TargetInfo t = info(1, "svc");
   t.revision = 20;
   targets_set(s, 12, &t);
-  cr_assert_not_null(pick(s, 12, &a, false), "it is back");
+  cr_assert_not_null(pick(s, 12, &a, false), "the entry returned");
   targets_free(s);
 }
 
-/* An instance that was cut off itself can't tell a lapsed entry from one that
-   was taken away: a request reached a target 3.8 s after it had said that it
-   leaves. */
-Test(targets, a_lapsed_one_gets_work_only_when_there_is_no_other) {
-  Targets *s = some(3);
+/* Guards against requests to a leaving target: an instance that was cut off
+   itself can't tell a lapsed entry from a removed one, and sent a request 3.8
+   s after the target had announced that it was leaving. */
+Test(targets, lapsed_target_gets_work_only_without_an_alternative) {
+  Targets *s = targets_with(3);
   Ask a = {0};
   targets_remove(s, 10, "i-0", true);
   targets_remove(s, 10, "i-1", true);
   for (int i = 0; i < 20; i++) {
     Target *t = pick(s, 10.1, &a, false);
     cr_assert_str_eq(target_id(t), "i-2");
-    sent(t, 10.1, &a, 0);
+    note_sent(t, 10.1, &a, 0);
   }
   targets_free(s);
 }
 
-Test(targets, a_listing_ends_what_it_does_not_hold) {
-  Targets *s = some(3);
+Test(targets, listing_removes_unlisted_targets) {
+  Targets *s = targets_with(3);
   GHashTable *ids = g_hash_table_new(g_str_hash, g_str_equal);
   g_hash_table_add(ids, "i-2");
   targets_retain_only(s, 5, ids, false);
@@ -90,8 +92,8 @@
   targets_free(s);
 }
 
-Test(targets, one_that_ended_gets_nothing_until_its_entry_is_gone) {
-  Targets *s = some(2);
+Test(targets, ended_target_gets_no_work_until_its_entry_is_removed) {
+  Targets *s = targets_with(2);
   Ask a = {0};
   Target *t = pick(s, 1, &a, false);
   target_note_ended(t, 1);
@@ -100,34 +102,34 @@
   targets_free(s);
 }
 
-Test(targets, what_may_end_its_target_goes_where_the_fewest_run) {
-  Targets *s = some(3);
+Test(targets, isolated_request_goes_to_the_target_with_fewest_requests) {
+  Targets *s = targets_with(3);
   Ask a = {0};
-  TargetRequest alone = {
+  TargetRequest isolated = {
       .service = "svc", .ask = &a, .engine = true, .isolate = true};
   Target *t = pick(s, 1, &a, true);
-  sent(t, 1, &a, 0);
+  note_sent(t, 1, &a, 0);
   for (int i = 0; i < 20; i++)
-    cr_assert_neq(targets_pick(s, 1.1, &alone).target, t);
+    cr_assert_neq(targets_pick(s, 1.1, &isolated).target, t);
   targets_free(s);
 }
 
-Test(targets, silence_puts_one_aside_but_never_all) {
-  Targets *s = some(2);
+Test(targets, unresponsive_target_is_ejected_but_never_all) {
+  Targets *s = targets_with(2);
   Ask a = {0};
   Target *t = pick(s, 1, &a, false);
-  sent(t, 1, &a, 0);
+  note_sent(t, 1, &a, 0);
   target_note_done(t, 1, TARGET_UNRESPONSIVE, false, 0, 0.1);
   for (int i = 0; i < 20; i++) cr_assert_neq(pick(s, 1.1, &a, false), t);
   Target *u = pick(s, 1.1, &a, false);
-  sent(u, 1.1, &a, 0);
+  note_sent(u, 1.1, &a, 0);
   target_note_done(u, 1.1, TARGET_UNRESPONSIVE, false, 0, 0.1);
   cr_assert_not_null(pick(s, 1.2, &a, false));
   targets_free(s);
 }
 
-Test(targets, equal_prompts_meet_at_one_home_without_a_word) {
-  Targets *s = some(8), *other = targets_new("a", 99);
+Test(targets, instances_agree_on_the_home_of_a_prompt) {
+  Targets *s = targets_with(8), *other = targets_new("a", 99);
   for (int i = 7; i >= 0; i--) {
     TargetInfo t = info(i, "svc");
     targets_set(other, 0, &t);
@@ -145,30 +147,31 @@
   targets_free(other);
 }
 
-Test(targets, a_home_under_load_spills) {
-  Targets *s = some(4);
+Test(targets, loaded_home_spills_to_another_target) {
+  Targets *s = targets_with(4);
   Ask a = {.tokens_in = 2000, .n_parts = 2};
   a.parts[0] = (AskPart){7, 1500};
   a.parts[1] = (AskPart){8, 500};
   Target *home = pick(s, 1, &a, true);
-  sent(home, 1, &a, 200000); /* four seconds of reading */
+  note_sent(home, 1, &a, 200000); /* four seconds of reading */
   cr_assert_neq(pick(s, 1, &a, true), home);
   target_note_first_byte(home, 200000, 0, 4.5);
   cr_assert_eq(pick(s, 1, &a, true), home);
   targets_free(s);
 }
 
-Test(targets, another_at_its_address_ends_it) {
-  Targets *s = some(1);
+Test(targets, replaced_target_gets_no_work) {
+  Targets *s = targets_with(1);
   Ask a = {0};
   targets_mark_replaced(s, 1, pick(s, 1, &a, false));
   cr_assert_null(pick(s, 1, &a, false));
   targets_free(s);
 }
 
-/* Where others tell what they had read, nothing is assumed of a home. */
-Test(targets, told_parts_lead_to_the_target_that_has_them) {
-  Targets *s = some(8), *other = some(8);
+/* Where other instances report what they sent, no prompt is assumed to be
+   cached at its home. */
+Test(targets, reported_parts_lead_to_the_target_that_cached_them) {
+  Targets *s = targets_with(8), *other = targets_with(8);
   Ask a = {.tokens_in = 9000, .n_parts = 2};
   TargetParts m;
   a.parts[0] = (AskPart){7, 8000};
@@ -177,10 +180,10 @@
   targets_set_parts_exchanged(other, true);
   TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
   TargetChoice c = targets_pick(other, 1, &ask);
-  cr_assert_eq(c.uncached_tokens, 9000, "nobody has read it");
+  cr_assert_eq(c.uncached_tokens, 9000, "no target has read it");
   target_note_sent(c.target, 1, &a, &c);
   cr_assert(targets_next_parts(other, &m));
-  cr_assert_not(targets_next_parts(other, &m), "once");
+  cr_assert_not(targets_next_parts(other, &m), "sent only once");
   targets_apply_parts(s, 1, &m);
   a.parts[1].id = 9;
   c = targets_pick(s, 1.1, &ask);
@@ -190,9 +193,9 @@
   targets_free(other);
 }
 
-/* A full target's memory serves another one. */
-Test(targets, what_a_busy_target_has_read_is_moved_to_a_free_one) {
-  Targets *s = some(4);
+/* The cache of a busy target serves another one. */
+Test(targets, cached_tokens_of_a_busy_target_move_to_a_free_one) {
+  Targets *s = targets_with(4);
   Ask a = {.tokens_in = 9000, .n_parts = 2};
   a.parts[0] = (AskPart){7, 8000};
   a.parts[1] = (AskPart){8, 1000};
@@ -200,10 +203,10 @@
   TargetRequest ask = {
       .service = "svc", .ask = &a, .engine = true, .move_token_s = 2e-6};
   TargetChoice first = targets_pick(s, 1, &ask);
-  cr_assert_null(first.donor, "nobody has it");
+  cr_assert_null(first.donor, "no target has cached it");
   target_note_sent(first.target, 1, &a, &first);
   a.parts[1].id = 9;
-  sent(first.target, 1.1, &a, 200000); /* four seconds of reading */
+  note_sent(first.target, 1.1, &a, 200000); /* four seconds of reading */
   TargetChoice early = targets_pick(s, 1.1, &ask);
   cr_assert_neq(early.target, first.target);
   cr_assert_null(early.donor, "it has not read it yet");
@@ -218,18 +221,19 @@
   target_note_done(first.target, 3, TARGET_FAILED, false, first.uncached_tokens,
                    1);
   for (int i = 0; i < 9; i++) {
-    sent(first.target, 3, &a, 0);
+    note_sent(first.target, 3, &a, 0);
     target_note_done(first.target, 3, TARGET_FAILED, false, 0, 1);
   }
-  cr_assert_null(targets_pick(s, 3.1, &ask).donor, "one that is put aside");
+  cr_assert_null(targets_pick(s, 3.1, &ask).donor, "the donor is ejected");
   targets_free(s);
 }
 
-/* Streams beside long prompts are held up: those get targets of their own. */
-Test(targets, short_prompts_run_where_no_long_ones_are_read) {
-  Targets *s = some(12);
+/* Long prompts stall the streams beside them, so they get targets of their
+   own. */
+Test(targets, short_and_long_prompts_use_different_targets) {
+  Targets *s = targets_with(12);
   targets_set_parts_exchanged(s, true);
-  GHashTable *longs = g_hash_table_new(g_str_hash, g_str_equal);
+  GHashTable *long_targets = g_hash_table_new(g_str_hash, g_str_equal);
   for (uint64_t k = 1; k <= 200; k++) {
     Ask a = {.tokens_in = 9000, .n_parts = 1};
     a.parts[0] = (AskPart){k, 9000};
@@ -238,7 +242,7 @@
     TargetChoice c = targets_pick(s, 1, &ask);
     cr_assert(c.long_prompt && c.serves_long);
     target_note_sent(c.target, 1, &a, &c);
-    g_hash_table_add(longs, (gpointer)target_id(c.target));
+    g_hash_table_add(long_targets, (gpointer)target_id(c.target));
   }
   for (uint64_t k = 1000; k <= 1200; k++) {
     Ask a = {.tokens_in = 400, .n_parts = 1};
@@ -247,16 +251,17 @@
         .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
     TargetChoice c = targets_pick(s, 1, &ask);
     cr_assert_not(c.long_prompt || c.serves_long);
-    cr_assert_not(g_hash_table_contains(longs, target_id(c.target)));
+    cr_assert_not(g_hash_table_contains(long_targets, target_id(c.target)));
     target_note_sent(c.target, 1, &a, &c);
   }
-  g_hash_table_destroy(longs);
+  g_hash_table_destroy(long_targets);
   targets_free(s);
 }
 
-/* In a fleet too large to tell each other of work all of it is guessed. */
-Test(targets, a_large_fleet_neither_divides_nor_moves) {
-  Targets *s = some(6);
+/* In a fleet too large to exchange work reports the work of the others is only
+   estimated. */
+Test(targets, large_fleet_neither_divides_pools_nor_moves_tokens) {
+  Targets *s = targets_with(6);
   bool used[6] = {false};
   Ask a = {.tokens_in = 400, .n_parts = 1};
   TargetRequest ask = {.service = "svc",
@@ -275,9 +280,10 @@
   targets_free(s);
 }
 
-/* With all targets for long prompts dark the others serve them. */
-Test(targets, long_prompts_spill_where_none_of_their_targets_is_sound) {
-  Targets *s = some(6);
+/* When all targets for long prompts are unresponsive, the others serve
+   them. */
+Test(targets, long_prompts_spill_if_their_targets_are_unhealthy) {
+  Targets *s = targets_with(6);
   targets_set_parts_exchanged(s, true);
   Ask a = {.tokens_in = 9000};
   TargetRequest ask = {
@@ -292,13 +298,13 @@
   target_note_sent(c.target, 1.1, &a, &c);
   target_note_done(c.target, 1.1, TARGET_OK, true, c.uncached_tokens, 0.1);
   cr_assert_eq(targets_pick(s, 1.2, &ask).target, c.target,
-               "the sixth, which answers, and none that is dark");
+               "the sixth target answers, the others are unresponsive");
   targets_free(s);
 }
 
-/* What another instance has at a target holds ours up just as well. */
-Test(targets, what_others_have_there_counts_while_their_word_is_fresh) {
-  Targets *s = some(2);
+/* The work of another instance at a target delays ours just as much. */
+Test(targets, work_of_other_instances_counts_until_its_report_is_stale) {
+  Targets *s = targets_with(2);
   Ask a = {.tokens_in = 100};
   TargetWork w = {.target = text_hash("i-0"), .open = 4, .tokens = 90000};
   targets_apply_work(s, 1, 77, &w);
@@ -307,25 +313,26 @@
   w.target = text_hash("i-1");
   w.tokens = 180000;
   targets_apply_work(s, 1.5, 78, &w);
-  cr_assert_str_eq(target_id(pick(s, 1.6, &a, true)), "i-0", "the less");
+  cr_assert_str_eq(target_id(pick(s, 1.6, &a, true)), "i-0", "the lower load");
   w.open = 0;
   w.tokens = 0;
   targets_apply_work(s, 1.7, 78, &w);
-  cr_assert_str_eq(target_id(pick(s, 1.8, &a, true)), "i-1", "the newer word");
+  cr_assert_str_eq(target_id(pick(s, 1.8, &a, true)), "i-1",
+                   "the newer report");
   bool first = false;
   for (int i = 0; i < 40; i++)
     first |= strcmp(target_id(pick(s, 9, &a, true)), "i-0") == 0;
-  cr_assert(first, "who was silent for seconds is not believed");
+  cr_assert(first, "an old report is ignored");
   targets_free(s);
 }
 
-Test(targets, our_work_is_told_once_for_each_change) {
-  Targets *s = some(2);
+Test(targets, own_work_is_sent_once_per_change) {
+  Targets *s = targets_with(2);
   Ask a = {.tokens_in = 500};
   TargetWork w;
   cr_assert_not(targets_next_work(s, &w));
   Target *t = pick(s, 1, &a, true);
-  sent(t, 1, &a, 500);
+  note_sent(t, 1, &a, 500);
   cr_assert(targets_next_work(s, &w));
   cr_assert_eq(w.target, text_hash(target_id(t)));
   cr_assert(w.open == 1 && w.tokens == 500);
@@ -334,14 +341,14 @@
   target_note_done(t, 2, TARGET_OK, true, 500, 1);
   cr_assert(targets_next_work(s, &w));
   cr_assert(w.open == 0 && w.tokens == 0);
-  cr_assert_not(targets_next_work(s, &w), "both changes in one");
+  cr_assert_not(targets_next_work(s, &w), "one message has both changes");
   targets_free(s);
 }
 
 /* == evacuations == */
 
 /* Four targets, two in each of two data centres. */
-static Targets *two_places(void) {
+static Targets *two_data_centres(void) {
   Targets *s = targets_new("a", 1);
   for (int i = 0; i < 4; i++) {
     TargetInfo t = info(i, "svc");
@@ -356,30 +363,30 @@
   for (int i = 0; i < 40; i++) {
     Target *t = pick(s, now, &a, i % 2 == 0);
     if (!t) return false;
-    sent(t, now, &a, 1000);
-    bool there =
+    note_sent(t, now, &a, 1000);
+    bool is_there =
         target_id(t)[2] >= '2' ? strcmp(dc, "b") == 0 : strcmp(dc, "a") == 0;
-    if (there) return true;
+    if (is_there) return true;
   }
   return false;
 }
 
-Test(targets, an_evacuated_data_centre_gets_nothing_until_it_is_taken_back) {
-  Targets *s = two_places();
+Test(targets, evacuated_data_centre_gets_no_work_until_revoked) {
+  Targets *s = two_data_centres();
   cr_assert(gets_work(s, 1, "b"));
   cr_assert(targets_set_evacuated(s, "b", true));
   cr_assert(!gets_work(s, 1, "b"));
   cr_assert(gets_work(s, 1, "a"));
-  cr_assert(!gets_work(s, 100000, "b"), "never by time");
-  cr_assert(!targets_set_evacuated(s, "b", true), "the same twice");
+  cr_assert(!gets_work(s, 100000, "b"), "evacuations don't expire");
+  cr_assert(!targets_set_evacuated(s, "b", true), "already evacuated");
   cr_assert(targets_set_evacuated(s, "b", false));
   cr_assert(gets_work(s, 100001, "b"));
-  cr_assert(!targets_set_evacuated(s, "b", false), "it was taken back before");
+  cr_assert(!targets_set_evacuated(s, "b", false), "already revoked");
   targets_free(s);
 }
 
-Test(targets, a_target_that_appears_in_an_evacuated_data_centre_gets_nothing) {
-  Targets *s = two_places();
+Test(targets, new_target_in_an_evacuated_data_centre_gets_no_work) {
+  Targets *s = two_data_centres();
   targets_set_evacuated(s, "b", true);
   TargetInfo t = info(9, "svc");
   g_strlcpy(t.dc, "b", sizeof t.dc);
@@ -392,8 +399,8 @@
   targets_free(s);
 }
 
-Test(targets, a_listing_of_evacuations_ends_those_that_it_does_not_hold) {
-  Targets *s = two_places();
+Test(targets, listing_of_evacuations_ends_unlisted_ones) {
+  Targets *s = two_data_centres();
   GHashTable *dcs = g_hash_table_new(g_str_hash, g_str_equal);
   targets_set_evacuated(s, "a", true);
   g_hash_table_add(dcs, "b");
@@ -405,10 +412,9 @@
   targets_free(s);
 }
 
-/* Neither a question of its load, nor memory to be moved from there, nor a
-   second try. */
-Test(targets, nothing_touches_an_evacuated_target) {
-  Targets *s = two_places();
+/* It gets no load query, no tokens are moved from it, and it gets no retry. */
+Test(targets, evacuated_target_is_neither_queried_nor_used) {
+  Targets *s = two_data_centres();
   targets_set_parts_exchanged(s, true);
   Ask a = {.tokens_in = 9000, .n_parts = 2};
   a.parts[0] = (AskPart){77, 8000};
@@ -416,7 +422,7 @@
   TargetRequest ask = {
       .service = "svc", .ask = &a, .engine = true, .move_token_s = 1e-6};
   Target *home = targets_pick(s, 1, &ask).target;
-  sent(home, 1, &a, 9000);
+  note_sent(home, 1, &a, 9000);
   const char *dc = target_id(home)[2] >= '2' ? "b" : "a";
   targets_set_evacuated(s, dc, true);
   for (int i = 0; i < 20; i++) {
@@ -424,39 +430,39 @@
     cr_assert_not_null(c.target);
     cr_assert_neq(c.target, home);
     cr_assert_null(c.donor);
-    uint64_t asked[TARGETS_MAX_QUERIED];
-    int n = targets_to_query(s, 3, &ask, asked);
-    for (int k = 0; k < n; k++) cr_assert_neq(asked[k], target_hash(home));
+    uint64_t queried[TARGETS_MAX_QUERIED];
+    int n = targets_to_query(s, 3, &ask, queried);
+    for (int k = 0; k < n; k++) cr_assert_neq(queried[k], target_hash(home));
   }
   targets_free(s);
 }
 
-Test(targets, a_choice_tells_that_an_evacuation_left_none) {
-  Targets *s = two_places();
+Test(targets, choice_reports_that_all_targets_are_evacuated) {
+  Targets *s = two_data_centres();
   Ask a = {0};
   TargetRequest ask = {.service = "svc", .ask = &a};
   targets_set_evacuated(s, "a", true);
   targets_set_evacuated(s, "b", true);
   cr_assert_null(targets_pick(s, 1, &ask).target);
   cr_assert_eq(targets_pick(s, 1, &ask).none, TARGET_NONE_EVACUATED);
-  targets_set_evacuated(s, "nowhere", true); /* nobody knows it */
+  targets_set_evacuated(s, "nowhere", true); /* an unknown data centre */
   cr_assert_eq(targets_count_in_dc(s, "nowhere"), 0);
   targets_free(s);
 }
 
-Test(targets, wrong_input_does_not_fill_the_memory) {
-  Targets *s = two_places();
+Test(targets, number_of_evacuations_is_bounded) {
+  Targets *s = two_data_centres();
   char dc[16];
   for (int i = 0; i < 1000; i++) {
     snprintf(dc, sizeof dc, "x%d", i);
     targets_set_evacuated(s, dc, true);
   }
-  cr_assert(!targets_set_evacuated(s, "x999", false), "it was passed over");
+  cr_assert(!targets_set_evacuated(s, "x999", false), "there were too many");
   cr_assert(targets_set_evacuated(s, "x1", false));
   targets_free(s);
 }
 
-/* == a new start under the old id == */
+/* == restarts under the same id == */
 
 static Ask prompt(void) {
   Ask a = {.tokens_in = 3000, .n_parts = 2};
@@ -465,78 +471,80 @@
   return a;
 }
 
-static TargetInfo born(int64_t at, uint64_t revision) {
+static TargetInfo incarnation(int64_t at, uint64_t revision) {
   TargetInfo t = info(0, "svc");
   t.start_ms = at;
   t.revision = revision;
   return t;
 }
 
-/* What is to be read there of this prompt. */
-static int64_t fresh(Targets *s, double now, const Ask *a) {
+/* The tokens of this prompt that its target would have to read. */
+static int64_t count_uncached(Targets *s, double now, const Ask *a) {
   TargetRequest ask = {.service = "svc", .ask = a, .engine = true};
   return targets_pick(s, now, &ask).uncached_tokens;
 }
 
-Test(targets, who_starts_again_under_its_id_holds_nothing_of_before) {
+Test(targets, restarted_target_has_no_earlier_state) {
   Targets *s = targets_new("a", 1);
   targets_set_parts_exchanged(s, true);
   Ask a = prompt();
-  TargetInfo t = born(1000, 10);
-  cr_assert(!targets_set(s, 0, &t), "the first time");
+  TargetInfo t = incarnation(1000, 10);
+  cr_assert(!targets_set(s, 0, &t), "not a restart");
   Target *old = pick(s, 1, &a, true);
-  sent(old, 1, &a, 3000);
-  cr_assert_eq(fresh(s, 2, &a), 0, "it has read the prompt");
-  t = born(2000, 11);
+  note_sent(old, 1, &a, 3000);
+  cr_assert_eq(count_uncached(s, 2, &a), 0, "it has read the prompt");
+  t = incarnation(2000, 11);
   cr_assert(targets_set(s, 3, &t));
-  Target *again = pick(s, 3, &a, true);
-  cr_assert_neq(again, old);
-  cr_assert_eq(fresh(s, 3, &a), 3000, "its memory is empty");
-  cr_assert_eq(target_current_load(again, 3).open, 0, "what it ran is lost");
-  cr_assert_eq(target_current_load(old, 3).open, 1, "and ends by itself");
+  Target *restarted = pick(s, 3, &a, true);
+  cr_assert_neq(restarted, old);
+  cr_assert_eq(count_uncached(s, 3, &a), 3000, "its cache is empty");
+  cr_assert_eq(target_current_load(restarted, 3).open, 0,
+               "its requests are lost");
+  cr_assert_eq(target_current_load(old, 3).open, 1, "until it ends");
   target_note_done(old, 4, TARGET_UNRESPONSIVE, false, 3000, 3);
   cr_assert_not_null(pick(s, 4, &a, true),
-                     "its end says nothing of the new one");
+                     "an old failure does not count for the new incarnation");
   targets_sweep(s, 100);
   cr_assert_eq(targets_count(s, "svc"), 1);
   targets_free(s);
 }
 
-Test(targets, who_left_and_starts_again_gets_work) {
+Test(targets, target_that_left_and_restarted_gets_work) {
   Targets *s = targets_new("a", 1);
   Ask a = {0};
-  TargetInfo t = born(1000, 10);
+  TargetInfo t = incarnation(1000, 10);
   t.leaving = true;
   targets_set(s, 0, &t);
   cr_assert_null(pick(s, 1, &a, false));
-  t = born(2000, 12);
+  t = incarnation(2000, 12);
   targets_set(s, 2, &t);
   cr_assert_not_null(pick(s, 2, &a, false));
-  t = born(1000, 11); /* older news of the former life */
+  t = incarnation(1000,
+                  11); /* an older revision from the earlier incarnation */
   t.leaving = true;
   cr_assert(!targets_set(s, 3, &t));
   cr_assert_not_null(pick(s, 3, &a, false));
   targets_free(s);
 }
 
-Test(targets, words_on_a_former_life_do_not_count_for_the_new_one) {
+Test(targets, reports_on_an_earlier_incarnation_are_ignored) {
   Targets *s = targets_new("a", 1);
   Ask a = prompt();
-  TargetInfo t = born(1000, 10);
+  TargetInfo t = incarnation(1000, 10);
   targets_set(s, 0, &t);
   TargetWork old = {
       .target = target_hash(pick(s, 0, &a, true)), .open = 7, .tokens = 9000};
   targets_apply_work(s, 0, 77, &old);
   cr_assert_eq(target_current_load(pick(s, 0, &a, true), 0).open, 7);
-  t = born(2000, 11);
+  t = incarnation(2000, 11);
   targets_set(s, 1, &t);
   targets_apply_work(s, 1, 77, &old);
   cr_assert_eq(target_current_load(pick(s, 1, &a, true), 1).open, 0);
   targets_free(s);
 }
 
-Test(targets, an_entry_that_moves_to_another_service_serves_that_one) {
-  Targets *s = some(2);
+Test(targets, entry_can_move_to_another_service) {
+  Targets *s = targets_with(2);
   Ask a = {0};
   TargetInfo t = info(0, "other");
   t.revision = 11;
@@ -548,28 +556,28 @@
   targets_free(s);
 }
 
-/* The load that this answers: targets share their machines with others, and
-   one of four works two to six times as long for some tenths of a second. */
-Test(targets, work_goes_past_one_whose_machine_is_busy_with_other_work) {
-  Targets *s = some(4);
+/* The load that this is for: targets share their machines with other work, and
+   one of four takes two to six times as long for some tenths of a second. */
+Test(targets, slow_target_is_avoided_while_its_pace_report_is_fresh) {
+  Targets *s = targets_with(4);
   Ask a = {0};
   Target *busy = pick(s, 1, &a, false);
   target_set_load(busy, 1, 0, 0, 4);
   for (int i = 0; i < 20; i++) cr_assert_neq(pick(s, 1.02, &a, false), busy);
   int back = 0;
   for (int i = 0; i < 200; i++) back += pick(s, 1.5, &a, false) == busy;
-  cr_assert_gt(back, 10, "its word is old");
+  cr_assert_gt(back, 10, "the report is stale");
   targets_free(s);
 }
 
-Test(targets, a_pace_that_is_absurd_is_believed_within_bounds) {
+Test(targets, reported_pace_is_clamped) {
   static const double paces[] = {0, 1, 1e9, 1e-9};
   Ask a = {0};
   TargetRequest ask = {.service = "svc", .ask = &a};
   for (size_t k = 0; k < G_N_ELEMENTS(paces); k++) {
-    Targets *s = some(1);
+    Targets *s = targets_with(1);
     Target *t = pick(s, 1, &a, false);
-    sent(t, 1, &a, 0);
+    note_sent(t, 1, &a, 0);
     target_set_load(t, 1.02, 0, 0, paces[k]);
     target_note_done(t, 1.02, TARGET_OK, true, 0, 0.02);
     double wait_s = targets_pick(s, 2, &ask).wait_s;
@@ -580,42 +588,43 @@
   }
 }
 
-/* A slow moment is the machine's, not the target's: what is learned of its
-   time is as it usually is. */
-Test(targets, what_is_learned_of_a_busy_moment_does_not_last) {
-  Targets *s = some(2);
+/* The machine causes a slow moment, not the target, so the learned answer time
+   is the usual one. */
+Test(targets, learned_answer_time_excludes_the_reported_pace) {
+  Targets *s = targets_with(2);
   Ask a = {0};
   Target *t = pick(s, 1, &a, false);
-  sent(t, 1, &a, 0);
+  note_sent(t, 1, &a, 0);
   target_set_load(t, 1.12, 0, 0, 4);
   target_note_done(t, 1.12, TARGET_OK, true, 0, 0.12);
   Target *u = pick(s, 1.13, &a, false);
   cr_assert_neq(u, t);
-  sent(u, 1.13, &a, 0);
+  note_sent(u, 1.13, &a, 0);
   target_set_load(u, 1.18, 0, 0, 1);
   target_note_done(u, 1.18, TARGET_OK, true, 0, 0.05);
   int used = 0;
   for (int i = 0; i < 50; i++) used += pick(s, 3, &a, false) == t;
-  cr_assert_gt(used, 40, "30 ms beside 50 ms, as they usually take");
+  cr_assert_gt(used, 40, "usual times of 30 ms and 50 ms");
   targets_free(s);
 }
 
-/* The load that this answers: three readers get the same ten thousand entries;
-   told by each of them, they would be most of what a starting fleet says. */
-Test(targets, what_another_reader_told_is_no_news) {
-  Targets *s = some(1);
+/* The load that this is for: three readers get the same ten thousand entries;
+   if each of them sent all, these would be most of the messages of a starting
+   fleet. */
+Test(targets, entry_known_from_another_reader_is_not_newer) {
+  Targets *s = targets_with(1);
   TargetInfo t = info(0, "svc"), other = info(1, "svc");
-  cr_assert_not(targets_is_newer(s, &t), "just this was told");
+  cr_assert_not(targets_is_newer(s, &t), "the same revision");
   t.revision--;
-  cr_assert_not(targets_is_newer(s, &t), "older than what is known");
+  cr_assert_not(targets_is_newer(s, &t), "an older revision");
   cr_assert(targets_is_newer(s, &other));
   targets_free(s);
 }
 
-/* Who heard that it had gone has to hear that it is back, also where nothing of
-   it differs from what another knew before. */
-Test(targets, an_entry_that_is_written_again_is_news) {
-  Targets *s = some(1);
+/* An instance that was notified of a removal has to be notified of the return,
+   even if the entry equals the one another instance knew before. */
+Test(targets, rewritten_entry_is_newer) {
+  Targets *s = targets_with(1);
   TargetInfo t = info(0, "svc");
   t.revision++;
   cr_assert(targets_is_newer(s, &t));
