--- a/tests/permits.h
+++ b/tests/permits.h
@@ -1,14 +1,15 @@
-/* permits.h: how a request of a simulated fleet comes to a bounded target; for
-   tests without network. */
+/* permits.h: the permits of a simulated fleet for bounded targets; for tests
+   without network. */
 #ifndef TESTS_PERMITS_H
 #define TESTS_PERMITS_H
 
 #include "route/targets.h"
 
-#define PERMITS_TRIES 6       /* questions of one request */
-#define PERMITS_SILENT_S 0.25 /* who did not answer is not asked again */
+#define PERMITS_MAX_TRIES 6 /* permit requests for one request */
+#define PERMITS_UNRESPONSIVE_S                                                 \
+  0.25 /* no further permit request after a missing answer */
 
-/* For tally_members: all that was counted is kept, or nothing. */
+/* For tally_set_members: keep all counts, or none. */
 static inline bool permits_count_all(void *ctx, uint64_t name) {
   (void)ctx;
   (void)name;
@@ -21,35 +22,35 @@
   return false;
 }
 
-/* Whether instance `who` may send where its choice led. `tally`: who counts
-   there; NULL: it does not answer. */
-static inline bool permits_given(Targets *s, Tally *tally, uint64_t who,
+/* Whether `sender` may send to its choice. `tally`: of the counting instance;
+   NULL: it does not answer. */
+static inline bool permits_given(Targets *s, Tally *tally, uint64_t sender,
                                  double now, const TargetChoice *c,
                                  uint64_t run) {
   TallyPermitRequest a = target_permit_request(c, now);
   if (!tally) {
-    bool deals = target_may_use_own_share(c, now);
-    if (!deals) target_note_full(c, now, PERMITS_SILENT_S);
-    return deals;
+    bool allowed = target_may_use_own_share(c, now);
+    if (!allowed) target_note_full(c, now, PERMITS_UNRESPONSIVE_S);
+    return allowed;
   }
   a.run = run;
-  TallyPermit p = tally_decide_permit(tally, now, who, &a);
+  TallyPermit p = tally_decide_permit(tally, now, sender, &a);
   targets_apply_limit(s, p.target, p.limit);
   if (p.verdict != TALLY_GIVEN) target_note_full(c, now, p.wait_s);
   return p.verdict == TALLY_GIVEN;
 }
 
-/* Where a request of `who` goes; `runs`: numbers of its requests at targets,
-   the last one is its own. */
+/* The final choice for a request of `sender`. `runs`: number of its last run;
+   it is advanced for each permit request. */
 static inline TargetChoice permits_choose(Targets *s, Tally *tally,
-                                          uint64_t who, double now,
+                                          uint64_t sender, double now,
                                           TargetRequest *ask, uint64_t *runs) {
   TargetChoice c;
   int tries = 0;
   do {
-    ask->permits_exhausted = tries++ == PERMITS_TRIES;
+    ask->permits_exhausted = tries++ == PERMITS_MAX_TRIES;
     c = targets_pick(s, now, ask);
-  } while (c.bounded && !permits_given(s, tally, who, now, &c, ++*runs));
+  } while (c.bounded && !permits_given(s, tally, sender, now, &c, ++*runs));
   return c;
 }
 
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -1,8 +1,8 @@
-/* test_limit.c: targets in need name how many requests a second they take of
-   all instances together; none gets more, however many instances decide, while
-   the limit falls and ends, while counts are lost, not told or kept twice. The
-   bound is the users': in any 4 s one and a half times what the limit allows,
-   and 5. */
+/* test_limit.c: targets short of capacity report how many requests per second
+   they accept from all instances together. None may get more, however many
+   instances send, while the limit falls and ends, and while counts are lost,
+   not answered or kept twice. The tolerated bound in any 4 s is one and a half
+   times what the limit allows, plus 5. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <math.h>
@@ -19,18 +19,18 @@
 #define OVERRUN 1.5
 #define EXTRA 5
 #define RUN_S 0.5
-#define WAY_S 0.01 /* to a target, at most */
+#define MAX_PATH_S 0.01 /* longest time to a target */
 
 typedef struct Sim {
   Targets *set[DECIDERS];
   int n;
-  bool silent[DECIDERS];  /* it gets no answers */
-  int side[DECIDERS];     /* of a cut: which count answers it */
-  Tally *tally[DECIDERS]; /* of each side of a cut */
+  bool gets_no_answers[DECIDERS]; /* from counting instances */
+  int side[DECIDERS];             /* of a partition: which count answers it */
+  Tally *tally[DECIDERS];         /* one for each side of a partition */
   int sides;
-  double limit[TARGETS]; /* as the target names it now */
+  double limit[TARGETS]; /* as the target reports it now */
   GArray *arrivals[TARGETS];
-  GHashTable *numbers; /* hash -> number + 1 of a target */
+  GHashTable *numbers; /* hash -> index of a target + 1 */
   GRand *dice;
   uint64_t runs;
   int served, refused;
@@ -38,7 +38,7 @@
 
 static Sim sim;
 
-static Targets *decider(double now, int rank, int of) {
+static Targets *new_decider(double now, int rank, int of) {
   Targets *s = targets_new("a", g_rand_int(sim.dice));
   targets_set_parts_exchanged(s, of < FLEET_SMALL);
   targets_set_rank(s, now, rank, of);
@@ -62,7 +62,7 @@
     sim.tally[k] = tally_new();
     tally_set_members(sim.tally[k], -100, n, permits_count_none, NULL);
   }
-  for (int i = 0; i < n; i++) sim.set[i] = decider(-100, i, n);
+  for (int i = 0; i < n; i++) sim.set[i] = new_decider(-100, i, n);
   for (int i = 0; i < TARGETS; i++) {
     char id[LIMIT_NAME];
     snprintf(id, sizeof id, "t%02d", i);
@@ -84,28 +84,30 @@
 
 /* == one request == */
 
-/* The answer names the target's limit; who counts there is told. */
-static void answered(int who, double now, Target *t, int number) {
+/* The answer reports the target's limit, which is sent to the counting
+   instance. */
+static void apply_answer(int who, double now, Target *t, int number) {
   TallyLimit m = {.target = target_hash(t), .limit = sim.limit[number]};
-  TargetLimitChange news = target_set_limit(t, now, sim.limit[number]);
-  if (news != TARGET_LIMIT_KNOWN && !sim.silent[who])
+  TargetLimitChange change = target_set_limit(t, now, sim.limit[number]);
+  if (change != TARGET_LIMIT_KNOWN && !sim.gets_no_answers[who])
     tally_set_limit(sim.tally[sim.side[who]], now, &m);
 }
 
-/* All on a side hear of changes, as who counts there tells them. */
-static void spread(double now) {
+/* Sends changed limits from the counting instance to all instances of its
+   side. */
+static void send_limits(double now) {
   TallyLimit m;
   for (int k = 0; k < sim.sides; k++)
     while (tally_next_limit(sim.tally[k], now, 2, &m))
       for (int i = 0; i < sim.n; i++)
-        if (sim.side[i] == k && !sim.silent[i])
+        if (sim.side[i] == k && !sim.gets_no_answers[i])
           targets_apply_limit(sim.set[i], m.target, m.limit);
 }
 
 static void request(int who, double now) {
   Ask prompt = {.tokens_in = 3000, .tokens_out = 100};
   TargetRequest ask = {.service = "engines", .ask = &prompt};
-  Tally *tally = sim.silent[who] ? NULL : sim.tally[sim.side[who]];
+  Tally *tally = sim.gets_no_answers[who] ? NULL : sim.tally[sim.side[who]];
   TargetChoice c =
       permits_choose(sim.set[who], tally, (uint64_t)who, now, &ask, &sim.runs);
   if (!c.target) {
@@ -117,33 +119,33 @@
   }
   uint64_t h = target_hash(c.target);
   int number = GPOINTER_TO_INT(g_hash_table_lookup(sim.numbers, &h)) - 1;
-  double at = now + WAY_S * g_rand_double(sim.dice);
+  double at = now + MAX_PATH_S * g_rand_double(sim.dice);
   target_note_sent(c.target, now, &prompt, &c);
   target_note_done(c.target, now, TARGET_OK, false, c.uncached_tokens, RUN_S);
   g_array_append_val(sim.arrivals[number], at);
-  answered(who, now, c.target, number);
+  apply_answer(who, now, c.target, number);
   sim.served++;
 }
 
 static void load(double from, double until, double per_s) {
-  double told = from;
+  double next_update = from;
   for (double now = from; now < until; now += 1 / per_s) {
-    bool only = g_rand_int_range(sim.dice, 0, 5) == 0;
-    request(only ? 0 : g_rand_int_range(sim.dice, 0, sim.n), now);
-    if (now < told) continue;
-    spread(now);
-    told = now + 0.1;
+    bool is_first = g_rand_int_range(sim.dice, 0, 5) == 0;
+    request(is_first ? 0 : g_rand_int_range(sim.dice, 0, sim.n), now);
+    if (now < next_update) continue;
+    send_limits(now);
+    next_update = now + 0.1;
   }
 }
 
-/* == what targets got == */
+/* == arrivals at targets == */
 
 static gint by_time(gconstpointer a, gconstpointer b) {
   double x = *(const double *)a, y = *(const double *)b;
   return x < y ? -1 : x > y;
 }
 
-static int in_window(int number, double from, double until) {
+static int max_in_window(int number, double from, double until) {
   GArray *a = sim.arrivals[number];
   int most = 0;
   g_array_sort(a, by_time);
@@ -157,7 +159,7 @@
   return most;
 }
 
-static int got(int number, double from, double until) {
+static int count_arrivals(int number, double from, double until) {
   int n = 0;
   for (guint i = 0; i < sim.arrivals[number]->len; i++) {
     double at = g_array_index(sim.arrivals[number], double, i);
@@ -167,7 +169,7 @@
 }
 
 static void check(double limit, int number, double from, double until) {
-  int most = in_window(number, from, until);
+  int most = max_in_window(number, from, until);
   cr_assert_leq(most, OVERRUN * limit * WINDOW_S + EXTRA,
                 "%d instances, limit %g: %d in %g s", sim.n, limit, most,
                 WINDOW_S);
@@ -178,21 +180,21 @@
 #define SIZES (int)G_N_ELEMENTS(sizes)
 #define LIMITS (int)G_N_ELEMENTS(limits)
 
-Test(limit, one_target_in_need_gets_what_it_takes_and_no_more) {
+Test(limit, one_limited_target_gets_its_limit_and_no_more) {
   for (int k = 0; k < SIZES; k++)
     for (int l = 0; l < LIMITS; l++) {
       begin(sizes[k]);
       sim.limit[3] = limits[l];
       load(0, 14, 200);
       check(limits[l], 3, 3, 14);
-      cr_assert_geq(got(3, 4, 14), MIN(0.7 * limits[l], 5) * 10, "%g: %d",
-                    limits[l], got(3, 4, 14));
-      cr_assert_eq(sim.refused, 0, "the others have room");
+      cr_assert_geq(count_arrivals(3, 4, 14), MIN(0.7 * limits[l], 5) * 10,
+                    "%g: %d", limits[l], count_arrivals(3, 4, 14));
+      cr_assert_eq(sim.refused, 0, "the other targets have capacity");
       end();
     }
 }
 
-Test(limit, all_in_need_get_what_they_take_and_no_more) {
+Test(limit, all_limited_targets_get_their_limit_and_no_more) {
   for (int k = 0; k < SIZES; k++)
     for (int l = 1; l < LIMITS; l++) {
       begin(sizes[k]);
@@ -202,7 +204,7 @@
       int all = 0;
       for (int i = 0; i < TARGETS; i++) {
         check(limits[l], i, 3, 12);
-        all += got(i, 4, 12);
+        all += count_arrivals(i, 4, 12);
       }
       cr_assert_geq(all, 0.75 * limits[l] * TARGETS * 8, "%d: %g: %d", sizes[k],
                     limits[l], all);
@@ -210,7 +212,7 @@
     }
 }
 
-Test(limit, it_holds_after_it_falls_and_is_gone_when_it_ends) {
+Test(limit, limit_holds_after_it_falls_and_ends) {
   for (int k = 0; k < SIZES; k++) {
     begin(sizes[k]);
     sim.limit[3] = 100;
@@ -221,28 +223,30 @@
     load(16, 26, 200);
     check(100, 3, 3, 6);
     check(0.7, 3, 9, 16);
-    cr_assert_geq(got(3, 20, 26), 30, "%d after it ended", got(3, 20, 26));
+    cr_assert_geq(count_arrivals(3, 20, 26), 30, "%d after the limit ended",
+                  count_arrivals(3, 20, 26));
     end();
   }
 }
 
-/* Half of the instances get no answers; their own parts hold. */
-Test(limit, it_holds_where_counts_are_not_told) {
+/* Half of the instances get no answers; their fixed shares keep the bound. */
+Test(limit, limit_holds_without_answers_from_counting_instances) {
   for (int k = 0; k < SIZES; k++)
     for (int l = 0; l < LIMITS; l++) {
       begin(sizes[k]);
       for (int i = 0; i < TARGETS; i++) sim.limit[i] = limits[l];
       load(0, 4, 200);
-      for (int i = 0; i < sim.n; i += 2) sim.silent[i] = true;
+      for (int i = 0; i < sim.n; i += 2) sim.gets_no_answers[i] = true;
       load(4, 14, 200);
       for (int i = 0; i < TARGETS; i++) check(limits[l], i, 3, 14);
       end();
     }
 }
 
-/* A few of the instances and the rest do not hear of each other, and both
-   reach all targets; then all are together again, counted by side `after`. */
-static void cut(int n, double limit, int after) {
+/* A few of the instances and the rest don't exchange messages, but both sides
+   reach all targets; then the partition ends and side `after` counts for
+   all. */
+static void check_partition(int n, double limit, int after) {
   begin(n);
   for (int i = 0; i < TARGETS; i++) sim.limit[i] = limit;
   double per_s = MAX(40, MIN(10 * limit, 300) * TARGETS);
@@ -266,14 +270,15 @@
   end();
 }
 
-Test(limit, it_holds_on_two_sides_of_a_cut_and_after_it) {
+Test(limit, limit_holds_during_and_after_a_partition) {
   for (int k = 0; k < SIZES; k++)
     for (int l = 1; l < LIMITS; l++)
-      for (int after = 0; after < 2; after++) cut(sizes[k], limits[l], after);
+      for (int after = 0; after < 2; after++)
+        check_partition(sizes[k], limits[l], after);
 }
 
-/* Each instance is cut off from all others, and reaches all targets. */
-Test(limit, it_holds_where_each_instance_is_alone) {
+/* Each instance is cut off from all others, but reaches all targets. */
+Test(limit, limit_holds_with_every_instance_isolated) {
   for (int k = 0; k < SIZES; k++)
     for (int l = 0; l < LIMITS; l++) {
       begin(sizes[k]);
@@ -293,8 +298,9 @@
     }
 }
 
-/* Who counted is lost again and again, and another begins without its count. */
-Test(limit, it_holds_while_who_counts_is_lost) {
+/* The counting instance is lost repeatedly, and another begins without its
+   count. */
+Test(limit, limit_holds_while_counting_instances_are_lost) {
   for (int k = 0; k < SIZES; k++)
     for (int l = 0; l < LIMITS; l++) {
       begin(sizes[k]);
@@ -309,8 +315,8 @@
     }
 }
 
-/* A third of the instances know nothing of before. */
-Test(limit, it_holds_while_instances_restart) {
+/* A third of the instances lose their state. */
+Test(limit, limit_holds_while_instances_restart) {
   for (int k = 0; k < SIZES; k++)
     for (int l = 1; l < LIMITS; l++) {
       begin(sizes[k]);
@@ -318,13 +324,14 @@
       load(0, 8, 60);
       for (int i = 0; i < sim.n; i += 3) {
         targets_free(sim.set[i]);
-        sim.set[i] = decider(8, i, sim.n);
+        sim.set[i] = new_decider(8, i, sim.n);
         TallyLimit m = {.limit = limits[l]};
         for (int t = 0; t < TARGETS; t++) {
           char id[LIMIT_NAME];
           snprintf(id, sizeof id, "t%02d", t);
           m.target = text_hash(id);
-          /* It is told as soon as it is known to who counts. */
+          /* A new instance gets it as soon as the counting instance knows
+             it. */
           if (limits[l] < 100)
             targets_apply_limit(sim.set[i], m.target, m.limit);
         }
@@ -335,8 +342,8 @@
     }
 }
 
-/* Those who are refused are told to come back one after the other. */
-Test(limit, callers_come_back_at_the_pace_of_the_pool) {
+/* Refused callers get staggered retry times. */
+Test(limit, callers_retry_at_the_rate_of_the_pool) {
   begin(1);
   Ask prompt = {.tokens_in = 3000, .tokens_out = 100};
   TargetRequest ask = {.service = "engines",
@@ -350,9 +357,9 @@
   }
   double first = targets_pick(sim.set[0], 1, &ask).retry_after_s, last = first;
   for (int i = 1; i < TARGETS; i++) {
-    double back = targets_pick(sim.set[0], 1, &ask).retry_after_s;
-    cr_assert_float_eq(back - last, 1.0 / TARGETS, 1e-6);
-    last = back;
+    double retry_s = targets_pick(sim.set[0], 1, &ask).retry_after_s;
+    cr_assert_float_eq(retry_s - last, 1.0 / TARGETS, 1e-6);
+    last = retry_s;
   }
   for (int i = 0; i < 1000; i++)
     last = targets_pick(sim.set[0], 1, &ask).retry_after_s;
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -1,8 +1,8 @@
 /* test_quota.c: a data centre's targets come back cold together, half of the
-   others are gone and traffic has doubled: no target gets more than it bears in
-   any second, however many instances decide. Figures of the users' sheet: 94
-   engines, a cold one bears 6.6 x 1.5 + 5 requests a second from all, and 800
-   requests a second come, a fifth of them to one instance. */
+   others are gone and traffic has doubled. No target may get more than it can
+   take in any second, however many instances send. There are 94 engines, a
+   cold one takes 6.6 x 1.5 + 5 requests per second from all instances, and 800
+   requests per second come, a fifth of them to one instance. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <math.h>
@@ -14,35 +14,36 @@
 #include "route/targets.h"
 
 #define TARGETS 94
-#define COLD_FROM 47 /* those from here on are cold */
+#define COLD_FROM 47 /* targets from this one on are cold */
 #define RATE 6.6
 #define OVERRUN 1.5
 #define EXTRA 5.0
 #define BOUND (RATE * OVERRUN + EXTRA)
 #define REQUESTS_S 800
-#define RUN_S 2.0    /* that a request takes */
-#define TELL_S 0.006 /* until the one who counts has heard of it */
-#define WAY_S 0.01   /* to a target, at most */
+#define RUN_S 2.0 /* duration of a request */
+#define REPORT_DELAY_S                                                         \
+  0.006                 /* until the counting instance has received a report */
+#define MAX_PATH_S 0.01 /* longest time to a target */
 #define DECIDERS 300
 
-/* Something that is told later: a run at a target begins or ends. */
-typedef struct Tell {
+/* A report that arrives later: a run at a target begins or ends. */
+typedef struct DelayedReport {
   double at;
   int side;
   uint64_t from;
   TallyRun run;
-} Tell;
+} DelayedReport;
 
 static Targets *deciders[DECIDERS];
 static int n_deciders;
-static bool
-    counted[DECIDERS];     /* it gets answers to its questions and permits */
-static int side[DECIDERS]; /* of a cut */
+static bool gets_answers[DECIDERS]; /* by counting instances, to queries and
+                                       permit requests */
+static int side[DECIDERS];          /* of a partition */
 static Tally *tallies[2];
-static GQueue tells; /* Tell*, those that begin; and those that end */
-static GQueue ends;
+static GQueue start_reports; /* DelayedReport* */
+static GQueue end_reports;
 static GArray *arrivals[TARGETS]; /* times */
-static GHashTable *numbers;       /* hash -> number of a target */
+static GHashTable *numbers;       /* hash -> index of a target */
 static GRand *dice;
 static uint64_t runs;
 static int refused;
@@ -58,8 +59,8 @@
   t->revision = 1;
 }
 
-/* A decider that knows the `left` warm targets, and all cold ones. */
-static Targets *decider(double now, int rank, int of, int left) {
+/* An instance that knows the `left` warm targets and all cold ones. */
+static Targets *new_decider(double now, int rank, int of, int left) {
   Targets *s = targets_new("a", g_rand_int(dice));
   targets_set_parts_exchanged(s, of < FLEET_SMALL);
   targets_set_cold_bound(s, OVERRUN, EXTRA);
@@ -77,16 +78,16 @@
   dice = g_rand_new_with_seed(7);
   n_deciders = n;
   refused = 0;
-  g_queue_init(&tells);
-  g_queue_init(&ends);
+  g_queue_init(&start_reports);
+  g_queue_init(&end_reports);
   numbers = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
   for (int k = 0; k < 2; k++) {
     tallies[k] = tally_new();
     tally_set_members(tallies[k], -100, n, permits_count_none, NULL);
   }
   for (int i = 0; i < n; i++) {
-    deciders[i] = decider(0, i, n, left);
-    counted[i] = true;
+    deciders[i] = new_decider(0, i, n, left);
+    gets_answers[i] = true;
     side[i] = 0;
   }
   for (int i = 0; i < TARGETS; i++) {
@@ -102,46 +103,47 @@
   for (int i = 0; i < n_deciders; i++) targets_free(deciders[i]);
   for (int k = 0; k < 2; k++) tally_free(tallies[k]);
   for (int i = 0; i < TARGETS; i++) g_array_free(arrivals[i], TRUE);
-  g_queue_clear_full(&tells, g_free);
-  g_queue_clear_full(&ends, g_free);
+  g_queue_clear_full(&start_reports, g_free);
+  g_queue_clear_full(&end_reports, g_free);
   g_hash_table_destroy(numbers);
   g_rand_free(dice);
 }
 
-static void later(GQueue *q, double at, int who, TallyRun run) {
-  Tell *t = g_new0(Tell, 1);
-  *t = (Tell){.at = at, .side = side[who], .from = (uint64_t)who, .run = run};
+static void delay_report(GQueue *q, double at, int who, TallyRun run) {
+  DelayedReport *t = g_new0(DelayedReport, 1);
+  *t = (DelayedReport){
+      .at = at, .side = side[who], .from = (uint64_t)who, .run = run};
   g_queue_push_tail(q, t);
 }
 
 static void deliver(GQueue *q, double now) {
-  Tell *t;
+  DelayedReport *t;
   while ((t = g_queue_peek_head(q)) && t->at <= now) {
     tally_apply_run(tallies[t->side], now, t->from, &t->run);
     g_free(g_queue_pop_head(q));
   }
 }
 
-static int ask_counts(int who, double now, const TargetRequest *ask,
-                      TallyReport *words) {
-  uint64_t asked[TARGETS_MAX_QUERIED];
-  if (!counted[who] || n_deciders < FLEET_SMALL) return 0;
-  int n = targets_to_query(deciders[who], now, ask, asked);
+static int query_counts(int who, double now, const TargetRequest *ask,
+                        TallyReport *reports) {
+  uint64_t queried[TARGETS_MAX_QUERIED];
+  if (!gets_answers[who] || n_deciders < FLEET_SMALL) return 0;
+  int n = targets_to_query(deciders[who], now, ask, queried);
   for (int i = 0; i < n; i++) {
-    TallyQuery a = {.number = 1, .target = asked[i]};
-    words[i] = tally_report(tallies[side[who]], now, &a);
+    TallyQuery a = {.number = 1, .target = queried[i]};
+    reports[i] = tally_report(tallies[side[who]], now, &a);
   }
   return n;
 }
 
 static void request(int who, double now) {
   Ask a = {.tokens_in = 3000, .tokens_out = 100};
-  TallyReport words[TARGETS_MAX_QUERIED];
+  TallyReport reports[TARGETS_MAX_QUERIED];
   TargetRequest ask = {
       .service = "engines", .ask = &a, .engine = true, .cold_rate_per_s = RATE};
-  ask.n_reports = ask_counts(who, now, &ask, words);
-  ask.reports = words;
-  Tally *tally = counted[who] ? tallies[side[who]] : NULL;
+  ask.n_reports = query_counts(who, now, &ask, reports);
+  ask.reports = reports;
+  Tally *tally = gets_answers[who] ? tallies[side[who]] : NULL;
   TargetChoice c =
       permits_choose(deciders[who], tally, (uint64_t)who, now, &ask, &runs);
   if (!c.target) {
@@ -154,10 +156,10 @@
   if (!c.bounded) runs++;
   TallyRun run = {.target = h, .run = runs, .open = true, .tokens = 3000};
   target_note_sent(c.target, now, &a, &c);
-  later(&tells, now + TELL_S, who, run);
+  delay_report(&start_reports, now + REPORT_DELAY_S, who, run);
   run.open = false;
-  later(&ends, now + RUN_S, who, run);
-  double at = now + WAY_S * g_rand_double(dice);
+  delay_report(&end_reports, now + RUN_S, who, run);
+  double at = now + MAX_PATH_S * g_rand_double(dice);
   int number = GPOINTER_TO_INT(g_hash_table_lookup(numbers, &h));
   g_array_append_val(arrivals[number], at);
 }
@@ -165,10 +167,10 @@
 static void load(double from, double until) {
   double step = 1.0 / REQUESTS_S;
   for (double now = from; now < until; now += step) {
-    deliver(&tells, now);
-    deliver(&ends, now);
-    bool only = g_rand_int_range(dice, 0, 5) == 0;
-    request(only ? 0 : g_rand_int_range(dice, 0, n_deciders), now);
+    deliver(&start_reports, now);
+    deliver(&end_reports, now);
+    bool is_first = g_rand_int_range(dice, 0, 5) == 0;
+    request(is_first ? 0 : g_rand_int_range(dice, 0, n_deciders), now);
   }
 }
 
@@ -177,8 +179,8 @@
   return x < y ? -1 : x > y;
 }
 
-/* The most that a cold target got in any second. */
-static int busiest(void) {
+/* The most requests that a cold target got in any second. */
+static int max_per_second(void) {
   int most = 0;
   for (int i = COLD_FROM; i < TARGETS; i++) {
     GArray *a = arrivals[i];
@@ -193,8 +195,8 @@
   return most;
 }
 
-/* Part of the bound of all cold targets that was used from then on. */
-static double used(double from, double until) {
+/* The fraction of the bound of all cold targets that was used in that time. */
+static double used_ratio(double from, double until) {
   double n = 0;
   for (int i = COLD_FROM; i < TARGETS; i++)
     for (guint k = 0; k < arrivals[i]->len; k++)
@@ -204,39 +206,42 @@
 
 static const int sizes[] = {7, 74, DECIDERS};
 
-Test(cold, no_target_gets_more_than_it_bears) {
+Test(cold, cold_targets_stay_within_their_bound) {
   for (int k = 0; k < 3; k++) {
     begin(sizes[k], COLD_FROM / 2);
     load(0, 6);
-    cr_assert_leq(busiest(), BOUND, "%d deciders: %d", sizes[k], busiest());
+    cr_assert_leq(max_per_second(), BOUND, "%d deciders: %d", sizes[k],
+                  max_per_second());
     end();
   }
 }
 
-Test(cold, most_of_the_bound_is_used_where_it_is_needed) {
+Test(cold, most_of_the_bound_is_used_under_load) {
   for (int k = 0; k < 3; k++) {
     begin(sizes[k], 0);
     load(0, 6);
-    double part = used(2, 6); /* nothing is known of the second before */
-    cr_assert_leq(busiest(), BOUND, "%d deciders: %d", sizes[k], busiest());
+    double part = used_ratio(2, 6); /* the second before is unknown */
+    cr_assert_leq(max_per_second(), BOUND, "%d deciders: %d", sizes[k],
+                  max_per_second());
     cr_assert_geq(part, 0.7, "%d deciders: %g", sizes[k], part);
     end();
   }
 }
 
-/* Half of the instances get no answers to their questions. */
-Test(cold, it_holds_while_counts_are_not_told) {
+/* Half of the instances get no answers to their queries. */
+Test(cold, bound_holds_without_answers_from_counting_instances) {
   for (int k = 0; k < 3; k++) {
     begin(sizes[k], 0);
-    for (int i = 0; i < n_deciders; i += 2) counted[i] = false;
+    for (int i = 0; i < n_deciders; i += 2) gets_answers[i] = false;
     load(0, 4);
-    cr_assert_leq(busiest(), BOUND, "%d deciders: %d", sizes[k], busiest());
+    cr_assert_leq(max_per_second(), BOUND, "%d deciders: %d", sizes[k],
+                  max_per_second());
     end();
   }
 }
 
-/* Two sides do not hear of each other, and both reach all targets. */
-Test(cold, it_holds_on_two_sides_of_a_cut) {
+/* The two sides don't exchange messages, but both reach all targets. */
+Test(cold, bound_holds_on_two_sides_of_a_partition) {
   for (int k = 0; k < 3; k++) {
     begin(sizes[k], 0);
     load(0, 1);
@@ -248,28 +253,30 @@
       targets_set_rank(deciders[i], 1, side[i] ? i : i - small, of);
     }
     load(1, 5);
-    cr_assert_leq(busiest(), BOUND, "%d deciders: %d", sizes[k], busiest());
+    cr_assert_leq(max_per_second(), BOUND, "%d deciders: %d", sizes[k],
+                  max_per_second());
     end();
   }
 }
 
-/* A third of the instances are new: what they sent before is not known to
-   them, and the others still reckon with the former ones. */
-Test(cold, it_holds_while_instances_restart) {
+/* A third of the instances restart: they don't know what they sent before, and
+   the others still include the former ones. */
+Test(cold, bound_holds_while_instances_restart) {
   for (int k = 0; k < 3; k++) {
     begin(sizes[k], 0);
     load(0, 2);
     for (int i = 0; i < n_deciders; i += 3) {
       targets_free(deciders[i]);
-      deciders[i] = decider(2, i, n_deciders, 0);
+      deciders[i] = new_decider(2, i, n_deciders, 0);
     }
     load(2, 5);
-    cr_assert_leq(busiest(), BOUND, "%d deciders: %d", sizes[k], busiest());
+    cr_assert_leq(max_per_second(), BOUND, "%d deciders: %d", sizes[k],
+                  max_per_second());
     end();
   }
 }
 
-Test(cold, an_answer_that_says_so_makes_a_target_cold_at_once) {
+Test(cold, answer_can_mark_a_target_cold) {
   begin(7, 1);
   Targets *s = deciders[0];
   Ask a = {0};
@@ -277,18 +284,18 @@
       .service = "engines", .ask = &a, .engine = true, .cold_rate_per_s = 1e-9};
   ask.permits_exhausted = true;
   Target *t = targets_pick(s, 1, &ask).target;
-  cr_assert_str_eq(target_id(t), "t000", "the warm one");
+  cr_assert_str_eq(target_id(t), "t000", "the warm target");
   cr_assert_not(targets_pick(s, 1, &ask).bounded);
   target_set_cold(t, 1, 3);
   cr_assert_null(targets_pick(s, 2, &ask).target);
   cr_assert_eq(targets_pick(s, 2, &ask).none, TARGET_NONE_FULL);
   cr_assert_eq(targets_pick(s, 4.1, &ask).target, t, "it is warm again");
   ask.permits_exhausted = false;
-  cr_assert(targets_pick(s, 2, &ask).bounded, "with a permit a cold one may");
+  cr_assert(targets_pick(s, 2, &ask).bounded, "a cold target needs a permit");
   end();
 }
 
-Test(cold, who_does_not_know_its_place_sends_nothing) {
+Test(cold, instance_without_a_rank_has_no_share) {
   QuotaShare s = {0};
   QuotaSends none = {0};
   QuotaBounds b = {.cold_per_s = BOUND, .limit = QUOTA_UNLIMITED};
