--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -1,6 +1,6 @@
-/* test_regions.c: where a request may go that operators bind to regions, and
-   each way by which its bytes leave an instance, with a mutant that opens it.
- */
+/* test_regions.c: where a request that operators restrict to regions may go,
+   and each path by which its bytes leave an instance, also with the check of
+   that path disabled. */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -26,7 +26,7 @@
 
 /* == lists == */
 
-Test(regions, lists_of_route_and_customer_bound_together) {
+Test(regions, lists_of_route_and_customer_intersect) {
   static const struct {
     const char *route, *customer; /* NULL: no list */
     bool north, south, west;
@@ -59,7 +59,7 @@
   regions_free(r);
 }
 
-Test(regions, a_place_that_is_not_known_is_open_to_unbound_requests_only) {
+Test(regions, unknown_place_is_open_only_to_unrestricted_requests) {
   Regions *r = regions();
   RegionSet at = regions_of_dc(r, "z9");
   cr_assert(regions_admit(REGIONS_ANY, at, REGIONS_TARGET));
@@ -68,7 +68,7 @@
   regions_free(r);
 }
 
-Test(regions, an_unknown_name_is_told) {
+Test(regions, unknown_name_is_reported) {
   Regions *r = regions();
   char *names[] = {"south", "nowhere", NULL};
   const char *unknown = NULL;
@@ -79,7 +79,7 @@
   regions_free(r);
 }
 
-Test(regions, without_the_operators_map_our_own_is_known) {
+Test(regions, own_region_is_known_without_a_map) {
   Regions *r = regions_new("a1", "north", "");
   cr_assert(regions_admit(listed(r, "north"), regions_of_dc(r, "a1"),
                           REGIONS_TARGET));
@@ -88,7 +88,7 @@
   regions_free(r);
 }
 
-Test(regions, lists_are_read_from_the_configuration) {
+Test(regions, region_lists_are_read_from_the_configuration) {
   static const struct {
     const char *json;
     const char *names; /* joined; NULL: no list */
@@ -121,9 +121,9 @@
   }
 }
 
-/* == ways out == */
+/* == paths out of the instance == */
 
-/* One instance in `north`, with a target in each region. */
+/* An instance in `north`, and a target in each region. */
 typedef struct Rig {
   Regions *regions;
   Targets *targets;
@@ -167,18 +167,18 @@
   return t && strcmp(target_id(t) + strlen("t-"), dc) == 0;
 }
 
-/* What each check returns: bytes went where they may not. */
+/* Each check returns true if bytes went where they must not. */
 
-/* First try, retry and every question where to send, with one allowed target;
-   once that was tried there is none. */
+/* First attempt, retry and the choice of targets to query, with one allowed
+   target; once that was tried there is none. */
 static bool leaks_to_target(void) {
   Rig g;
-  uint64_t asked[TARGETS_MAX_QUERIED];
+  uint64_t queried[TARGETS_MAX_QUERIED];
   bool leaks = false;
   open_rig(&g, "south");
   for (int i = 0; i < 20; i++)
     leaks |= !is_in(targets_pick(g.targets, 1, &g.wanted).target, "b1");
-  leaks |= targets_to_query(g.targets, 1, &g.wanted, asked) != 1;
+  leaks |= targets_to_query(g.targets, 1, &g.wanted, queried) != 1;
   const Target *tried[] = {targets_pick(g.targets, 1, &g.wanted).target};
   g.wanted.tried = tried;
   g.wanted.n_tried = 1;
@@ -188,7 +188,7 @@
   return leaks;
 }
 
-/* A target elsewhere has the prompt in its memory. */
+/* A target in another region has the prompt in its cache. */
 static bool leaks_from_donor(void) {
   Rig g;
   open_rig(&g, "south");
@@ -203,7 +203,7 @@
   return leaks;
 }
 
-/* Whoever counts the target's work stands in another region. */
+/* The counting instance of the target is in another region. */
 static bool leaks_to_counter(void) {
   Regions *r = regions();
   TallyParts parts = {2, {11, 12}};
@@ -217,7 +217,7 @@
   return far.n != 0;
 }
 
-/* The others of our region, which is not an allowed one. */
+/* The other instances of our region, which is not allowed. */
 static bool leaks_to_peers(void) {
   Rig g;
   TargetParts news;
@@ -229,21 +229,21 @@
   open_rig(&g, "north");
   c = targets_pick(g.targets, 1, &g.wanted);
   target_note_sent(c.target, 1, &g.ask, &c);
-  cr_assert(targets_next_parts(g.targets, &news), "they may know");
+  cr_assert(targets_next_parts(g.targets, &news), "our region may get them");
   close_rig(&g);
   return leaks;
 }
 
-Test(regions, no_way_out_leads_elsewhere_and_each_open_one_is_seen) {
-  static bool (*const ways[REGIONS_PATHS])(void) = {
+Test(regions, no_path_leaks_and_each_bypassed_check_is_detected) {
+  static bool (*const checks[REGIONS_PATHS])(void) = {
       [REGIONS_TARGET] = leaks_to_target,
       [REGIONS_DONOR] = leaks_from_donor,
       [REGIONS_COUNTER] = leaks_to_counter,
       [REGIONS_PEERS] = leaks_to_peers};
   for (int w = 0; w < REGIONS_PATHS; w++) {
-    cr_assert_not(ways[w](), "way %d", w);
+    cr_assert_not(checks[w](), "path %d", w);
     regions_bypass_check((RegionsPath)w);
-    cr_assert(ways[w](), "the mutant of way %d was not seen", w);
+    cr_assert(checks[w](), "the bypassed check of path %d was not detected", w);
     regions_bypass_check(REGIONS_PATHS);
   }
 }
--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -1,5 +1,5 @@
-/* test_suspects.c: which targets ended, under which requests, and what is held
-   against those. */
+/* test_suspects.c: which targets ended, under which requests, and how those
+   requests are restricted. */
 #include <criterion/criterion.h>
 
 #include <glib.h>
@@ -16,7 +16,7 @@
   return (EndsMark){.target = target, .digest = digest(request), .owner = 1};
 }
 
-static int marks_in(Ends *e) {
+static int count_marks(Ends *e) {
   EndsMark m;
   int n = 0;
   while (ends_next_mark(e, &m)) n++;
@@ -25,13 +25,13 @@
 
 /* == digests == */
 
-Test(digest, where_a_part_ends_counts) {
+Test(digest, digest_depends_on_part_boundaries) {
   DigestPart one[] = {{"ab", 2}, {"c", 1}}, other[] = {{"a", 1}, {"bc", 2}};
   cr_assert_not(digest_equal(digest_of(one, 2), digest_of(other, 2)));
   cr_assert(digest_equal(digest_of(one, 2), digest_of(one, 2)));
 }
 
-Test(digest, its_text_is_read_back) {
+Test(digest, digest_text_round_trips) {
   DigestPart part = {"x", 1};
   Digest d = digest_of(&part, 1), back;
   char text[DIGEST_TEXT];
@@ -45,89 +45,91 @@
 
 /* == ends == */
 
-Test(ends, a_target_that_refuses_connections_after_a_break_has_ended) {
+Test(ends, refused_connection_after_a_break_means_ended) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1), n = mark(7, 2);
   cr_assert_not(ends_note_break(e, 10, &m, true, 1));
   cr_assert(ends_start_probe(e, 10, 7));
-  cr_assert_not(ends_start_probe(e, 10, 7), "asked twice");
+  cr_assert_not(ends_start_probe(e, 10, 7), "only one probe per break");
   cr_assert_not(ends_note_break(e, 10, &n, true, 0));
-  cr_assert_eq(marks_in(e), 0);
+  cr_assert_eq(count_marks(e), 0);
   cr_assert(ends_note_refused(e, 10.003, 7, 0));
-  cr_assert_eq(marks_in(e), 2);
+  cr_assert_eq(count_marks(e), 2);
   ends_free(e);
 }
 
-Test(ends, a_break_alone_marks_nobody) {
+Test(ends, break_alone_marks_no_request) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1);
   ends_note_break(e, 10, &m, true, 0);
   ends_note_connected(e, 10.003, 7);
-  cr_assert_not(ends_note_refused(e, 10.5, 7, 0), "it was reached before");
-  cr_assert_eq(marks_in(e), 0);
+  cr_assert_not(ends_note_refused(e, 10.5, 7, 0),
+                "a connection was accepted before");
+  cr_assert_eq(count_marks(e), 0);
   ends_free(e);
 }
 
-Test(ends, a_refusal_without_a_break_marks_nobody) {
+Test(ends, refused_connection_without_a_break_marks_no_request) {
   Ends *e = ends_new();
   cr_assert_not(ends_note_refused(e, 10, 7, 0));
   cr_assert(ends_is_idle(e));
   ends_free(e);
 }
 
-Test(ends, one_that_is_overrun_goes_on_with_what_it_has) {
+Test(ends, overloaded_target_with_open_exchanges_has_not_ended) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1);
   ends_note_break(e, 10, &m, true, 3);
   cr_assert_not(ends_note_refused(e, 10.003, 7, 3));
-  cr_assert_eq(marks_in(e), 0);
+  cr_assert_eq(count_marks(e), 0);
   ends_free(e);
 }
 
-Test(ends, it_ends_with_the_last_exchange_that_breaks) {
+Test(ends, target_has_ended_when_its_last_exchange_breaks) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1), n = mark(7, 2), o = mark(7, 3);
   ends_note_break(e, 10, &m, true, 2);
   ends_note_refused(e, 10.003, 7, 2);
   cr_assert_not(ends_note_break(e, 10.004, &n, true, 1));
   cr_assert(ends_note_break(e, 10.005, &o, true, 0));
-  cr_assert_eq(marks_in(e), 3);
+  cr_assert_eq(count_marks(e), 3);
   ends_free(e);
 }
 
-Test(ends, who_had_run_for_long_is_not_marked) {
+Test(ends, long_running_request_is_not_marked) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1), n = mark(7, 2);
   ends_note_break(e, 10, &m, false, 1);
   ends_note_break(e, 10, &n, true, 0);
   ends_note_refused(e, 10.003, 7, 0);
-  cr_assert_eq(marks_in(e), 1);
+  cr_assert_eq(count_marks(e), 1);
   ends_free(e);
 }
 
-Test(ends, one_that_started_again_at_once_has_ended) {
+Test(ends, restarted_target_has_ended) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1);
   ends_note_break(e, 10, &m, true, 0);
   ends_note_connected(e, 10.003, 7);
   cr_assert(ends_note_restart(e, 10.8, 7));
-  cr_assert_eq(marks_in(e), 1);
+  cr_assert_eq(count_marks(e), 1);
   ends_free(e);
 }
 
-Test(ends, whoever_left_just_before_is_marked_as_well) {
+Test(ends, recently_aborted_request_is_marked) {
   Ends *e = ends_new();
   EndsMark gone = mark(7, 1), m = mark(7, 2);
   ends_note_abandoned(e, 10, &gone);
-  cr_assert_not(ends_start_probe(e, 10, 7), "callers leave all the time");
+  cr_assert_not(ends_start_probe(e, 10, 7),
+                "an aborted exchange is no reason for a probe");
   ends_note_break(e, 10.1, &m, true, 0);
   cr_assert(ends_start_probe(e, 10.1, 7));
   ends_note_refused(e, 10.103, 7, 0);
-  cr_assert_eq(marks_in(e), 2);
+  cr_assert_eq(count_marks(e), 2);
   ends_free(e);
 }
 
-Test(ends, what_broke_long_before_counts_no_more) {
+Test(ends, old_break_is_ignored) {
   Ends *e = ends_new();
   EndsMark m = mark(7, 1);
   ends_note_break(e, 10, &m, true, 0);
@@ -147,36 +149,36 @@
 }
 
 /* The kind of the next message; SUSPECTS_KINDS: there is none. */
-static SuspectsKind said(Suspects *s) {
+static SuspectsKind next_kind(Suspects *s) {
   SuspectsMsg m;
   return suspects_next_message(s, &m) ? m.kind : SUSPECTS_KINDS;
 }
 
-Test(suspects, the_second_target_names_it) {
+Test(suspects, second_target_names_a_suspect) {
   Suspects *s = suspects_new();
   SuspectsMsg a = marked(7, 1), b = marked(8, 1);
   suspects_apply_message(s, 10, &a);
   suspects_apply_message(s, 10, &a); /* another instance saw the same end */
-  cr_assert_eq(said(s), SUSPECTS_KINDS);
+  cr_assert_eq(next_kind(s), SUSPECTS_KINDS);
   cr_assert_not(suspects_has(s, digest(1)));
   suspects_apply_message(s, 12, &b);
   cr_assert(suspects_has(s, digest(1)));
-  cr_assert_eq(said(s), SUSPECTS_NAMED);
+  cr_assert_eq(next_kind(s), SUSPECTS_NAMED);
   suspects_free(s);
 }
 
-Test(suspects, a_mark_after_that_names_it_again) {
+Test(suspects, further_mark_names_a_suspect_again) {
   Suspects *s = suspects_new();
   for (uint64_t t = 7; t <= 9; t++) {
     SuspectsMsg m = marked(t, 1);
     suspects_apply_message(s, (double)t, &m);
   }
-  cr_assert_eq(said(s), SUSPECTS_NAMED);
-  cr_assert_eq(said(s), SUSPECTS_NAMED);
+  cr_assert_eq(next_kind(s), SUSPECTS_NAMED);
+  cr_assert_eq(next_kind(s), SUSPECTS_NAMED);
   suspects_free(s);
 }
 
-Test(suspects, neighbours_of_one_end_each_are_not_named) {
+Test(suspects, requests_with_one_mark_are_not_named) {
   Suspects *s = suspects_new();
   for (uint64_t t = 0; t < 40; t++)
     for (uint64_t n = 0; n < 63; n++) {
@@ -187,7 +189,7 @@
   suspects_free(s);
 }
 
-Test(suspects, an_attempt_that_ends_well_between_clears_it_at_its_home) {
+Test(suspects, success_between_marks_clears_the_request) {
   Suspects *s = suspects_new();
   SuspectsMsg a = marked(7, 1), b = marked(8, 1);
   suspects_apply_message(s, 10, &a);
@@ -197,7 +199,7 @@
   suspects_free(s);
 }
 
-Test(suspects, whoever_saw_it_end_well_objects_when_it_is_named) {
+Test(suspects, instance_that_saw_a_success_clears_a_named_suspect) {
   Suspects *s = suspects_new();
   SuspectsMsg named = {.kind = SUSPECTS_NAMED,
                        .digest = digest(1),
@@ -206,15 +208,15 @@
   suspects_note_success(s, 10, digest(1));
   suspects_apply_message(s, 12, &named);
   cr_assert_not(suspects_has(s, digest(1)));
-  cr_assert_eq(said(s), SUSPECTS_CLEARED);
-  named.first_mark_age_s = 1; /* its first mark came after that */
+  cr_assert_eq(next_kind(s), SUSPECTS_CLEARED);
+  named.first_mark_age_s = 1; /* its first mark is later than the success */
   suspects_apply_message(s, 12, &named);
   cr_assert(suspects_has(s, digest(1)));
-  cr_assert_eq(said(s), SUSPECTS_KINDS);
+  cr_assert_eq(next_kind(s), SUSPECTS_KINDS);
   suspects_free(s);
 }
 
-Test(suspects, a_suspect_that_ends_well_is_cleared_for_all) {
+Test(suspects, success_clears_a_suspect_on_all_instances) {
   Suspects *s = suspects_new(), *other = suspects_new();
   SuspectsMsg named = {.kind = SUSPECTS_NAMED, .digest = digest(1), .owner = 1};
   SuspectsMsg m;
@@ -229,7 +231,7 @@
   suspects_free(other);
 }
 
-Test(suspects, one_customers_flood_does_not_push_out_anothers) {
+Test(suspects, flood_of_one_customer_does_not_evict_others) {
   Suspects *s = suspects_new();
   SuspectsMsg theirs = {
       .kind = SUSPECTS_NAMED, .digest = digest(1), .owner = 1};
@@ -239,12 +241,13 @@
     suspects_apply_message(s, 2, &m);
   }
   cr_assert(suspects_has(s, digest(1)));
-  cr_assert_not(suspects_has(s, digest(2)), "the oldest of the flood goes");
+  cr_assert_not(suspects_has(s, digest(2)),
+                "the oldest of the flood is evicted");
   cr_assert(suspects_has(s, digest(2999)));
   suspects_free(s);
 }
 
-Test(suspects, nothing_is_looked_at_while_no_target_ends) {
+Test(suspects, successes_are_not_tracked_while_no_target_ends) {
   Suspects *s = suspects_new();
   cr_assert_not(suspects_track_successes(s, 10));
   EndsMark m = mark(7, 1);
@@ -254,27 +257,27 @@
   suspects_free(s);
 }
 
-/* == both errors, weighed == */
+/* == false suspects == */
 
 #define TARGETS 10
 #define SECONDS 600.0
 #define STEP_S 0.01
 
-/* One harmless request that comes again and again while targets end by
-   themselves. One home, words at once. */
-typedef struct Play {
+/* One harmless request that comes repeatedly while targets end by themselves,
+   with a single home and no message delay. */
+typedef struct Sim {
   Suspects *s;
   GArray *attempts; /* Attempt */
-  uint64_t lives[TARGETS], life;
+  uint64_t incarnations[TARGETS], last_incarnation;
   int named;
-} Play;
+} Sim;
 
 typedef struct Attempt {
   double until;
   int target;
 } Attempt;
 
-static void end_attempts(Play *p, double now) {
+static void end_attempts(Sim *p, double now) {
   for (guint i = p->attempts->len; i-- > 0;) {
     if (now < g_array_index(p->attempts, Attempt, i).until) continue;
     suspects_note_success(p->s, now, digest(1));
@@ -282,25 +285,26 @@
   }
 }
 
-static void end_target(Play *p, double now, int target) {
-  SuspectsMsg m = marked(p->lives[target], 1);
+static void end_target(Sim *p, double now, int target) {
+  SuspectsMsg m = marked(p->incarnations[target], 1);
   for (guint i = p->attempts->len; i-- > 0;) {
     if (g_array_index(p->attempts, Attempt, i).target != target) continue;
     suspects_apply_message(p->s, now, &m);
     g_array_remove_index_fast(p->attempts, i);
   }
-  p->lives[target] = ++p->life;
+  p->incarnations[target] = ++p->last_incarnation;
   while (suspects_next_message(p->s, &m)) p->named += m.kind == SUSPECTS_NAMED;
 }
 
-/* How often it is named: `per_s` attempts of `run_s`, an end each `ends_s`. */
-static int times_named(uint32_t seed, double per_s, double run_s,
+/* How often it is named with `per_s` attempts of `run_s` and an end every
+   `ends_s`. */
+static int count_named(uint32_t seed, double per_s, double run_s,
                        double ends_s) {
-  Play p = {.s = suspects_new(),
-            .attempts = g_array_new(FALSE, FALSE, sizeof(Attempt))};
+  Sim p = {.s = suspects_new(),
+           .attempts = g_array_new(FALSE, FALSE, sizeof(Attempt))};
   GRand *dice = g_rand_new_with_seed(seed);
   double next_run = 0, next_end = 0;
-  for (int i = 0; i < TARGETS; i++) p.lives[i] = ++p.life;
+  for (int i = 0; i < TARGETS; i++) p.incarnations[i] = ++p.last_incarnation;
   for (double now = 0; now < SECONDS; now += STEP_S) {
     if (now >= next_run) {
       Attempt a = {now + run_s, g_rand_int_range(dice, 0, TARGETS)};
@@ -318,14 +322,15 @@
   return p.named;
 }
 
-/* An end each 0.8 s of ten targets is far beyond what is borne otherwise. A
-   harmless request may be named now and then: it is tried at once, and freed.
-   Its callers wait for less than one try in a hundred requests then. */
-Test(suspects, a_harmless_one_is_seldom_named_however_many_targets_end) {
+/* An end every 0.8 s among ten targets is far more than is tolerated
+   elsewhere. A harmless request may be named occasionally: it is tried at once
+   and cleared. Its callers then wait for less than one try in a hundred
+   requests. */
+Test(suspects, harmless_request_is_rarely_named) {
   for (uint32_t seed = 1; seed <= 20; seed++) {
-    int often = times_named(seed, 10, 0.5, 0.8);
-    cr_assert_leq(often, 10 * SECONDS / 100, "seed %u: %d times of 6,000", seed,
-                  often);
+    int n_named = count_named(seed, 10, 0.5, 0.8);
+    cr_assert_leq(n_named, 10 * SECONDS / 100, "seed %u: %d times of 6,000",
+                  seed, n_named);
   }
 }
 
@@ -339,29 +344,31 @@
   return trials_verdict(t, now, digest(1), suspect);
 }
 
-Test(trials, only_a_suspect_is_tried) {
+Test(trials, only_suspects_are_tried) {
   Trials *t = trials_new();
   cr_assert_eq(verdict(t, 1, false), TRIALS_FREE);
   cr_assert_eq(verdict(t, 1, true), TRIALS_TRY);
   trials_free(t);
 }
 
-Test(trials, while_it_is_tried_nobody_else_does) {
+Test(trials, open_trial_blocks_other_instances) {
   Trials *t = trials_new();
   Trial x = trials_begin(t, digest(1), 1, 1000);
   x.revision = 5;
   trials_set(t, 10, &x);
   cr_assert_eq(verdict(t, 10, true), TRIALS_BUSY);
-  cr_assert_eq(verdict(t, 10, false), TRIALS_BUSY, "who never heard its name");
+  cr_assert_eq(verdict(t, 10, false), TRIALS_BUSY,
+               "for an instance that missed the message, too");
   trials_free(t);
 }
 
-Test(trials, whoever_tried_it_was_lost) {
+Test(trials, abandoned_trial_expires) {
   Trials *t = trials_new();
   Trial x = trials_begin(t, digest(1), 1, 1000);
   x.revision = 5;
   trials_set(t, 10, &x);
-  cr_assert_eq(verdict(t, 100, false), TRIALS_TRY, "another may, once");
+  cr_assert_eq(verdict(t, 100, false), TRIALS_TRY,
+               "another instance may try once");
   x = trials_begin(t, digest(1), 1, 2000);
   x.revision = 6;
   trials_set(t, 100, &x);
@@ -370,7 +377,7 @@
   trials_free(t);
 }
 
-Test(trials, a_target_that_ended_holds_it) {
+Test(trials, ended_target_holds_the_request) {
   Trials *t = trials_new();
   Trial x = trials_begin(t, digest(1), 1, 1000);
   x = trials_close(&x, TRIALS_ENDED);
@@ -380,7 +387,7 @@
   trials_free(t);
 }
 
-Test(trials, what_told_nothing_is_tried_once_more) {
+Test(trials, inconclusive_trial_is_repeated_once) {
   Trials *t = trials_new();
   for (uint64_t revision = 1; revision <= 2; revision++) {
     cr_assert_eq(verdict(t, 10, true), TRIALS_TRY);
@@ -393,7 +400,7 @@
   trials_free(t);
 }
 
-Test(trials, what_came_to_no_target_is_no_try) {
+Test(trials, unsent_request_does_not_count_as_a_try) {
   Trials *t = trials_new();
   for (uint64_t revision = 1; revision <= 9; revision++) {
     Trial x = trials_begin(t, digest(1), 1, 1000);
@@ -405,7 +412,7 @@
   trials_free(t);
 }
 
-Test(trials, what_ended_well_is_free) {
+Test(trials, removed_trial_frees_the_request) {
   Trials *t = trials_new();
   Trial x = trial(1, 3);
   trials_set(t, 10, &x);
@@ -414,7 +421,7 @@
   trials_free(t);
 }
 
-Test(trials, older_news_is_passed_over) {
+Test(trials, older_revision_is_ignored) {
   Trials *t = trials_new();
   Trial held = trial(1, 6), before = trial(1, 5);
   held.ended = true;
@@ -425,7 +432,7 @@
   trials_free(t);
 }
 
-Test(trials, a_listing_takes_away_what_it_does_not_hold) {
+Test(trials, listing_removes_unlisted_trials) {
   Trials *t = trials_new();
   Trial a = trial(1, 5), b = trial(2, 6);
   char name[DIGEST_TEXT];
@@ -442,7 +449,7 @@
   trials_free(t);
 }
 
-Test(trials, the_store_gives_back_what_was_written) {
+Test(trials, trial_round_trips_through_its_object) {
   Trial x = trial(1, 0), back;
   char name[DIGEST_TEXT];
   x.owner = UINT64_MAX;
@@ -462,7 +469,7 @@
   json_decref(o);
 }
 
-Test(trials, a_full_store_gives_up_the_oldest_of_who_has_most) {
+Test(trials, full_store_evicts_the_oldest_of_the_largest_owner) {
   Trials *t = trials_new();
   Trial theirs = {.digest = digest(1), .owner = 1, .tries = 1, .began = 1};
   Trial gone;
@@ -474,6 +481,7 @@
     trials_set(t, 10, &x);
   }
   cr_assert(trials_choose_evicted(t, &gone));
-  cr_assert(digest_equal(gone.digest, digest(3)), "the second is being tried");
+  cr_assert(digest_equal(gone.digest, digest(3)),
+            "request 2 has an open trial");
   trials_free(t);
 }
