--- a/packages/route/bounded.c
+++ b/packages/route/bounded.c
@@ -25,10 +25,10 @@
 
 TargetLimitChange target_set_limit(Target *t, double now, double per_s) {
   bool changed = set_limit(t, per_s);
-  bool again =
+  bool needs_repeat =
       per_s < QUOTA_UNLIMITED && now - t->limit_sent_at >= LIMIT_RESEND_S;
   t->limit_damaged = false;
-  if (!changed && !again) return TARGET_LIMIT_KNOWN;
+  if (!changed && !needs_repeat) return TARGET_LIMIT_KNOWN;
   t->limit_sent_at = now;
   return changed ? TARGET_LIMIT_CHANGED : TARGET_LIMIT_REPEAT;
 }
--- a/packages/route/choose.c
+++ b/packages/route/choose.c
@@ -203,9 +203,7 @@
   uint64_t key = parts_key(a);
   if (cached > 0 || key == 0 || p->set->parts_are_exchanged)
     return all - cached;
-  /* Tokens of the shared parts that a target other than a home would read. The
-     next request does not look for them there, so it has to read them once
-     more. */
+  /* Its home has most likely read the shared parts for another request. */
   if (!is_home(p, t)) return all;
   return all - parts_shared_tokens(a);
 }
@@ -240,9 +238,9 @@
   if (p->request->move_token_s <= 0 ||
       p->request->move_token_s >= p->prefill_s_per_token)
     return;
-  bool words = p->request->n_reports > 0;
-  GPtrArray *list =
-      words ? list_reported_targets(p) : g_ptr_array_ref(p->pool->members);
+  bool has_reports = p->request->n_reports > 0;
+  GPtrArray *list = has_reports ? list_reported_targets(p)
+                                : g_ptr_array_ref(p->pool->members);
   for (guint i = 0; i < list->len; i++) {
     const Target *t = list->pdata[i];
     if (!is_in_allowed_region(p, t, REGIONS_DONOR)) continue;
@@ -311,8 +309,8 @@
 static double plain_wait_s(const Target *t, int open, double now) {
   double took = t->mean_answer_s > 0 ? t->mean_answer_s : INITIAL_ANSWER_S;
   int slots = MAX(t->info.slots, 1);
-  bool fresh = now - t->reported_at < LOAD_REPORT_MAX_AGE_S;
-  int reported = fresh ? t->reported_running + t->reported_waiting : 0;
+  bool is_fresh = now - t->reported_at < LOAD_REPORT_MAX_AGE_S;
+  int reported = is_fresh ? t->reported_running + t->reported_waiting : 0;
   int there = MAX(open, reported);
   return took * target_pace(t, now) * (1 + (double)there / slots);
 }
--- a/packages/route/division.c
+++ b/packages/route/division.c
@@ -26,7 +26,7 @@
 #define MIN_DIVIDED_TARGETS 3 /* a smaller pool is not divided */
 
 typedef struct OtherReport {
-  DivisionReport word;
+  DivisionReport report;
   double at;
 } OtherReport;
 
@@ -101,7 +101,7 @@
     t = g_new0(OtherReport, 1);
     g_hash_table_insert(d->others, g_memdup2(&from, sizeof from), t);
   }
-  *t = (OtherReport){.word = *w, .at = now};
+  *t = (OtherReport){.report = *w, .at = now};
 }
 
 /* Sums up all instances; a report that is not repeated fades with the rest. */
@@ -112,7 +112,7 @@
   g_hash_table_iter_init(&it, d->others);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     const OtherReport *t = v;
-    add_weighted(&sum, &t->word, fade_weight(now, t->at));
+    add_weighted(&sum, &t->report, fade_weight(now, t->at));
     if (now - t->at > REPORT_MAX_AGE_S) g_hash_table_iter_remove(&it);
   }
   return sum;
--- a/packages/route/division.h
+++ b/packages/route/division.h
@@ -22,7 +22,7 @@
 /* A prompt is sent of which `tokens` have to be read. */
 void division_note_prefill(Division *d, double now, bool long_prompt,
                            int64_t tokens);
-/* A stream has ended at a target that reads long prompts. `held`: one of its
+/* A stream has ended at a target that reads long prompts. `stalled`: one of its
    pauses was too long. */
 void division_note_stream(Division *d, double now, bool stalled);
 /* The observations of this instance, for the others. */
--- a/packages/route/ends.h
+++ b/packages/route/ends.h
@@ -28,8 +28,8 @@
 /* The functions that return a bool return true if the target is now known to
    have ended. `open`: number of our exchanges with it that go on. */
 
-/* An exchange with the target broke. `young`: the request of `mark` had just
-   begun to run there, or had not begun yet. */
+/* An exchange with the target broke. `recently_started`: the request of `mark`
+   had just begun to run there, or had not begun yet. */
 bool ends_note_break(Ends *e, double now, const EndsMark *mark,
                      bool recently_started, int open);
 /* We aborted an exchange with the target because its caller left or ran out of
--- a/packages/route/fair.h
+++ b/packages/route/fair.h
@@ -10,13 +10,13 @@
 /* The properties of an entry that matter. */
 typedef struct FairEntry {
   uint64_t owner; /* text_hash of the customer */
-  double
-      age; /* rank among the entries of an owner: the lowest is evicted first */
+  double rank;    /* among those of an owner: the lowest is evicted first */
   bool is_pinned; /* it must not be evicted */
 } FairEntry;
 
 /* The entry to evict: of the owner with the most entries, the one with the
-   lowest age. `look` reads a value of the table; NULL: none may be evicted. */
+   lowest rank. `read_entry` reads a value of the table; NULL: none may be
+   evicted. */
 gpointer fair_choose_evicted(GHashTable *table,
                              FairEntry (*read_entry)(gconstpointer value));
 
--- a/packages/route/loads.c
+++ b/packages/route/loads.c
@@ -27,7 +27,7 @@
   bool is_assigned, near;
   bool in_flight, verify; /* verify: an instance reported it unresponsive */
   bool known, ok;         /* about our last answer */
-  int running, waiting, fails;
+  int running, waiting, consecutive_failures;
   double queried_at, received_at; /* -1: never */
   bool send_now;                  /* a change that must not wait */
   double sent_at;
@@ -179,7 +179,7 @@
   if (w->is_assigned && (!w->known || w->ok != ok)) w->send_now = true;
   w->known = true;
   w->ok = ok;
-  w->fails = ok ? 0 : w->fails + 1;
+  w->consecutive_failures = ok ? 0 : w->consecutive_failures + 1;
   w->running = running;
   w->waiting = waiting;
 }
@@ -189,9 +189,9 @@
 bool loads_next_message(Loads *l, double now, LoadsMsg *m) {
   for (guint k = 0; k < l->list->len; k++) {
     Watched *w = l->list->pdata[(l->send_cursor + k) % l->list->len];
-    bool again = w->known && now - w->sent_at >= l->send_interval_s &&
-                 w->received_at > w->sent_at;
-    if (!w->is_assigned || !(w->send_now || again)) continue;
+    bool is_repeat_due = w->known && now - w->sent_at >= l->send_interval_s &&
+                         w->received_at > w->sent_at;
+    if (!w->is_assigned || !(w->send_now || is_repeat_due)) continue;
     l->send_cursor = (l->send_cursor + k + 1) % l->list->len;
     w->send_now = false;
     w->sent_at = now;
@@ -206,8 +206,9 @@
   Watched *w = g_hash_table_lookup(l->by_hash, &m->target);
   if (!w) return NULL;
   if (m->unresponsive) { /* unreachable for us, too, or only for the sender? */
-    double wait = w->fails < RECHECK_AFTER_FAILURES ? NEAR_INTERVAL_S
-                                                    : RECHECK_INTERVAL_S;
+    double wait = w->consecutive_failures < RECHECK_AFTER_FAILURES
+                      ? NEAR_INTERVAL_S
+                      : RECHECK_INTERVAL_S;
     w->verify =
         !w->in_flight && (w->queried_at < 0 || now - w->queried_at >= wait);
     return NULL;
--- a/packages/route/parts.h
+++ b/packages/route/parts.h
@@ -13,8 +13,8 @@
 Parts *parts_new(void);
 void parts_free(Parts *p);
 /* The target is sent this prompt. Stores the hashes of its shared parts that
-   were not sent to the other instances recently in `news` (room for ASK_PARTS)
-   and returns how many. */
+   were not sent to the other instances recently in `to_send` (room for
+   ASK_PARTS) and returns how many. */
 int parts_note_prompt(Parts *p, const Ask *a, double now, uint64_t *to_send);
 /* Another instance sent these parts there. */
 void parts_apply_report(Parts *p, const uint64_t *names, int n, double now);
@@ -25,7 +25,7 @@
 int64_t parts_cached_tokens(const Parts *p, const Ask *a, double now,
                             double age_s);
 
-/* Stores the hashes of up to `most` shared parts, each covering all parts
+/* Stores the hashes of up to `max_names` shared parts, each covering all parts
    before it. Returns how many. */
 int parts_names(const Ask *a, uint64_t *names, int max_names);
 /* How many of these, from the first one on, were sent there at least `age_s`
--- a/packages/route/pool.c
+++ b/packages/route/pool.c
@@ -138,14 +138,14 @@
 int pool_homes(Pool *p, uint64_t key, PoolFilter filter, const void *ctx,
                Target *homes[POOL_MAX_HOMES]) {
   Target *first = NULL;
-  uint64_t least = UINT64_MAX;
+  uint64_t lowest = UINT64_MAX;
   if (pool_sorted_members(p)->len == 0) return 0;
   for (uint64_t k = 0; k < RING_PROBES; k++) {
     uint64_t at = XXH64(&key, sizeof key, k);
     Target *t = find_successor(p, at, filter, ctx);
-    if (!t || t->hash - at >= least) continue;
+    if (!t || t->hash - at >= lowest) continue;
     first = t;
-    least = t->hash - at;
+    lowest = t->hash - at;
   }
   if (!first) return 0;
   homes[0] = first;
--- a/packages/route/pool.h
+++ b/packages/route/pool.h
@@ -53,7 +53,7 @@
 /* Whether a member may be a home. */
 typedef bool (*PoolFilter)(const void *ctx, const Target *t);
 
-/* The homes of a prompt with that key among the members that pass `fits`, all
+/* The homes of a prompt with that key among the members that pass `filter`, all
    of one group. Instances that know the same members agree without
    communication, and a member that is added or removed moves only its own
    share of the prompts. Returns how many, the preferred one first. The cost is
@@ -61,8 +61,8 @@
 int pool_homes(Pool *p, uint64_t key, PoolFilter filter, const void *ctx,
                Target *homes[POOL_MAX_HOMES]);
 
-/* Puts up to `most` other members of the group of `t` that pass `fits` into
-   `out`, in the order from `t` on. Returns how many. */
+/* Puts up to `max_members` other members of the group of `t` that pass `filter`
+   into `out`, in the order from `t` on. Returns how many. */
 int pool_group_members(Pool *p, const Target *t, PoolFilter filter,
                        const void *ctx, Target **out, int max_members);
 
--- a/packages/route/regions.h
+++ b/packages/route/regions.h
@@ -1,5 +1,6 @@
-/* regions.h: the regions in which a request may be served, and the paths by
-   which its bytes may leave this instance; pure. */
+/* regions.h: the regions, which are groups of data centres, in which a request
+   may be served, and the paths by which its bytes may leave this instance;
+   pure. */
 #ifndef ROUTE_REGIONS_H
 #define ROUTE_REGIONS_H
 
--- a/packages/route/retries.c
+++ b/packages/route/retries.c
@@ -87,9 +87,9 @@
   }
   /* The oldest bucket is partly outside the window that ends now. */
   first -= c->first[(c->at + 1) % (WINDOW_BUCKETS + 1)];
-  double most =
+  double max_retries =
       r->o.ratio * first + floor(r->o.extra / instances_sharing(r, now));
-  if (retried + 1 > most) return false;
+  if (retried + 1 > max_retries) return false;
   c->retried[c->at % (WINDOW_BUCKETS + 1)]++;
   return true;
 }
--- a/packages/route/route.c
+++ b/packages/route/route.c
@@ -170,17 +170,17 @@
 }
 
 /* Blocks of the prompt that the target has probably cached. */
-static int cached_blocks(const TargetState *s, const RouteRequest *ask) {
+static int cached_blocks(const TargetState *s, const RouteRequest *request) {
   int n = 0;
-  while (n < ask->n_blocks && has_block(s, &ask->blocks[n])) n++;
+  while (n < request->n_blocks && has_block(s, &request->blocks[n])) n++;
   return n;
 }
 
 static void remember_blocks(const Route *r, TargetState *s,
-                            const RouteRequest *ask) {
-  for (int i = 0; i < ask->n_blocks; i++)
+                            const RouteRequest *request) {
+  for (int i = 0; i < request->n_blocks; i++)
     g_hash_table_add(s->recent_blocks,
-                     g_memdup2(&ask->blocks[i], sizeof ask->blocks[i]));
+                     g_memdup2(&request->blocks[i], sizeof request->blocks[i]));
   if (g_hash_table_size(s->recent_blocks) < MAX_KEPT_BLOCKS / 2 / r->list->len)
     return;
   g_hash_table_destroy(s->older_blocks);
@@ -292,9 +292,9 @@
 
 /* == choice == */
 
-static bool was_tried(const RouteRequest *ask, const char *name) {
-  for (int i = 0; i < 4 && ask->tried[i]; i++)
-    if (strcmp(ask->tried[i], name) == 0) return true;
+static bool was_tried(const RouteRequest *request, const char *name) {
+  for (int i = 0; i < 4 && request->tried[i]; i++)
+    if (strcmp(request->tried[i], name) == 0) return true;
   return false;
 }
 
@@ -302,31 +302,34 @@
   return what && what[0];
 }
 
-static bool meets_requirements(const TargetState *s, const RouteRequest *ask) {
+static bool meets_requirements(const TargetState *s,
+                               const RouteRequest *request) {
   const RouteTarget *t = &s->t;
-  const char *adapter = ask->adapter;
+  const char *adapter = request->adapter;
   if (is_required(adapter) && !list_has(t->adapters, adapter) &&
       !list_has(s->assigned_adapters, adapter))
     return false;
-  if (is_required(ask->version) && strcmp(t->version, ask->version) != 0)
+  if (is_required(request->version) &&
+      strcmp(t->version, request->version) != 0)
     return false;
-  return !is_required(ask->dcs) || list_has(ask->dcs, t->dc);
+  return !is_required(request->dcs) || list_has(request->dcs, t->dc);
 }
 
 static bool may_send_to(const TargetState *s, double now,
-                        const RouteRequest *ask) {
-  if (s->leaving || was_tried(ask, s->t.name) || !meets_requirements(s, ask))
+                        const RouteRequest *request) {
+  if (s->leaving || was_tried(request, s->t.name) ||
+      !meets_requirements(s, request))
     return false;
   if (!s->ejected) return true;
   return now >= s->ejected_until && !s->probing; /* one probe at a time */
 }
 
 static void compute_cost(const Route *r, const TargetState *s, double now,
-                         const RouteRequest *ask, RouteChoice *c) {
-  int64_t cached = (int64_t)cached_blocks(s, ask) * ROUTE_BLOCK_BYTES / 4;
-  c->cached = MIN(cached, ask->tokens);
+                         const RouteRequest *request, RouteChoice *c) {
+  int64_t cached = (int64_t)cached_blocks(s, request) * ROUTE_BLOCK_BYTES / 4;
+  c->cached = MIN(cached, request->tokens);
   c->path = s->path_s;
-  c->prefill = (double)(ask->tokens - c->cached) * s->prefill_s;
+  c->prefill = (double)(request->tokens - c->cached) * s->prefill_s;
   double there = estimate_inflight(r, s, now), over = there + 1 - s->t.slots;
   c->wait = over > 0 ? over * s->service_s / s->t.slots : 0;
   /* An old report hides what other instances sent since; the higher the load
@@ -339,9 +342,10 @@
 }
 
 static double compute_score(const Route *r, const TargetState *s,
-                            const RouteRequest *ask, const RouteChoice *c,
+                            const RouteRequest *request, const RouteChoice *c,
                             guint i) {
-  if (ask->preferred && strcmp(ask->preferred, s->t.name) == 0) return -1;
+  if (request->preferred && strcmp(request->preferred, s->t.name) == 0)
+    return -1;
   switch (r->policy) {
   case ROUTE_ROUND_ROBIN:
     return (double)((i + r->list->len - r->next_turn % r->list->len) %
@@ -354,25 +358,25 @@
 }
 
 static void record_dispatch(const Route *r, TargetState *s,
-                            const RouteRequest *ask, RouteChoice *c) {
+                            const RouteRequest *request, RouteChoice *c) {
   s->own_open++;
   s->sent_since_report++;
   c->probe = s->ejected;
   s->probing = s->ejected;
-  remember_blocks(r, s, ask);
+  remember_blocks(r, s, request);
   g_strlcpy(c->name, s->t.name, sizeof c->name);
   g_strlcpy(c->url, s->t.url, sizeof c->url);
 }
 
-bool route_pick(Route *r, double now, const RouteRequest *ask,
+bool route_pick(Route *r, double now, const RouteRequest *request,
                 RouteChoice *out) {
   double best = INFINITY;
   g_array_set_size(r->priced, 0);
   for (guint i = 0; i < r->list->len; i++) {
     Candidate p = {.s = r->list->pdata[i]};
-    if (!may_send_to(p.s, now, ask)) continue;
-    compute_cost(r, p.s, now, ask, &p.c);
-    p.score = compute_score(r, p.s, ask, &p.c, i);
+    if (!may_send_to(p.s, now, request)) continue;
+    compute_cost(r, p.s, now, request, &p.c);
+    p.score = compute_score(r, p.s, request, &p.c, i);
     best = MIN(best, p.score);
     g_array_append_val(r->priced, p);
   }
@@ -393,7 +397,7 @@
   *out = pick->c;
   out->candidates = (int)n;
   out->excluded_count = (int)(r->list->len - n);
-  record_dispatch(r, pick->s, ask, out);
+  record_dispatch(r, pick->s, request, out);
   return true;
 }
 
--- a/packages/route/route.h
+++ b/packages/route/route.h
@@ -88,7 +88,8 @@
 void route_note_unresponsive(Route *r, double now, const char *name);
 /* Chooses a target and counts the request as dispatched there; false: no
    target may take it. */
-bool route_pick(Route *r, double now, const RouteRequest *ask, RouteChoice *c);
+bool route_pick(Route *r, double now, const RouteRequest *request,
+                RouteChoice *c);
 /* Ends a dispatch. `first_s`, `all_s`: time to the first token and in total, 0
    if unknown. */
 void route_note_done(Route *r, double now, const char *name,
--- a/packages/route/suspects.c
+++ b/packages/route/suspects.c
@@ -60,7 +60,7 @@
 
 static FairEntry fair_entry_of(gconstpointer value) {
   const Entry *e = value;
-  return (FairEntry){.owner = e->owner, .age = e->last};
+  return (FairEntry){.owner = e->owner, .rank = e->last};
 }
 
 static void evict_if_full(GHashTable *table, guint max_entries) {
--- a/packages/route/tally.c
+++ b/packages/route/tally.c
@@ -246,18 +246,18 @@
 }
 
 /* Whether the limit has to be sent to the other instances. */
-static bool is_limit_due(const Count *c, double now, double again_s) {
+static bool is_limit_due(const Count *c, double now, double resend_s) {
   if (c->limit_changed) return true;
-  return c->limit < QUOTA_UNLIMITED && now - c->limit_sent_at >= again_s;
+  return c->limit < QUOTA_UNLIMITED && now - c->limit_sent_at >= resend_s;
 }
 
-bool tally_next_limit(Tally *t, double now, double again_s, TallyLimit *m) {
+bool tally_next_limit(Tally *t, double now, double resend_s, TallyLimit *m) {
   GHashTableIter it;
   gpointer k, v;
   g_hash_table_iter_init(&it, t->counts);
   while (g_hash_table_iter_next(&it, &k, &v)) {
     Count *c = v;
-    if (!c->has_counter || !is_limit_due(c, now, again_s)) continue;
+    if (!c->has_counter || !is_limit_due(c, now, resend_s)) continue;
     c->limit_changed = false;
     c->limit_sent_at = now;
     *m = (TallyLimit){*(uint64_t *)k, c->counter, c->limit};
--- a/packages/route/tally.h
+++ b/packages/route/tally.h
@@ -1,9 +1,9 @@
-/* tally.h: the count that one instance keeps of the whole fleet's work at some
-   targets; pure. In a large fleet the instances can't report each request to
-   all others, so each target has one instance that keeps its count: instances
-   that send work there report it, and query the count a few milliseconds
-   before they send. The answer is accurate to within those milliseconds, while
-   a target's own report is some hundred milliseconds old.
+/* tally.h: the count that one instance, the counting instance, keeps of the
+   whole fleet's work at some targets; pure. In a large fleet the instances
+   can't report each request to all others, so each target has one counting
+   instance: instances that send work there report it, and query the count a
+   few milliseconds before they send. The answer is accurate to within those
+   milliseconds, while a target's own report is some hundred milliseconds old.
 
       The load that this is for: 295 instances with two requests per second
    each share 160 engines. No instance knows what the others send, equal
@@ -11,8 +11,8 @@
    new many are late on engines that are hardly in use.
 
       The same count determines what a bounded target (quota.h) may still get:
-   in a fleet of any size an instance requests a permit before it sends
-   there. */
+   in a fleet of any size an instance requests a permit, the permission to send
+   one request, before it sends there. */
 #ifndef ROUTE_TALLY_H
 #define ROUTE_TALLY_H
 
@@ -119,8 +119,8 @@
 /* Sets a target's limit from an instance's report. */
 void tally_set_limit(Tally *t, double now, const TallyLimit *m);
 /* The next limit to send to the other instances: one that changed, or one in
-   force that was last sent at least `again_s` ago; false: none. */
-bool tally_next_limit(Tally *t, double now, double again_s, TallyLimit *m);
+   force that was last sent at least `resend_s` ago; false: none. */
+bool tally_next_limit(Tally *t, double now, double resend_s, TallyLimit *m);
 TallyReport tally_report(Tally *t, double now, const TallyQuery *a);
 /* Drops what has expired; call it about once a second. */
 void tally_sweep(Tally *t, double now);
--- a/packages/route/targets.c
+++ b/packages/route/targets.c
@@ -368,10 +368,11 @@
   *m += weight * (v - *m);
 }
 
-void target_note_first_byte(Target *t, int64_t uncached_tokens, int64_t ahead,
-                            double took_s) {
+void target_note_first_byte(Target *t, int64_t uncached_tokens,
+                            int64_t queued_tokens, double took_s) {
   Fit *line = &t->pool->first;
-  double x = (double)(uncached_tokens + ahead), usual = fit_value(line, x);
+  double x = (double)(uncached_tokens + queued_tokens),
+         usual = fit_value(line, x);
   remove_backlog(t, uncached_tokens);
   if (usual > 0)
     update_mean(
--- a/packages/route/targets.h
+++ b/packages/route/targets.h
@@ -85,8 +85,7 @@
   const char *service;
   const Ask *ask;
   bool engine;
-  double cold_rate_per_s; /* that a cold target can take; 0: as many as a warm
-                             one */
+  double cold_rate_per_s; /* of a cold target; 0: the same as of a warm one */
   double move_token_s; /* time to move the cached state of one token; 0: it is
                           not moved */
   double max_pause_s;  /* lowest limit of pauses among the streams of the
@@ -125,7 +124,7 @@
   QuotaBounds bounds;    /* bounds on the target for this request */
   bool bounded;  /* the bounds apply: the request needs a permit (tally.h) */
   double wait_s; /* predicted time until the first byte */
-  int64_t uncached_tokens; /* that the target probably has to read */
+  int64_t uncached_tokens; /* the target probably has to read them */
   int64_t moved_tokens;    /* tokens taken from the cache of `donor` */
   const Target *donor;     /* NULL: none */
   TargetLoad load;         /* load of the target at the time of the choice */
@@ -157,10 +156,10 @@
 /* A request is sent to the chosen target. */
 void target_note_sent(Target *t, double now, const Ask *ask,
                       const TargetChoice *c);
-/* Its first byte arrived after `took_s`; `ahead` tokens of other prompts were
+/* Its first byte arrived after `took_s`; `queued_tokens` of other prompts were
    waiting to be read there when the request was sent. */
-void target_note_first_byte(Target *t, int64_t uncached_tokens, int64_t ahead,
-                            double took_s);
+void target_note_first_byte(Target *t, int64_t uncached_tokens,
+                            int64_t queued_tokens, double took_s);
 
 typedef enum {
   TARGET_OK,
@@ -189,7 +188,7 @@
 typedef enum {
   TARGET_LIMIT_KNOWN,
   TARGET_LIMIT_REPEAT, /* known, but the counting instance needs a reminder */
-  TARGET_LIMIT_CHANGED /* the counting instance needs it, too */
+  TARGET_LIMIT_CHANGED /* changed, and the counting instance needs it */
 } TargetLimitChange;
 
 /* Sets the requests per second that the target accepts from all instances, as
@@ -236,7 +235,7 @@
 bool targets_next_parts(Targets *s, TargetParts *m);
 void targets_apply_parts(Targets *s, double now, const TargetParts *m);
 
-/* A stream that was sent there beside long prompts has ended. `held`: one of
+/* A stream that was sent there beside long prompts has ended. `stalled`: one of
    its pauses was longer than its route allows. */
 void target_note_stream(Target *t, double now, bool stalled);
 
--- a/packages/route/trials.c
+++ b/packages/route/trials.c
@@ -101,7 +101,7 @@
 static FairEntry fair_entry_of(gconstpointer value) {
   const Trial *x = &((const TrialEntry *)value)->trial;
   return (FairEntry){
-      .owner = x->owner, .age = (double)x->began, .is_pinned = x->open};
+      .owner = x->owner, .rank = (double)x->began, .is_pinned = x->open};
 }
 
 bool trials_choose_evicted(const Trials *t, Trial *x) {
--- a/tests/permits.h
+++ b/tests/permits.h
@@ -44,12 +44,13 @@
    it is advanced for each permit request. */
 static inline TargetChoice permits_choose(Targets *s, Tally *tally,
                                           uint64_t sender, double now,
-                                          TargetRequest *ask, uint64_t *runs) {
+                                          TargetRequest *request,
+                                          uint64_t *runs) {
   TargetChoice c;
   int tries = 0;
   do {
-    ask->permits_exhausted = tries++ == PERMITS_MAX_TRIES;
-    c = targets_pick(s, now, ask);
+    request->permits_exhausted = tries++ == PERMITS_MAX_TRIES;
+    c = targets_pick(s, now, request);
   } while (c.bounded && !permits_given(s, tally, sender, now, &c, ++*runs));
   return c;
 }
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -37,8 +37,8 @@
 }
 
 static TargetChoice choose(Targets *s, double now, const Ask *a) {
-  TargetRequest ask = {.service = "svc", .ask = a, .engine = true};
-  return targets_pick(s, now, &ask);
+  TargetRequest request = {.service = "svc", .ask = a, .engine = true};
+  return targets_pick(s, now, &request);
 }
 
 /* Adding n targets costs at most the visits of one sort, and one visit for
@@ -83,8 +83,8 @@
     uint64_t before = targets_visits(s);
     for (uint64_t i = 0; i < 100; i++) {
       a = prompt(i);
-      TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
-      cr_assert_geq(targets_to_query(s, 1, &ask, queried), 1);
+      TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
+      cr_assert_geq(targets_to_query(s, 1, &request, queried), 1);
       cr_assert_not_null(choose(s, 1, &a).target);
     }
     double each = (double)(targets_visits(s) - before) / 100;
@@ -102,10 +102,10 @@
   for (int i = all - 1; i >= 0; i--) add(other, i);
   for (uint64_t k = 0; k < 200; k++) {
     Ask a = prompt(k);
-    TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
+    TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
     uint64_t here[TARGETS_MAX_QUERIED], there[TARGETS_MAX_QUERIED];
-    int n = targets_to_query(s, 1, &ask, here);
-    cr_assert_eq(targets_to_query(other, 1, &ask, there), n);
+    int n = targets_to_query(s, 1, &request, here);
+    cr_assert_eq(targets_to_query(other, 1, &request, there), n);
     cr_assert_eq(here[0], there[0], "%d", (int)k);
     cr_assert(n < 2 || (here[1] == there[1] && here[0] != here[1]));
   }
@@ -123,9 +123,9 @@
     int whole = 0;
     for (uint64_t i = 0; i < 300; i++) {
       Ask a = prompt(i);
-      TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
+      TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
       uint64_t queried[TARGETS_MAX_QUERIED];
-      int n = targets_to_query(s, 1, &ask, queried);
+      int n = targets_to_query(s, 1, &request, queried);
       whole += n == TARGETS_MAX_QUERIED;
       for (int x = 1; x < n; x++)
         cr_assert_eq(targets_counter(s, queried[x]),
@@ -160,8 +160,8 @@
   for (int k = 0; k < prompts; k++) {
     Ask a = prompt((uint64_t)k);
     uint64_t queried[TARGETS_MAX_QUERIED];
-    TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
-    targets_to_query(s, 1, &ask, queried);
+    TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
+    targets_to_query(s, 1, &request, queried);
     homes[k] = queried[0];
   }
 }
@@ -216,10 +216,10 @@
 Test(pool, sampled_targets_share_the_work) {
   Targets *s = targets_with(2000, 3);
   Ask a = {0};
-  TargetRequest ask = {.service = "svc", .ask = &a};
+  TargetRequest request = {.service = "svc", .ask = &a};
   int highest = 0;
   for (int i = 0; i < 4000; i++) {
-    TargetChoice c = targets_pick(s, 1, &ask);
+    TargetChoice c = targets_pick(s, 1, &request);
     target_note_sent(c.target, 1, &a, &c);
     highest = MAX(highest, target_open(c.target));
   }
--- a/tests/test_route.c
+++ b/tests/test_route.c
@@ -20,9 +20,9 @@
 static int count_picks(Route *r, double now, const char *name, int tries) {
   int n = 0;
   for (int i = 0; i < tries; i++) {
-    RouteRequest ask = {.tokens = 10};
+    RouteRequest request = {.tokens = 10};
     RouteChoice c;
-    if (!route_pick(r, now, &ask, &c)) continue;
+    if (!route_pick(r, now, &request, &c)) continue;
     n += strcmp(c.name, name) == 0;
     route_note_done(r, now, c.name, ROUTE_OK, 10, 0.01, 1);
   }
@@ -42,9 +42,9 @@
 Test(route, all_of_two_hundred_targets_get_requests) {
   Route *r = fleet(200, 1);
   for (int i = 0; i < 200; i++) {
-    RouteRequest ask = {.tokens = 10};
+    RouteRequest request = {.tokens = 10};
     RouteChoice c;
-    cr_assert(route_pick(r, 0, &ask, &c));
+    cr_assert(route_pick(r, 0, &request, &c));
     cr_assert_eq(c.candidates, 200);
   }
   for (int i = 0; i < 200; i++) cr_assert_eq(route_state(r, 0, i).own_open, 1);
@@ -54,9 +54,9 @@
 Test(route, own_dispatches_count_until_the_next_load_report) {
   Route *r = fleet(2, 4);
   for (int i = 0; i < 8; i++) {
-    RouteRequest ask = {.tokens = 10};
+    RouteRequest request = {.tokens = 10};
     RouteChoice c;
-    cr_assert(route_pick(r, 0, &ask, &c));
+    cr_assert(route_pick(r, 0, &request, &c));
   }
   cr_assert_eq(route_free_slots(r, 0), 0);
   RouteState a = route_state(r, 0, 0), b = route_state(r, 0, 1);
@@ -78,9 +78,9 @@
       route_apply_load(r, 0, name, i == 0 ? 2 : 5, 0, 0.001);
     }
     for (int i = 0; i < 4; i++) {
-      RouteRequest ask = {.tokens = 10};
+      RouteRequest request = {.tokens = 10};
       RouteChoice c;
-      route_pick(r, 0.2, &ask, &c);
+      route_pick(r, 0.2, &request, &c);
       count += strcmp(c.name, "t0") == 0;
     }
     route_free(r);
@@ -99,13 +99,13 @@
   Route *r = fleet(4, 64);
   char prompt[8192];
   memset(prompt, 'x', sizeof prompt);
-  RouteRequest ask = {.tokens = 2048};
-  ask.n_blocks = route_hash_blocks(prompt, sizeof prompt, ask.blocks);
-  cr_assert_eq(ask.n_blocks, 32);
+  RouteRequest request = {.tokens = 2048};
+  request.n_blocks = route_hash_blocks(prompt, sizeof prompt, request.blocks);
+  cr_assert_eq(request.n_blocks, 32);
   RouteChoice first, c;
-  cr_assert(route_pick(r, 0, &ask, &first));
+  cr_assert(route_pick(r, 0, &request, &first));
   for (int i = 0; i < 20; i++) {
-    cr_assert(route_pick(r, 0, &ask, &c));
+    cr_assert(route_pick(r, 0, &request, &c));
     cr_assert_str_eq(c.name, first.name);
     cr_assert_eq(c.cached, 2048);
   }
@@ -133,9 +133,9 @@
   cr_assert_eq(count_picks(r, 0.1, "t0", 50), 0);
   int probes = 0;
   for (int i = 0; i < 50; i++) {
-    RouteRequest ask = {.tokens = 10};
+    RouteRequest request = {.tokens = 10};
     RouteChoice c;
-    cr_assert(route_pick(r, 40, &ask, &c));
+    cr_assert(route_pick(r, 40, &request, &c));
     probes += c.probe;
   }
   cr_assert_eq(probes, 1);
@@ -157,14 +157,14 @@
 
 Test(route, failed_request_is_not_sent_to_the_same_target) {
   Route *r = fleet(2, 8);
-  RouteRequest ask = {.tokens = 10, .tried = {"t0"}};
+  RouteRequest request = {.tokens = 10, .tried = {"t0"}};
   RouteChoice c;
   for (int i = 0; i < 20; i++) {
-    cr_assert(route_pick(r, 0, &ask, &c));
+    cr_assert(route_pick(r, 0, &request, &c));
     cr_assert_str_eq(c.name, "t1");
   }
-  ask.tried[1] = "t1";
-  cr_assert_not(route_pick(r, 0, &ask, &c));
+  request.tried[1] = "t1";
+  cr_assert_not(route_pick(r, 0, &request, &c));
   route_free(r);
 }
 
@@ -200,7 +200,7 @@
       {.name = "b", .dc = "sued", .adapters = "tuned2", .version = "v2"},
       {.name = "c", .dc = "west", .version = "v1"}};
   static const struct {
-    RouteRequest ask;
+    RouteRequest request;
     const char *fit;
   } cases[] = {{{.adapter = "tuned"}, "a"},
                {{.adapter = "tuned2"}, "b"},
@@ -216,7 +216,7 @@
     RouteChoice c;
     for (int i = 0; i < 3; i++) list[i].slots = 8;
     route_set_targets(r, list, 3);
-    bool ok = route_pick(r, 0, &cases[k].ask, &c);
+    bool ok = route_pick(r, 0, &cases[k].request, &c);
     cr_assert_eq(ok, cases[k].fit[0] != '\0', "case %zu", k);
     if (ok) cr_assert_not_null(strstr(cases[k].fit, c.name), "case %zu", k);
     if (ok) cr_assert_eq((size_t)c.candidates, strlen(cases[k].fit));
--- a/tests/test_targets.c
+++ b/tests/test_targets.c
@@ -24,8 +24,8 @@
 }
 
 static Target *pick(Targets *s, double now, const Ask *a, bool engine) {
-  TargetRequest ask = {.service = "svc", .ask = a, .engine = engine};
-  return targets_pick(s, now, &ask).target;
+  TargetRequest request = {.service = "svc", .ask = a, .engine = engine};
+  return targets_pick(s, now, &request).target;
 }
 
 static void note_sent(Target *t, double now, const Ask *a,
@@ -178,15 +178,15 @@
   a.parts[1] = (AskPart){8, 1000};
   targets_set_parts_exchanged(s, true);
   targets_set_parts_exchanged(other, true);
-  TargetRequest ask = {.service = "svc", .ask = &a, .engine = true};
-  TargetChoice c = targets_pick(other, 1, &ask);
+  TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
+  TargetChoice c = targets_pick(other, 1, &request);
   cr_assert_eq(c.uncached_tokens, 9000, "no target has read it");
   target_note_sent(c.target, 1, &a, &c);
   cr_assert(targets_next_parts(other, &m));
   cr_assert_not(targets_next_parts(other, &m), "sent only once");
   targets_apply_parts(s, 1, &m);
   a.parts[1].id = 9;
-  c = targets_pick(s, 1.1, &ask);
+  c = targets_pick(s, 1.1, &request);
   cr_assert_eq(text_hash(target_id(c.target)), m.target);
   cr_assert_eq(c.uncached_tokens, 1000);
   targets_free(s);
@@ -200,31 +200,31 @@
   a.parts[0] = (AskPart){7, 8000};
   a.parts[1] = (AskPart){8, 1000};
   targets_set_parts_exchanged(s, true);
-  TargetRequest ask = {
+  TargetRequest request = {
       .service = "svc", .ask = &a, .engine = true, .move_token_s = 2e-6};
-  TargetChoice first = targets_pick(s, 1, &ask);
+  TargetChoice first = targets_pick(s, 1, &request);
   cr_assert_null(first.donor, "no target has cached it");
   target_note_sent(first.target, 1, &a, &first);
   a.parts[1].id = 9;
   note_sent(first.target, 1.1, &a, 200000); /* four seconds of reading */
-  TargetChoice early = targets_pick(s, 1.1, &ask);
+  TargetChoice early = targets_pick(s, 1.1, &request);
   cr_assert_neq(early.target, first.target);
   cr_assert_null(early.donor, "it has not read it yet");
-  TargetChoice c = targets_pick(s, 3, &ask);
+  TargetChoice c = targets_pick(s, 3, &request);
   cr_assert_neq(c.target, first.target);
   cr_assert_eq(c.donor, first.target);
   cr_assert(c.moved_tokens == 9000 && c.uncached_tokens == 0, "%ld",
             (long)c.moved_tokens);
-  ask.move_token_s = 1; /* a slow link */
-  cr_assert_null(targets_pick(s, 3, &ask).donor);
-  ask.move_token_s = 2e-6;
+  request.move_token_s = 1; /* a slow link */
+  cr_assert_null(targets_pick(s, 3, &request).donor);
+  request.move_token_s = 2e-6;
   target_note_done(first.target, 3, TARGET_FAILED, false, first.uncached_tokens,
                    1);
   for (int i = 0; i < 9; i++) {
     note_sent(first.target, 3, &a, 0);
     target_note_done(first.target, 3, TARGET_FAILED, false, 0, 1);
   }
-  cr_assert_null(targets_pick(s, 3.1, &ask).donor, "the donor is ejected");
+  cr_assert_null(targets_pick(s, 3.1, &request).donor, "the donor is ejected");
   targets_free(s);
 }
 
@@ -237,9 +237,9 @@
   for (uint64_t k = 1; k <= 200; k++) {
     Ask a = {.tokens_in = 9000, .n_parts = 1};
     a.parts[0] = (AskPart){k, 9000};
-    TargetRequest ask = {
+    TargetRequest request = {
         .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
-    TargetChoice c = targets_pick(s, 1, &ask);
+    TargetChoice c = targets_pick(s, 1, &request);
     cr_assert(c.long_prompt && c.serves_long);
     target_note_sent(c.target, 1, &a, &c);
     g_hash_table_add(long_targets, (gpointer)target_id(c.target));
@@ -247,9 +247,9 @@
   for (uint64_t k = 1000; k <= 1200; k++) {
     Ask a = {.tokens_in = 400, .n_parts = 1};
     a.parts[0] = (AskPart){k, 400};
-    TargetRequest ask = {
+    TargetRequest request = {
         .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
-    TargetChoice c = targets_pick(s, 1, &ask);
+    TargetChoice c = targets_pick(s, 1, &request);
     cr_assert_not(c.long_prompt || c.serves_long);
     cr_assert_not(g_hash_table_contains(long_targets, target_id(c.target)));
     target_note_sent(c.target, 1, &a, &c);
@@ -264,14 +264,14 @@
   Targets *s = targets_with(6);
   bool used[6] = {false};
   Ask a = {.tokens_in = 400, .n_parts = 1};
-  TargetRequest ask = {.service = "svc",
-                       .ask = &a,
-                       .engine = true,
-                       .move_token_s = 2e-6,
-                       .max_pause_s = 0.3};
+  TargetRequest request = {.service = "svc",
+                           .ask = &a,
+                           .engine = true,
+                           .move_token_s = 2e-6,
+                           .max_pause_s = 0.3};
   for (uint64_t k = 0; k < 60; k++) {
     a.parts[0] = (AskPart){k + 1, 400};
-    TargetChoice c = targets_pick(s, 1 + (double)k, &ask);
+    TargetChoice c = targets_pick(s, 1 + (double)k, &request);
     cr_assert(c.serves_long && !c.donor);
     target_note_sent(c.target, 1 + (double)k, &a, &c);
     used[target_id(c.target)[2] - '0'] = true;
@@ -286,18 +286,18 @@
   Targets *s = targets_with(6);
   targets_set_parts_exchanged(s, true);
   Ask a = {.tokens_in = 9000};
-  TargetRequest ask = {
+  TargetRequest request = {
       .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
   for (int i = 0; i < 5; i++) {
-    TargetChoice c = targets_pick(s, 1, &ask);
+    TargetChoice c = targets_pick(s, 1, &request);
     target_note_sent(c.target, 1, &a, &c);
     target_note_done(c.target, 1, TARGET_UNRESPONSIVE, false, c.uncached_tokens,
                      0.1);
   }
-  TargetChoice c = targets_pick(s, 1.1, &ask);
+  TargetChoice c = targets_pick(s, 1.1, &request);
   target_note_sent(c.target, 1.1, &a, &c);
   target_note_done(c.target, 1.1, TARGET_OK, true, c.uncached_tokens, 0.1);
-  cr_assert_eq(targets_pick(s, 1.2, &ask).target, c.target,
+  cr_assert_eq(targets_pick(s, 1.2, &request).target, c.target,
                "the sixth target answers, the others are unresponsive");
   targets_free(s);
 }
@@ -419,19 +419,19 @@
   Ask a = {.tokens_in = 9000, .n_parts = 2};
   a.parts[0] = (AskPart){77, 8000};
   a.parts[1] = (AskPart){78, 1000};
-  TargetRequest ask = {
+  TargetRequest request = {
       .service = "svc", .ask = &a, .engine = true, .move_token_s = 1e-6};
-  Target *home = targets_pick(s, 1, &ask).target;
+  Target *home = targets_pick(s, 1, &request).target;
   note_sent(home, 1, &a, 9000);
   const char *dc = target_id(home)[2] >= '2' ? "b" : "a";
   targets_set_evacuated(s, dc, true);
   for (int i = 0; i < 20; i++) {
-    TargetChoice c = targets_pick(s, 3, &ask);
+    TargetChoice c = targets_pick(s, 3, &request);
     cr_assert_not_null(c.target);
     cr_assert_neq(c.target, home);
     cr_assert_null(c.donor);
     uint64_t queried[TARGETS_MAX_QUERIED];
-    int n = targets_to_query(s, 3, &ask, queried);
+    int n = targets_to_query(s, 3, &request, queried);
     for (int k = 0; k < n; k++) cr_assert_neq(queried[k], target_hash(home));
   }
   targets_free(s);
@@ -440,11 +440,11 @@
 Test(targets, choice_reports_that_all_targets_are_evacuated) {
   Targets *s = two_data_centres();
   Ask a = {0};
-  TargetRequest ask = {.service = "svc", .ask = &a};
+  TargetRequest request = {.service = "svc", .ask = &a};
   targets_set_evacuated(s, "a", true);
   targets_set_evacuated(s, "b", true);
-  cr_assert_null(targets_pick(s, 1, &ask).target);
-  cr_assert_eq(targets_pick(s, 1, &ask).none, TARGET_NONE_EVACUATED);
+  cr_assert_null(targets_pick(s, 1, &request).target);
+  cr_assert_eq(targets_pick(s, 1, &request).none, TARGET_NONE_EVACUATED);
   targets_set_evacuated(s, "nowhere", true); /* an unknown data centre */
   cr_assert_eq(targets_count_in_dc(s, "nowhere"), 0);
   targets_free(s);
@@ -480,8 +480,8 @@
 
 /* The tokens of this prompt that its target would have to read. */
 static int64_t count_uncached(Targets *s, double now, const Ask *a) {
-  TargetRequest ask = {.service = "svc", .ask = a, .engine = true};
-  return targets_pick(s, now, &ask).uncached_tokens;
+  TargetRequest request = {.service = "svc", .ask = a, .engine = true};
+  return targets_pick(s, now, &request).uncached_tokens;
 }
 
 Test(targets, restarted_target_has_no_earlier_state) {
@@ -573,14 +573,14 @@
 Test(targets, reported_pace_is_clamped) {
   static const double paces[] = {0, 1, 1e9, 1e-9};
   Ask a = {0};
-  TargetRequest ask = {.service = "svc", .ask = &a};
+  TargetRequest request = {.service = "svc", .ask = &a};
   for (size_t k = 0; k < G_N_ELEMENTS(paces); k++) {
     Targets *s = targets_with(1);
     Target *t = pick(s, 1, &a, false);
     note_sent(t, 1, &a, 0);
     target_set_load(t, 1.02, 0, 0, paces[k]);
     target_note_done(t, 1.02, TARGET_OK, true, 0, 0.02);
-    double wait_s = targets_pick(s, 2, &ask).wait_s;
+    double wait_s = targets_pick(s, 2, &request).wait_s;
     cr_assert(wait_s >= 0.001 && wait_s <= 0.04, "%g: %f", paces[k], wait_s);
     if (paces[k] <= 1 && paces[k] != 1e-9)
       cr_assert_float_eq(wait_s, 0.02, 1e-9);
