--- a/packages/route/choose.c
+++ b/packages/route/choose.c
@@ -20,8 +20,8 @@
 /* Cost of a target that gets more than its reported limit, as far as that is
    tolerated: it is avoided while others would be at most this much later. */
 #define OVER_LIMIT_COST_S 0.1
-#define COST_JITTER_RATIO                                                      \
-  0.02 /* random part of a cost, so that equal targets share the work */
+/* Random part of a cost, so that equal targets share the work. */
+#define COST_JITTER_RATIO 0.02
 /* Assumed time of a plain answer until one was seen. */
 #define INITIAL_ANSWER_S 0.03
 /* A target's reported load is used for this long. */
--- a/packages/route/division.c
+++ b/packages/route/division.c
@@ -7,15 +7,15 @@
 /* Time constant with which observations fade: long enough to cover some
    hundred prompts, short enough to follow a change in traffic. */
 #define FADE_TAU_S 30.0
-#define REPORT_MAX_AGE_S                                                       \
-  300.0 /* an instance without a report for this long is gone */
+/* An instance without a report for this long is gone. */
+#define REPORT_MAX_AGE_S 300.0
 /* Ratios of stalled streams beside long prompts: an undivided pool is divided
    above the first; a divided one is joined when even the streams that stay
    beside long prompts are below the second. */
 #define DIVIDE_STALLED_RATIO 0.05
 #define UNDIVIDE_STALLED_RATIO 0.03
-#define MIN_STREAMS                                                            \
-  50 /* the division does not change before this many were seen */
+/* The division does not change before this many were seen. */
+#define MIN_STREAMS 50
 /* Assumed observations of each instance before any traffic: one second of
    traffic outweighs them. */
 #define INITIAL_LONG_TOKENS 20000.0
--- a/packages/route/fit.c
+++ b/packages/route/fit.c
@@ -3,8 +3,8 @@
 
 #include <glib.h>
 
-#define POINT_KEEP_RATIO                                                       \
-  0.98 /* weight that a point keeps when the next one comes */
+/* Weight that a point keeps when the next one comes. */
+#define POINT_KEEP_RATIO 0.98
 /* Points that each end of the initial line counts for. */
 #define INITIAL_WEIGHT 6
 /* A value is clamped to this multiple of the line. */
--- a/packages/route/parts.c
+++ b/packages/route/parts.c
@@ -3,8 +3,8 @@
 
 #include <xxhash.h>
 
-#define PART_KEEP_S                                                            \
-  60.0 /* a part that is unused for longer counts as evicted */
+/* A part that is unused for longer counts as evicted. */
+#define PART_KEEP_S 60.0
 /* The other instances get a part again after this: one that has just started
    knows none, and the prompts of a session are seconds apart. */
 #define RESEND_S 5.0
--- a/packages/route/pool.c
+++ b/packages/route/pool.c
@@ -13,8 +13,8 @@
    is its home. With a single probe the members' shares differ as their gaps
    do, up to tenfold; with this many, by a tenth. */
 #define RING_PROBES 21
-#define MAX_SKIPPED_MEMBERS                                                    \
-  16 /* members that don't pass the filter, skipped after a probe */
+/* Members that don't pass the filter, skipped after a probe. */
+#define MAX_SKIPPED_MEMBERS 16
 
 /* The initial line of first-byte times. It has lost its weight after some
    thirty answers. */
--- a/packages/route/quota.c
+++ b/packages/route/quota.c
@@ -25,8 +25,8 @@
    instances. */
 #define LIMIT_OVERRUN_RATIO 1.5
 #define LIMIT_EXTRA_SENDS 5
-#define LIMIT_TIMER_SLACK_S                                                    \
-  0.1 /* late timers and network paths of unequal length */
+/* Allowance for late timers and network paths of unequal length. */
+#define LIMIT_TIMER_SLACK_S 0.1
 #define LIMIT_COUNTED_RATIO 0.75
 #define LIMIT_FIXED_RATIO 0.2
 
--- a/packages/route/route.c
+++ b/packages/route/route.c
@@ -16,8 +16,8 @@
 #define RETRIES_PER_SUCCESS 0.1 /* retries for each success */
 #define MAX_SAVED_RETRIES 5.0
 #define STALE_MAX_S 5.0 /* the margin does not grow with age above this */
-#define STALE_MARGIN_PER_S                                                     \
-  0.02 /* margin per second of age, relative to a full wait */
+/* Margin per second of age, relative to a full wait. */
+#define STALE_MARGIN_PER_S 0.02
 #define NEAR_BEST_RATIO 0.2 /* costs within this fraction of the lowest... */
 #define NEAR_BEST_S 0.005   /* ...or within this time count as equal */
 
--- a/packages/route/route.h
+++ b/packages/route/route.h
@@ -10,8 +10,8 @@
 
 #include "kernel/limits.h"
 
-#define ROUTE_BLOCK_BYTES                                                      \
-  256 /* bytes of prompt in one block of the prefix hash */
+/* Bytes of prompt in one block of the prefix hash. */
+#define ROUTE_BLOCK_BYTES 256
 #define ROUTE_MAX_BLOCKS 64 /* blocks that are hashed */
 
 /* A target as the table has it. */
--- a/packages/route/tally.c
+++ b/packages/route/tally.c
@@ -11,8 +11,8 @@
 /* Prompts are read in a second or two, even in a queue; the report that one
    was read may be lost. */
 #define PREFILL_MAX_AGE_S 3.0
-#define PART_PREFILL_S                                                         \
-  0.5 /* a part that was sent this long ago has been read */
+/* A part that was sent this long ago has been read. */
+#define PART_PREFILL_S 0.5
 /* A target without messages is forgotten after this. */
 #define TARGET_IDLE_FORGET_S 60.0
 
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -21,8 +21,8 @@
 #define BOUND (RATE * OVERRUN + EXTRA)
 #define REQUESTS_S 800
 #define RUN_S 2.0 /* duration of a request */
-#define REPORT_DELAY_S                                                         \
-  0.006                 /* until the counting instance has received a report */
+/* Time until the counting instance has received a report. */
+#define REPORT_DELAY_S 0.006
 #define MAX_PATH_S 0.01 /* longest time to a target */
 #define DECIDERS 300
 
