--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -37,7 +37,7 @@
 
 static void drop_ledger(Ledger *l) {
   LedgerAction a;
-  while (ledger_next(l, &a)) g_free(a.text);
+  while (ledger_next_action(l, &a)) g_free(a.text);
 }
 
 View *slopes_view(int n) {
@@ -64,7 +64,7 @@
              i % 35);
     rows[i].total = 1000000000;
     rows[i].version = 1;
-    rows[i].reserve_s = 600;
+    rows[i].outage_reserve_s = 600;
   }
   return rows;
 }
@@ -75,14 +75,14 @@
   for (int i = 0, k = 0; k < n; i++) {
     char name[LIMIT_NAME], shard[LIMIT_NAME];
     snprintf(name, sizeof name, "customer-%04d/service-%02d", i / 35, i % 35);
-    shard_name(shard_index(name), shard);
+    shard_object_name(shard_index(name), shard);
     const Member *m =
         view_home(v, "region-1", XXH64(shard, strlen(shard), 0), 0);
     if (strcmp(m->id, self) != 0) continue;
     g_strlcpy(rows[k].name, name, LIMIT_NAME);
     rows[k].total = 1000000000;
     rows[k].version = 1;
-    rows[k++].reserve_s = 600;
+    rows[k++].outage_reserve_s = 600;
   }
   return rows;
 }
@@ -102,8 +102,8 @@
   View *v = slopes_view(350);
   double h0 = slopes_heap();
   Ledger *l = ledger_new("instance-001.0123abcd", "region-1", 1);
-  ledger_view(l, 1, v);
-  ledger_budgets(l, 1, rows, n);
+  ledger_set_view(l, 1, v);
+  ledger_set_budgets(l, 1, rows, n);
   drop_ledger(l);
   double h1 = slopes_heap();
   slopes_out("ledger row bytes", n, (h1 - h0) / n);
@@ -133,14 +133,14 @@
 /* The store and the witnesses answer until nothing is left to ask. */
 static void serve_home(Ledger *l) {
   LedgerAction a;
-  while (ledger_next(l, &a)) {
-    if (a.what == LEDGER_DO_GET)
-      ledger_stored(l, 1, a.shard, ERR_STORE_ABSENT, 0, NULL);
-    if (a.what == LEDGER_DO_PUT)
-      ledger_stored(l, 1, a.shard, ERR_NONE, a.version + 1, NULL);
-    if (a.what == LEDGER_DO_SEND && a.msg.kind == LEDGER_RAISE) {
+  while (ledger_next_action(l, &a)) {
+    if (a.action == LEDGER_ACTION_GET)
+      ledger_store_result(l, 1, a.shard, ERR_STORE_ABSENT, 0, NULL);
+    if (a.action == LEDGER_ACTION_PUT)
+      ledger_store_result(l, 1, a.shard, ERR_NONE, a.version + 1, NULL);
+    if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_RAISE) {
       LedgerMsg yes = a.msg;
-      yes.kind = LEDGER_RAISED;
+      yes.kind = LEDGER_RAISE_ACK;
       ledger_receive(l, 1, a.to, &yes);
     }
     g_free(a.text);
@@ -152,8 +152,8 @@
   View *v = slopes_view(350);
   LedgerBudget *rows = rows_at_home(v, "instance-001.0123abcd", n);
   Ledger *l = ledger_new("instance-001.0123abcd", "region-1", 1);
-  ledger_view(l, 1, v);
-  ledger_budgets(l, 1, rows, n);
+  ledger_set_view(l, 1, v);
+  ledger_set_budgets(l, 1, rows, n);
   ledger_tick(l, 1, 1);
   serve_home(l);
   double h0 = slopes_heap(), t = slopes_ns();
@@ -194,10 +194,10 @@
     for (int i = 0; i < n; i++) {
       char name[LIMIT_NAME];
       snprintf(name, sizeof name, "customer-%04d/service-%02d", i, i % 35);
-      ShardBudget *b = shard_budget_add(s, name);
+      ShardBudget *b = shard_ensure_budget(s, name);
       b->total = 1000000000;
       for (int k = 0; k < grants; k++) {
-        ShardGrant *g = shard_grant_add(b, (uint64_t)k << 60 | (uint64_t)i,
+        ShardGrant *g = shard_add_grant(b, (uint64_t)k << 60 | (uint64_t)i,
                                         "instance-001.0123abcd",
                                         "instance-051.0123abcd", "region-1");
         g->granted = 123456789;
@@ -232,7 +232,7 @@
   slopes_out("heartbeat taken ns", n, (slopes_ns() - t) / 100 / n);
   Ledger *l = ledger_new(v->list[1].id, v->list[1].region, 1);
   t = slopes_ns();
-  for (int k = 0; k < 20; k++) ledger_view(l, 1, v);
+  for (int k = 0; k < 20; k++) ledger_set_view(l, 1, v);
   slopes_out("view change ns a member", n, (slopes_ns() - t) / 20 / n);
   ledger_free(l);
   member_free(s);
--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -138,7 +138,7 @@
   json_t *grants = json_array();
   for (guint i = 0; i < b->grants->len; i++) {
     const ShardGrant *g = b->grants->pdata[i];
-    int64_t out = shard_outstanding(g);
+    int64_t out = shard_grant_outstanding(g);
     held += out;
     sealed += g->sealed;
     json_array_append_new(
@@ -147,18 +147,18 @@
                           "outstanding", (json_int_t)out, "spent",
                           (json_int_t)g->spent, "sealed", (int)g->sealed));
   }
-  int64_t spent = shard_spent(b);
+  int64_t spent = shard_budget_spent(b);
   return json_pack("{s:s,s:I,s:I,s:I,s:I,s:I,s:i,s:o}", "name", b->name,
                    "total", (json_int_t)b->total, "spent", (json_int_t)spent,
-                   "free", (json_int_t)shard_remaining(b), "held",
-                   (json_int_t)(held - (spent - b->closed)), "retired",
-                   (json_int_t)b->retired, "sealed", sealed, "grants", grants);
+                   "free", (json_int_t)shard_budget_remaining(b), "held",
+                   (json_int_t)(held - (spent - b->closed_spent)), "retired",
+                   (json_int_t)b->written_off, "sealed", sealed, "grants", grants);
 }
 
 static bool add_shard(Platform *p, int index, const Names *n, json_t *list,
                       Err *err) {
   char name[LIMIT_NAME];
-  shard_name(index, name);
+  shard_object_name(index, name);
   PlatformAnswer a = platform_get(p, name);
   if (a.kind != ERR_NONE && a.kind != ERR_STORE_ABSENT)
     return err_retry(err, a.kind, 2000, "the store did not give %s", name);
@@ -167,7 +167,7 @@
   for (guint i = 0; s && i < n->names->len; i++) {
     const char *budget = n->names->pdata[i];
     if (shard_index(budget) != index) continue;
-    json_array_append_new(list, budget_json(shard_budget_add(s, budget)));
+    json_array_append_new(list, budget_json(shard_ensure_budget(s, budget)));
   }
   shard_free(s);
   return true;
@@ -291,7 +291,7 @@
                 (int)(silent < STORE_SILENT_S), "store_silent_s",
                 (json_int_t)silent, "open", atomic_load(&e->open), "draining",
                 (int)atomic_load(&e->draining), "free", (json_int_t)n.free,
-                "home_free", (json_int_t)n.home_free, "instances",
+                "home_free", (json_int_t)n.home_free_tokens, "instances",
                 instances_json(e), "targets", list),
       status);
 }
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -88,7 +88,7 @@
       "# TYPE loftpath_open_requests gauge\nloftpath_open_requests %d\n"
       "# TYPE loftpath_table_version gauge\nloftpath_table_version %" PRIu64
       "\n",
-      n.free, n.reserved, n.home_free, atomic_load(&e->open),
+      n.free, n.reserved, n.home_free_tokens, atomic_load(&e->open),
       snapshots_version(e->snapshots));
   struct MHD_Response *m = entry_text("text/plain; version=0.0.4", s->str);
   g_string_free(s, TRUE);
--- a/packages/entry/watch.c
+++ b/packages/entry/watch.c
@@ -45,7 +45,7 @@
     if (r->kind != TABLE_BUDGET) continue;
     LedgerBudget b = {.total = r->numbers[TABLE_TOKENS],
                       .version = r->version,
-                      .reserve_s = (double)r->numbers[TABLE_RESERVE]};
+                      .outage_reserve_s = (double)r->numbers[TABLE_RESERVE]};
     g_strlcpy(b.name, r->name, sizeof b.name);
     g_array_append_val(list, b);
   }
--- a/packages/fleet/cluster.c
+++ b/packages/fleet/cluster.c
@@ -86,7 +86,7 @@
   if (a->kind != ERR_NONE && a->kind != ERR_STORE_ABSENT)
     log_info("budget-call", "s:i,s:b,s:s", "shard", call->shard, "write",
              (int)call->put, "outcome", err_info(a->kind)->name);
-  ledger_stored(c->ledger, now_of(c), call->shard, a->kind, o.revision, text);
+  ledger_store_result(c->ledger, now_of(c), call->shard, a->kind, o.revision, text);
   free(text);
   g_free(call);
   act(c);
@@ -97,7 +97,7 @@
   ShardCall *call = g_new0(ShardCall, 1);
   call->cluster = c;
   call->shard = a->shard;
-  call->put = a->what == LEDGER_DO_PUT;
+  call->put = a->action == LEDGER_ACTION_PUT;
   g_snprintf(name, sizeof name, "%03d", a->shard);
   if (call->put)
     store_put(c->store, CALLS_BUDGET, BUDGET_KIND, name, a->version,
@@ -109,16 +109,16 @@
 
 static void act(Cluster *c) {
   LedgerAction a;
-  while (ledger_next(c->ledger, &a)) {
+  while (ledger_next_action(c->ledger, &a)) {
     const Member *m;
-    switch (a.what) {
-    case LEDGER_DO_SEND:
+    switch (a.action) {
+    case LEDGER_ACTION_SEND:
       m = view_find(c->view, a.to);
       if (m) peer_ledger(c->peer, m->peer, m->id, &a.msg);
       break;
-    case LEDGER_DO_GET:
-    case LEDGER_DO_PUT: call_store(c, &a); break;
-    case LEDGER_DO_ANSWER:
+    case LEDGER_ACTION_GET:
+    case LEDGER_ACTION_PUT: call_store(c, &a); break;
+    case LEDGER_ACTION_ANSWER:
       c->ev.reserved(c->ctx, a.handle, a.cause, a.retry_ms);
       break;
     }
@@ -161,7 +161,7 @@
   tallies_view(c->tallies, now, c->view);
   c->ev.instances(c->ctx, rank_of_self(c), c->view->n);
   if (!c->settled) return;
-  ledger_view(c->ledger, now, c->view);
+  ledger_set_view(c->ledger, now, c->view);
   act(c);
 }
 
@@ -176,7 +176,7 @@
   c->settled = true;
   log_info("settled", "s:i,s:f", "members", c->view->n, "after",
            now - c->started);
-  ledger_view(c->ledger, now, c->view);
+  ledger_set_view(c->ledger, now, c->view);
   act(c);
 }
 
@@ -607,12 +607,12 @@
 }
 
 void cluster_away(Cluster *c, bool away) {
-  ledger_away(c->ledger, now_of(c), away);
+  ledger_set_store_down(c->ledger, now_of(c), away);
   act(c);
 }
 
 void cluster_budgets(Cluster *c, const LedgerBudget *list, int n) {
-  ledger_budgets(c->ledger, now_of(c), list, n);
+  ledger_set_budgets(c->ledger, now_of(c), list, n);
   act(c);
 }
 
@@ -638,7 +638,7 @@
 }
 
 bool cluster_drained(const Cluster *c) {
-  return ledger_drained(c->ledger);
+  return ledger_is_drained(c->ledger);
 }
 
 bool cluster_settled(const Cluster *c) {
--- a/packages/fleet/fleet.c
+++ b/packages/fleet/fleet.c
@@ -126,7 +126,7 @@
   for (int i = 0; i < ALL_LANES; i++) {
     Lane *l = &f->lanes[i];
     pthread_mutex_lock(&l->lock);
-    if (l->ledger) ledger_view(l->ledger, clock_now(), v);
+    if (l->ledger) ledger_set_view(l->ledger, clock_now(), v);
     if (l->once) once_view(l->once, clock_now(), v);
     lane_act(l);
     pthread_mutex_unlock(&l->lock);
@@ -211,7 +211,7 @@
     return;
   }
   Ledger *ledger = ledger_new(me->id, me->region, seed);
-  ledger_lanes(ledger, LANES);
+  ledger_set_lanes(ledger, LANES);
   lane_open(&f->lanes[i], &f->host, ledger, NULL);
 }
 
@@ -286,7 +286,7 @@
       if (lane_of_budget(f, list[k].name) == l)
         g_array_append_val(mine, list[k]);
     pthread_mutex_lock(&l->lock);
-    ledger_budgets(l->ledger, clock_now(), (LedgerBudget *)(void *)mine->data,
+    ledger_set_budgets(l->ledger, clock_now(), (LedgerBudget *)(void *)mine->data,
                    (int)mine->len);
     lane_act(l);
     pthread_mutex_unlock(&l->lock);
@@ -410,7 +410,7 @@
     all.free += s.free;
     all.reserved += s.reserved;
     all.spent += s.spent;
-    all.home_free += s.home_free;
+    all.home_free_tokens += s.home_free_tokens;
     all.waiting += s.waiting;
     all.accounts += s.accounts;
     all.grants += s.grants;
@@ -440,7 +440,7 @@
   for (int i = 0; i < ALL_LANES; i++) {
     Lane *l = &f->lanes[i];
     pthread_mutex_lock(&l->lock);
-    *budgets += l->ledger && !ledger_drained(l->ledger);
+    *budgets += l->ledger && !ledger_is_drained(l->ledger);
     *records += l->once && !once_drained(l->once);
     pthread_mutex_unlock(&l->lock);
   }
--- a/packages/fleet/lane.c
+++ b/packages/fleet/lane.c
@@ -33,25 +33,25 @@
 static void do_ledger(Lane *l) {
   LedgerAction a;
   char addr[LIMIT_NAME];
-  while (ledger_next(l->ledger, &a)) {
+  while (ledger_next_action(l->ledger, &a)) {
     Job j = {.urgent = true,
              .done = on_ledger_stored,
              .ctx = l,
              .shard = a.shard,
              .version = a.version,
              .text = a.text};
-    switch (a.what) {
-    case LEDGER_DO_SEND:
+    switch (a.action) {
+    case LEDGER_ACTION_SEND:
       if (l->host->address(l->host->ctx, a.to, addr))
         peer_ledger(l->host->peer, addr, a.to, &a.msg);
       break;
-    case LEDGER_DO_GET:
-    case LEDGER_DO_PUT:
-      j.kind = a.what == LEDGER_DO_PUT ? JOB_PUT : JOB_GET;
-      shard_name(a.shard, j.name);
+    case LEDGER_ACTION_GET:
+    case LEDGER_ACTION_PUT:
+      j.kind = a.action == LEDGER_ACTION_PUT ? JOB_PUT : JOB_GET;
+      shard_object_name(a.shard, j.name);
       jobs_add(l->host->jobs, &j);
       break;
-    case LEDGER_DO_ANSWER:
+    case LEDGER_ACTION_ANSWER:
       wake_wait(l, a.handle,
                 &(LaneWait){.cause = a.cause, .retry_ms = a.retry_ms});
       break;
@@ -111,7 +111,7 @@
 static void on_ledger_stored(void *ctx, const Job *j, PlatformAnswer *a) {
   Lane *l = ctx;
   pthread_mutex_lock(&l->lock);
-  ledger_stored(l->ledger, clock_now(), j->shard, a->kind, a->version,
+  ledger_store_result(l->ledger, clock_now(), j->shard, a->kind, a->version,
                 j->kind == JOB_GET ? a->text : NULL);
   do_ledger(l);
   pthread_mutex_unlock(&l->lock);
--- a/packages/ledger/ledger.c
+++ b/packages/ledger/ledger.c
@@ -6,14 +6,14 @@
 
 /* == actions == */
 
-LedgerAction *ledger_act(Ledger *l, LedgerDo what) {
+LedgerAction *ledger_add_action(Ledger *l, LedgerActionKind what) {
   LedgerAction *a = g_new0(LedgerAction, 1);
-  a->what = what;
+  a->action = what;
   g_queue_push_tail(&l->actions, a);
   return a;
 }
 
-LedgerMsg ledger_msg(LedgerKind kind, const char *budget, uint64_t grant) {
+LedgerMsg ledger_make_msg(LedgerKind kind, const char *budget, uint64_t grant) {
   LedgerMsg m = {.kind = kind, .grant = grant};
   g_strlcpy(m.budget, budget, sizeof m.budget);
   return m;
@@ -22,22 +22,22 @@
 void ledger_send(Ledger *l, const char *to, const LedgerMsg *m) {
   if (!to[0]) return;
   if (strcmp(to, l->self) == 0) {
-    g_queue_push_tail(&l->loop, g_memdup2(m, sizeof *m));
+    g_queue_push_tail(&l->self_messages, g_memdup2(m, sizeof *m));
     return;
   }
-  LedgerAction *a = ledger_act(l, LEDGER_DO_SEND);
+  LedgerAction *a = ledger_add_action(l, LEDGER_ACTION_SEND);
   g_strlcpy(a->to, to, sizeof a->to);
   a->msg = *m;
 }
 
-void ledger_answer(Ledger *l, uint64_t handle, ErrKind cause, int retry_ms) {
-  LedgerAction *a = ledger_act(l, LEDGER_DO_ANSWER);
+void ledger_add_answer(Ledger *l, uint64_t handle, ErrKind cause, int retry_ms) {
+  LedgerAction *a = ledger_add_action(l, LEDGER_ACTION_ANSWER);
   a->handle = handle;
   a->cause = cause;
   a->retry_ms = retry_ms;
 }
 
-bool ledger_next(Ledger *l, LedgerAction *a) {
+bool ledger_next_action(Ledger *l, LedgerAction *a) {
   LedgerAction *next = g_queue_pop_head(&l->actions);
   if (!next) return false;
   *a = *next;
@@ -49,25 +49,25 @@
    shards are used, and each costs a pass over all members. */
 static const Member *first_home(const Ledger *l, int shard) {
   Ledger *cache = (Ledger *)l;
-  if (l->homed[shard] == l->views) return l->first[shard];
-  cache->homed[shard] = l->views;
-  cache->first[shard] = view_home(l->view, l->region, l->keys[shard], 0);
-  return l->first[shard];
+  if (l->first_home_epoch[shard] == l->view_epoch) return l->first_homes[shard];
+  cache->first_home_epoch[shard] = l->view_epoch;
+  cache->first_homes[shard] = view_home(l->view, l->region, l->shard_keys[shard], 0);
+  return l->first_homes[shard];
 }
 
-bool ledger_ours(const Ledger *l, int shard) {
+bool ledger_is_home(const Ledger *l, int shard) {
   const Member *m = first_home(l, shard);
   return m && strcmp(m->id, l->self) == 0;
 }
 
 const Member *ledger_home(const Ledger *l, int shard, int rank) {
   if (rank == 0) return first_home(l, shard);
-  return view_home(l->view, l->region, l->keys[shard], rank);
+  return view_home(l->view, l->region, l->shard_keys[shard], rank);
 }
 
 const char *ledger_caretaker(const Ledger *l, int shard) {
   const Member *m = ledger_home(l, shard, 0);
-  if (!m) m = view_home(l->view, NULL, l->keys[shard], 0);
+  if (!m) m = view_home(l->view, NULL, l->shard_keys[shard], 0);
   return m ? m->id : l->self;
 }
 
@@ -75,40 +75,40 @@
 
 static void dispatch(Ledger *l, const char *from, const LedgerMsg *m) {
   switch (m->kind) {
-  case LEDGER_DRAW: home_draw(l, from, m); break;
-  case LEDGER_ALLOT: holder_allot(l, from, m); break;
-  case LEDGER_REPORT: home_report(l, from, m); break;
-  case LEDGER_REPORTED: holder_reported(l, m); break;
-  case LEDGER_RAISE: witness_raise(l, from, m); break;
-  case LEDGER_RAISED: witness_raised(l, from, m); break;
-  case LEDGER_SEAL: witness_seal(l, from, m); break;
-  case LEDGER_SEALED: witness_sealed(l, from, m); break;
-  case LEDGER_RETURN: holder_recall(l, m); break;
-  case LEDGER_RECALL: home_recall(l, from, m); break;
-  case LEDGER_RECALLED: home_recalled(l, m); break;
-  case LEDGER_KINDS: break;
+  case LEDGER_DRAW: home_on_draw(l, from, m); break;
+  case LEDGER_ALLOT: holder_on_allot(l, from, m); break;
+  case LEDGER_REPORT: home_on_report(l, from, m); break;
+  case LEDGER_REPORT_ACK: holder_on_report_ack(l, m); break;
+  case LEDGER_RAISE: witness_on_raise(l, from, m); break;
+  case LEDGER_RAISE_ACK: witness_on_raise_ack(l, from, m); break;
+  case LEDGER_SEAL: witness_on_seal(l, from, m); break;
+  case LEDGER_SEAL_ACK: witness_on_seal_ack(l, from, m); break;
+  case LEDGER_RETURN: holder_on_return(l, m); break;
+  case LEDGER_RECALL: home_on_recall(l, from, m); break;
+  case LEDGER_RECALL_DONE: home_on_recall_done(l, m); break;
+  case LEDGER_KIND_COUNT: break;
   }
 }
 
 /* Messages to ourselves are handled before the event ends, then shards. */
 static void finish(Ledger *l) {
-  while (l->loop.length > 0 || l->touched.length > 0) {
-    LedgerMsg *m = g_queue_pop_head(&l->loop);
+  while (l->self_messages.length > 0 || l->touched_shards.length > 0) {
+    LedgerMsg *m = g_queue_pop_head(&l->self_messages);
     if (m) {
       dispatch(l, l->self, m);
       g_free(m);
       continue;
     }
-    ShardState *s = g_queue_pop_head(&l->touched);
+    ShardState *s = g_queue_pop_head(&l->touched_shards);
     s->queued = false;
-    stored_pump(l, s);
+    sync_start_call(l, s);
   }
 }
 
 static void drop_index(Ledger *l) {
   for (int i = 0; i < LIMIT_SHARDS; i++) {
-    if (l->by_shard[i]) g_ptr_array_free(l->by_shard[i], TRUE);
-    l->by_shard[i] = NULL;
+    if (l->rows_by_shard[i]) g_ptr_array_free(l->rows_by_shard[i], TRUE);
+    l->rows_by_shard[i] = NULL;
   }
 }
 
@@ -119,70 +119,70 @@
   l->rng = g_rand_new_with_seed(seed);
   l->view = view_new(NULL, 0);
   l->lanes = 1;
-  l->views = 1;
+  l->view_epoch = 1;
   for (int i = 0; i < LIMIT_SHARDS; i++) {
     char name[LIMIT_NAME];
-    shard_name(i, name);
-    l->keys[i] = XXH64(name, strlen(name), 0);
+    shard_object_name(i, name);
+    l->shard_keys[i] = XXH64(name, strlen(name), 0);
   }
   l->rows = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-  l->closed = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-  l->purses =
-      g_hash_table_new_full(g_str_hash, g_str_equal, NULL, holder_purse_free);
+  l->closed_grants = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+  l->holder_budgets =
+      g_hash_table_new_full(g_str_hash, g_str_equal, NULL, holder_budget_free);
   l->reservations =
       g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
   l->waiting = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-  l->homes =
+  l->home_budgets =
       g_hash_table_new_full(g_str_hash, g_str_equal, NULL, home_budget_free);
   l->witnessed =
       g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
   g_queue_init(&l->actions);
-  g_queue_init(&l->loop);
-  g_queue_init(&l->touched);
+  g_queue_init(&l->self_messages);
+  g_queue_init(&l->touched_shards);
   return l;
 }
 
 void ledger_free(Ledger *l) {
   LedgerAction a;
-  while (ledger_next(l, &a)) g_free(a.text);
-  g_queue_clear_full(&l->loop, g_free);
-  g_queue_clear(&l->touched);
+  while (ledger_next_action(l, &a)) g_free(a.text);
+  g_queue_clear_full(&l->self_messages, g_free);
+  g_queue_clear(&l->touched_shards);
   drop_index(l);
-  for (int i = 0; i < LIMIT_SHARDS; i++) stored_free(l->shards[i]);
+  for (int i = 0; i < LIMIT_SHARDS; i++) sync_shard_free(l->shards[i]);
   g_hash_table_destroy(l->reservations);
   g_hash_table_destroy(l->waiting);
-  g_hash_table_destroy(l->purses);
+  g_hash_table_destroy(l->holder_budgets);
   g_hash_table_destroy(l->rows);
-  g_hash_table_destroy(l->closed);
-  g_hash_table_destroy(l->homes);
+  g_hash_table_destroy(l->closed_grants);
+  g_hash_table_destroy(l->home_budgets);
   g_hash_table_destroy(l->witnessed);
   view_free(l->view);
   g_rand_free(l->rng);
   g_free(l);
 }
 
-void ledger_lanes(Ledger *l, int n) {
+void ledger_set_lanes(Ledger *l, int n) {
   l->lanes = n;
 }
 
-void ledger_faults(Ledger *l, LedgerFaults f) {
+void ledger_set_faults(Ledger *l, LedgerFaults f) {
   l->faults = f;
 }
 
-void ledger_view(Ledger *l, double now, const View *v) {
+void ledger_set_view(Ledger *l, double now, const View *v) {
   l->now = now;
   view_free(l->view);
   l->view = view_copy(v);
   bool small = v->n <= MEMBER_SMALL;
-  l->account_s = small ? LEDGER_ACCOUNT_SMALL : LEDGER_ACCOUNT_S;
-  l->agreed_s = small ? LEDGER_ACCOUNT_SMALL : LEDGER_AGREED_S;
+  l->account_cover_s = small ? LEDGER_ACCOUNT_SMALL : LEDGER_ACCOUNT_S;
+  l->witness_ahead_s = small ? LEDGER_ACCOUNT_SMALL : LEDGER_AGREED_S;
   l->regions = view_regions(v);
-  l->near = view_count(v, l->region);
-  l->views++;
+  l->region_members = view_count(v, l->region);
+  l->view_epoch++;
   finish(l);
 }
 
-void ledger_budgets(Ledger *l, double now, const LedgerBudget *list, int n) {
+void ledger_set_budgets(Ledger *l, double now, const LedgerBudget *list, int n) {
   l->now = now;
   GHashTable *rows =
       g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
@@ -191,11 +191,11 @@
     LedgerBudget *row = g_memdup2(&list[i], sizeof *row);
     const LedgerBudget *old = g_hash_table_lookup(l->rows, row->name);
     int shard = shard_index(row->name);
-    if (!l->by_shard[shard]) l->by_shard[shard] = g_ptr_array_new();
-    g_ptr_array_add(l->by_shard[shard], row);
+    if (!l->rows_by_shard[shard]) l->rows_by_shard[shard] = g_ptr_array_new();
+    g_ptr_array_add(l->rows_by_shard[shard], row);
     /* A row that is new to us is put there with the first draw. */
-    if (ledger_ours(l, shard) && old && old->version != row->version)
-      stored_shard(l, shard)->dirty = true;
+    if (ledger_is_home(l, shard) && old && old->version != row->version)
+      sync_shard(l, shard)->dirty = true;
     g_hash_table_insert(rows, row->name, row);
   }
   g_hash_table_destroy(l->rows);
@@ -223,10 +223,10 @@
   finish(l);
 }
 
-void ledger_stored(Ledger *l, double now, int shard, ErrKind kind,
+void ledger_store_result(Ledger *l, double now, int shard, ErrKind kind,
                    uint64_t version, const char *text) {
   l->now = now;
-  stored_result(l, stored_shard(l, shard), kind, version, text);
+  sync_result(l, sync_shard(l, shard), kind, version, text);
   finish(l);
 }
 
@@ -236,15 +236,15 @@
   holder_tick(l);
   finish(l);
   home_tick(l);
-  stored_tick(l);
+  sync_tick(l);
   finish(l);
 }
 
-void ledger_away(Ledger *l, double now, bool away) {
-  if (l->away == away) return;
+void ledger_set_store_down(Ledger *l, double now, bool away) {
+  if (l->store_down == away) return;
   l->now = now;
-  l->away = away;
-  if (!away) stored_back(l);
+  l->store_down = away;
+  if (!away) sync_store_restored(l);
   finish(l);
 }
 
@@ -253,14 +253,14 @@
   l->draining = true;
 }
 
-bool ledger_drained(const Ledger *l) {
-  if (!holder_empty(l)) return false;
+bool ledger_is_drained(const Ledger *l) {
+  if (!holder_is_empty(l)) return false;
   GHashTableIter it;
   gpointer v;
-  g_hash_table_iter_init(&it, l->homes);
+  g_hash_table_iter_init(&it, l->home_budgets);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     const HomeBudget *h = v;
-    if (h->held) return false;
+    if (h->home_grant) return false;
   }
   return true;
 }
@@ -272,9 +272,9 @@
                   .witnessed = (int)g_hash_table_size(l->witnessed)};
   GHashTableIter it;
   gpointer v;
-  g_hash_table_iter_init(&it, l->purses);
+  g_hash_table_iter_init(&it, l->holder_budgets);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    const Purse *p = v;
+    const HolderBudget *p = v;
     for (guint i = 0; i < p->accounts->len; i++) {
       const Account *a = p->accounts->pdata[i];
       s.accounts++;
@@ -283,12 +283,12 @@
       s.free += a->granted - a->returned - a->spent - a->reserved;
     }
   }
-  g_hash_table_iter_init(&it, l->homes);
+  g_hash_table_iter_init(&it, l->home_budgets);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     const HomeBudget *h = v;
-    if (!h->held) continue;
+    if (!h->home_grant) continue;
     s.grants++;
-    s.home_free += home_free(h->held);
+    s.home_free_tokens += home_free_tokens(h->home_grant);
   }
   return s;
 }
--- a/packages/ledger/ledger.h
+++ b/packages/ledger/ledger.h
@@ -19,15 +19,15 @@
   LEDGER_DRAW,     /* holder -> home: need and want tokens */
   LEDGER_ALLOT,    /* home -> holder: your account now, or the cause why not */
   LEDGER_REPORT,   /* holder -> home: spent and returned so far */
-  LEDGER_REPORTED, /* home -> holder: taken in */
+  LEDGER_REPORT_ACK, /* home -> holder: taken in */
   LEDGER_RAISE,    /* home -> witness: agree to a higher limit */
-  LEDGER_RAISED,   /* witness -> home */
+  LEDGER_RAISE_ACK,   /* witness -> home */
   LEDGER_SEAL,     /* successor -> witness: agree to nothing more */
-  LEDGER_SEALED,   /* witness -> successor: the last limit */
+  LEDGER_SEAL_ACK,   /* witness -> successor: the last limit */
   LEDGER_RETURN,   /* home -> its holder: give back what is free */
   LEDGER_RECALL,   /* home -> home: give back what is free */
-  LEDGER_RECALLED, /* home -> home: something went back to the store */
-  LEDGER_KINDS
+  LEDGER_RECALL_DONE, /* home -> home: something went back to the store */
+  LEDGER_KIND_COUNT
 } LedgerKind;
 
 /* One message. Counts are cumulative, so lost, doubled and late messages
@@ -43,14 +43,14 @@
 } LedgerMsg;
 
 typedef enum {
-  LEDGER_DO_SEND,   /* msg to instance `to` */
-  LEDGER_DO_GET,    /* read the shard */
-  LEDGER_DO_PUT,    /* conditional update of the shard: version, text */
-  LEDGER_DO_ANSWER, /* the reservation `handle` is decided: cause */
-} LedgerDo;
+  LEDGER_ACTION_SEND,   /* msg to instance `to` */
+  LEDGER_ACTION_GET,    /* read the shard */
+  LEDGER_ACTION_PUT,    /* conditional update of the shard: version, text */
+  LEDGER_ACTION_ANSWER, /* the reservation `handle` is decided: cause */
+} LedgerActionKind;
 
 typedef struct LedgerAction {
-  LedgerDo what;
+  LedgerActionKind action;
   char to[LIMIT_ID];
   LedgerMsg msg;
   int shard;
@@ -66,12 +66,12 @@
   char name[LIMIT_NAME];
   int64_t total;    /* prepaid tokens */
   uint64_t version; /* table version that last changed this row */
-  double reserve_s; /* seconds of measured demand laid up per region */
+  double outage_reserve_s; /* seconds of measured demand laid up per region */
 } LedgerBudget;
 
 typedef struct LedgerSums {
   int64_t free, reserved, spent; /* this instance's accounts */
-  int64_t home_free;             /* held as a home, given to nobody */
+  int64_t home_free_tokens;             /* held as a home, given to nobody */
   int waiting, accounts, grants, witnessed;
 } LedgerSums;
 
@@ -89,13 +89,13 @@
 
 Ledger *ledger_new(const char *self, const char *region, uint32_t seed);
 /* This core looks after one of `n` equal parts of the shards; 1 unless told. */
-void ledger_lanes(Ledger *l, int n);
+void ledger_set_lanes(Ledger *l, int n);
 void ledger_free(Ledger *l);
-void ledger_faults(Ledger *l, LedgerFaults f);
+void ledger_set_faults(Ledger *l, LedgerFaults f);
 
 /* Events. `now` is monotonic seconds. After each, take the actions. */
-void ledger_view(Ledger *l, double now, const View *v);
-void ledger_budgets(Ledger *l, double now, const LedgerBudget *list, int n);
+void ledger_set_view(Ledger *l, double now, const View *v);
+void ledger_set_budgets(Ledger *l, double now, const LedgerBudget *list, int n);
 void ledger_reserve(Ledger *l, double now, uint64_t handle, const char *budget,
                     int64_t amount);
 /* `used` tokens were consumed; also for handles that still wait (used 0).
@@ -105,21 +105,21 @@
                     const LedgerMsg *m);
 /* `kind`: ERR_NONE with version and text (text NULL after a PUT),
    ERR_STORE_ABSENT, ERR_STORE_CONFLICT, ERR_STORE_UNKNOWN or ERR_STORE_DOWN. */
-void ledger_stored(Ledger *l, double now, int shard, ErrKind kind,
+void ledger_store_result(Ledger *l, double now, int shard, ErrKind kind,
                    uint64_t version, const char *text);
 /* The store answers nobody, as instances that read it for all say; or it does
    again. Meanwhile it is not called, and what it would be needed for is refused
    at once. */
-void ledger_away(Ledger *l, double now, bool away);
+void ledger_set_store_down(Ledger *l, double now, bool away);
 /* Call about ten times a second; `unix_s` is for stored records only. */
 void ledger_tick(Ledger *l, double now, int64_t unix_s);
 /* Planned stop: everything free goes back, homes are handed over. */
 void ledger_drain(Ledger *l, double now);
 /* True when a draining core holds nothing that is not safely given back. */
-bool ledger_drained(const Ledger *l);
+bool ledger_is_drained(const Ledger *l);
 
 /* Next action, false when there is none. */
-bool ledger_next(Ledger *l, LedgerAction *a);
+bool ledger_next_action(Ledger *l, LedgerAction *a);
 
 LedgerSums ledger_sums(const Ledger *l);
 
--- a/packages/ledger/layup.c
+++ b/packages/ledger/outage.c
@@ -33,15 +33,15 @@
 
 /* Tokens a second that this region used. */
 static double demand(const Ledger *l, const HomeBudget *h) {
-  double age = MAX(l->now - h->born, YOUNG);
-  return MAX(grown(h->slow, age, SLOW_TAU), grown(h->rate, age, RATE_TAU));
+  double age = MAX(l->now - h->started_at, YOUNG);
+  return MAX(grown(h->slow_demand_per_s, age, SLOW_TAU), grown(h->demand_per_s, age, RATE_TAU));
 }
 
 /* Demand is what is used, not what was reserved at most: what comes back is
    taken off again. */
-void layup_used(HomeBudget *h, int64_t tokens) {
-  h->rate = MAX(0, h->rate + (double)tokens / RATE_TAU);
-  h->slow = MAX(0, h->slow + (double)tokens / SLOW_TAU);
+void outage_note_allotted(HomeBudget *h, int64_t tokens) {
+  h->demand_per_s = MAX(0, h->demand_per_s + (double)tokens / RATE_TAU);
+  h->slow_demand_per_s = MAX(0, h->slow_demand_per_s + (double)tokens / SLOW_TAU);
 }
 
 /* == what is laid up == */
@@ -49,17 +49,17 @@
 /* Seconds of demand that the table asks this home to hold ready. */
 static double reserve_s(const Ledger *l, const HomeBudget *h) {
   const LedgerBudget *row = row_of(l, h);
-  double s = row ? row->reserve_s : 0;
-  if (h->held && !h->held->witness[0] && s > SOLE_RESERVE) s = SOLE_RESERVE;
-  if (!ledger_ours(l, shard_index(h->name)) && s > STAND_IN) s = STAND_IN;
+  double s = row ? row->outage_reserve_s : 0;
+  if (h->home_grant && !h->home_grant->witness[0] && s > SOLE_RESERVE) s = SOLE_RESERVE;
+  if (!ledger_is_home(l, shard_index(h->name)) && s > STAND_IN) s = STAND_IN;
   return s;
 }
 
-double layup_tokens(const Ledger *l, const HomeBudget *h) {
-  return demand(l, h) * SPARE * MIN(reserve_s(l, h), h->ready_s);
+double outage_reserve_tokens(const Ledger *l, const HomeBudget *h) {
+  return demand(l, h) * SPARE * MIN(reserve_s(l, h), h->reserve_cap_s);
 }
 
-int64_t layup_share(const Ledger *l, const HomeBudget *h, int64_t have,
+int64_t outage_reserve_max(const Ledger *l, const HomeBudget *h, int64_t have,
                     int64_t remaining) {
   const LedgerBudget *row = row_of(l, h);
   double total = row ? (double)row->total : 0;
@@ -74,16 +74,16 @@
 /* Follows what an outage uses up, and lets it grow again after it. */
 static void follow_outage(Ledger *l, HomeBudget *h, double dt) {
   double rate = demand(l, h) * SPARE;
-  if (!l->away && stored_shard(l, shard_index(h->name))->down_since == 0) {
-    h->ready_s = MIN(h->ready_s + dt * REBUILD, reserve_s(l, h));
+  if (!l->store_down && sync_shard(l, shard_index(h->name))->down_since == 0) {
+    h->reserve_cap_s = MIN(h->reserve_cap_s + dt * REBUILD, reserve_s(l, h));
     return;
   }
-  double left = rate > 0 ? (double)home_free(h->held) / rate : 0;
-  h->ready_s = MIN(h->ready_s, left);
+  double left = rate > 0 ? (double)home_free_tokens(h->home_grant) / rate : 0;
+  h->reserve_cap_s = MIN(h->reserve_cap_s, left);
 }
 
-void layup_tick(Ledger *l, HomeBudget *h, double dt) {
-  h->rate *= exp(-dt / RATE_TAU);
-  h->slow *= exp(-dt / SLOW_TAU);
-  if (h->held) follow_outage(l, h, dt);
+void outage_tick(Ledger *l, HomeBudget *h, double dt) {
+  h->demand_per_s *= exp(-dt / RATE_TAU);
+  h->slow_demand_per_s *= exp(-dt / SLOW_TAU);
+  if (h->home_grant) follow_outage(l, h, dt);
 }
--- a/packages/ledger/shard.c
+++ b/packages/ledger/shard.c
@@ -10,7 +10,7 @@
 
 static void grant_free(gpointer p) {
   ShardGrant *g = p;
-  if (g->back) g_hash_table_destroy(g->back);
+  if (g->reports) g_hash_table_destroy(g->reports);
   g_free(g);
 }
 
@@ -37,16 +37,16 @@
   return (int)(XXH64(budget, strlen(budget), 0) % LIMIT_SHARDS);
 }
 
-void shard_name(int index, char *out) {
+void shard_object_name(int index, char *out) {
   snprintf(out, LIMIT_NAME, "budget/%03d", index);
 }
 
-ShardBudget *shard_budget(Shard *s, const char *name) {
+ShardBudget *shard_find_budget(Shard *s, const char *name) {
   return g_hash_table_lookup(s->budgets, name);
 }
 
-ShardBudget *shard_budget_add(Shard *s, const char *name) {
-  ShardBudget *b = shard_budget(s, name);
+ShardBudget *shard_ensure_budget(Shard *s, const char *name) {
+  ShardBudget *b = shard_find_budget(s, name);
   if (b) return b;
   b = g_new0(ShardBudget, 1);
   g_strlcpy(b->name, name, sizeof b->name);
@@ -55,7 +55,7 @@
   return b;
 }
 
-ShardGrant *shard_grant(const ShardBudget *b, uint64_t id) {
+ShardGrant *shard_find_grant(const ShardBudget *b, uint64_t id) {
   for (guint i = 0; i < b->grants->len; i++) {
     ShardGrant *g = b->grants->pdata[i];
     if (g->id == id) return g;
@@ -63,9 +63,9 @@
   return NULL;
 }
 
-ShardGrant *shard_grant_add(ShardBudget *b, uint64_t id, const char *home,
+ShardGrant *shard_add_grant(ShardBudget *b, uint64_t id, const char *home,
                             const char *witness, const char *region) {
-  assert(!shard_grant(b, id));
+  assert(!shard_find_grant(b, id));
   ShardGrant *g = g_new0(ShardGrant, 1);
   g->id = id;
   g_strlcpy(g->home, home, sizeof g->home);
@@ -82,35 +82,35 @@
   gpointer v;
   int64_t returned = 0;
   if (spent) *spent = 0;
-  if (!g->back) return 0;
-  g_hash_table_iter_init(&it, g->back);
+  if (!g->reports) return 0;
+  g_hash_table_iter_init(&it, g->reports);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    const ShardBack *r = v;
+    const ShardReport *r = v;
     returned += r->returned;
     if (spent && (r->final || !only_final)) *spent += r->spent;
   }
   return returned;
 }
 
-int64_t shard_outstanding(const ShardGrant *g) {
+int64_t shard_grant_outstanding(const ShardGrant *g) {
   int64_t open = g->granted - g->returned;
   if (!g->sealed) return open;
   /* `limit` counts all that was ever given out, so all that ever came back
      may be taken off it. */
   int64_t back = sum_back(g, false, NULL);
-  int64_t bound = g->limit - MAX(back, g->known);
+  int64_t bound = g->limit - MAX(back, g->known_returned);
   return bound < open ? bound : open;
 }
 
-int64_t shard_remaining(const ShardBudget *b) {
-  int64_t left = b->total - b->closed - b->retired;
+int64_t shard_budget_remaining(const ShardBudget *b) {
+  int64_t left = b->total - b->closed_spent - b->written_off;
   for (guint i = 0; i < b->grants->len; i++)
-    left -= shard_outstanding(b->grants->pdata[i]);
+    left -= shard_grant_outstanding(b->grants->pdata[i]);
   return left;
 }
 
-int64_t shard_spent(const ShardBudget *b) {
-  int64_t spent = b->closed;
+int64_t shard_budget_spent(const ShardBudget *b) {
+  int64_t spent = b->closed_spent;
   for (guint i = 0; i < b->grants->len; i++) {
     const ShardGrant *g = b->grants->pdata[i];
     int64_t back = 0;
@@ -120,24 +120,24 @@
   return spent;
 }
 
-void shard_seal(ShardGrant *g, int64_t limit, int64_t known, bool exact,
+void shard_seal_grant(ShardGrant *g, int64_t limit, int64_t known, bool exact,
                 int64_t now) {
   if (g->sealed) return;
   g->sealed = true;
-  g->exact = exact;
+  g->limit_is_exact = exact;
   g->limit = limit;
-  g->known = known;
-  g->changed = now;
+  g->known_returned = known;
+  g->changed_unix_s = now;
 }
 
-bool shard_report(ShardGrant *g, const char *instance, int64_t returned,
+bool shard_apply_report(ShardGrant *g, const char *instance, int64_t returned,
                   int64_t spent, bool final, int64_t now) {
-  if (!g->back)
-    g->back = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  ShardBack *r = g_hash_table_lookup(g->back, instance);
+  if (!g->reports)
+    g->reports = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  ShardReport *r = g_hash_table_lookup(g->reports, instance);
   if (!r) {
-    r = g_new0(ShardBack, 1);
-    g_hash_table_insert(g->back, g_strdup(instance), r);
+    r = g_new0(ShardReport, 1);
+    g_hash_table_insert(g->reports, g_strdup(instance), r);
   }
   /* Late and doubled reports carry smaller or equal counts: keep the max. */
   bool news =
@@ -145,24 +145,24 @@
   if (returned > r->returned) r->returned = returned;
   if (spent > r->spent) r->spent = spent;
   r->final = r->final || final;
-  if (news) g->changed = now;
+  if (news) g->changed_unix_s = now;
   return news;
 }
 
-bool shard_fold(ShardBudget *b, ShardGrant *g, int64_t now) {
+bool shard_remove_settled(ShardBudget *b, ShardGrant *g, int64_t now) {
   if (!g->sealed) return false;
   int64_t spent = 0;
   sum_back(g, true, &spent);
-  int64_t out = shard_outstanding(g);
-  bool whole = g->exact && out <= spent;
-  if (!whole && now - g->changed < (int64_t)LEDGER_RETIRE) return false;
+  int64_t out = shard_grant_outstanding(g);
+  bool whole = g->limit_is_exact && out <= spent;
+  if (!whole && now - g->changed_unix_s < (int64_t)LEDGER_RETIRE) return false;
   if (!whole) sum_back(g, false, &spent);
-  b->closed += spent; /* more than `out` only if a target broke its bound */
-  b->retired += MAX(out - spent, 0);
+  b->closed_spent += spent; /* more than `out` only if a target broke its bound */
+  b->written_off += MAX(out - spent, 0);
   return g_ptr_array_remove(b->grants, g);
 }
 
-void shard_close(ShardBudget *b, ShardGrant *g) {
-  b->closed += MAX(shard_outstanding(g), g->spent);
+void shard_close_grant(ShardBudget *b, ShardGrant *g) {
+  b->closed_spent += MAX(shard_grant_outstanding(g), g->spent);
   g_ptr_array_remove(b->grants, g);
 }
--- a/packages/ledger/shardio.c
+++ b/packages/ledger/shardio.c
@@ -32,10 +32,10 @@
   json_t *back = json_object();
   GHashTableIter it;
   gpointer k, v;
-  if (!g->back) return back;
-  g_hash_table_iter_init(&it, g->back);
+  if (!g->reports) return back;
+  g_hash_table_iter_init(&it, g->reports);
   while (g_hash_table_iter_next(&it, &k, &v)) {
-    const ShardBack *r = v;
+    const ShardReport *r = v;
     json_object_set_new(back, k,
                         json_pack("[I,I,b]", (json_int_t)r->returned,
                                   (json_int_t)r->spent, (int)r->final));
@@ -48,11 +48,11 @@
                         place(n, g->witness), place(n, g->region),
                         (json_int_t)g->granted, (json_int_t)g->returned,
                         (json_int_t)g->spent);
-  if (!g->sealed && !g->back) return o;
+  if (!g->sealed && !g->reports) return o;
   json_t *last = encode_back(g);
   if (g->sealed)
-    last = json_pack("[I,I,b,I,o]", (json_int_t)g->limit, (json_int_t)g->known,
-                     (int)g->exact, (json_int_t)g->changed, last);
+    last = json_pack("[I,I,b,I,o]", (json_int_t)g->limit, (json_int_t)g->known_returned,
+                     (int)g->limit_is_exact, (json_int_t)g->changed_unix_s, last);
   json_array_append_new(o, last);
   return o;
 }
@@ -61,8 +61,8 @@
   json_t *grants = json_array();
   for (guint i = 0; i < b->grants->len; i++)
     json_array_append_new(grants, encode_grant(n, b->grants->pdata[i]));
-  return json_pack("[I,I,I,I,o]", (json_int_t)b->total, (json_int_t)b->tv,
-                   (json_int_t)b->closed, (json_int_t)b->retired, grants);
+  return json_pack("[I,I,I,I,o]", (json_int_t)b->total, (json_int_t)b->table_version,
+                   (json_int_t)b->closed_spent, (json_int_t)b->written_off, grants);
 }
 
 static int by_name(gconstpointer a, gconstpointer b) {
@@ -93,7 +93,7 @@
     json_int_t returned, spent;
     int final;
     if (json_unpack(v, "[I,I,b]", &returned, &spent, &final) != 0) return false;
-    shard_report(g, k, returned, spent, final != 0, changed);
+    shard_apply_report(g, k, returned, spent, final != 0, changed);
   }
   return true;
 }
@@ -107,7 +107,7 @@
   if (json_unpack(last, "[I,I,b,I,o]", &limit, &known, &exact, &changed,
                   &back) != 0)
     return false;
-  shard_seal(g, limit, known, exact != 0, changed);
+  shard_seal_grant(g, limit, known, exact != 0, changed);
   return decode_back(g, back, changed);
 }
 
@@ -122,9 +122,9 @@
     names[i] = json_string_value(name);
     if (!names[i]) return false;
   }
-  if (shard_grant(b, (uint64_t)id)) return false;
+  if (shard_find_grant(b, (uint64_t)id)) return false;
   ShardGrant *g =
-      shard_grant_add(b, (uint64_t)id, names[0], names[1], names[2]);
+      shard_add_grant(b, (uint64_t)id, names[0], names[1], names[2]);
   g->granted = granted;
   g->returned = returned;
   g->spent = spent;
@@ -139,11 +139,11 @@
           0 ||
       !json_is_array(grants))
     return false;
-  ShardBudget *b = shard_budget_add(s, name);
+  ShardBudget *b = shard_ensure_budget(s, name);
   b->total = total;
-  b->tv = (uint64_t)tv;
-  b->closed = closed;
-  b->retired = retired;
+  b->table_version = (uint64_t)tv;
+  b->closed_spent = closed;
+  b->written_off = retired;
   json_array_foreach(grants, i, g) {
     if (!decode_grant(b, ids, g)) return false;
   }
--- a/packages/ledger/stored.c
+++ b/packages/ledger/sync.c
@@ -16,17 +16,17 @@
 /* Seconds over which the homes come back to the store after an outage. */
 #define BACK_SPREAD 0.2
 
-ShardState *stored_shard(Ledger *l, int index) {
+ShardState *sync_shard(Ledger *l, int index) {
   ShardState *s = l->shards[index];
   if (s) return s;
   s = l->shards[index] = g_new0(ShardState, 1);
   s->index = index;
   s->budgets = g_ptr_array_new();
-  s->read_at = l->now + FIRST_READ * (0.5 + g_rand_double(l->rng));
+  s->next_read_at = l->now + FIRST_READ * (0.5 + g_rand_double(l->rng));
   return s;
 }
 
-void stored_free(ShardState *s) {
+void sync_shard_free(ShardState *s) {
   if (!s) return;
   shard_free(s->doc);
   g_ptr_array_free(s->budgets, TRUE);
@@ -36,22 +36,22 @@
 /* == putting wishes into the document == */
 
 static bool apply_row(ShardBudget *b, const LedgerBudget *row) {
-  if (b->tv >= row->version) return false;
+  if (b->table_version >= row->version) return false;
   b->total = row->total;
-  b->tv = row->version;
+  b->table_version = row->version;
   return true;
 }
 
 static bool apply_seals(Ledger *l, HomeBudget *h, ShardBudget *b) {
   bool changed = false;
   for (guint i = 0; i < h->seals->len; i++) {
-    const Seal *s = h->seals->pdata[i];
-    ShardGrant *g = shard_grant(b, s->grant);
-    if (!g || g->sealed || !s->have) continue;
+    const PendingSeal *s = h->seals->pdata[i];
+    ShardGrant *g = shard_find_grant(b, s->grant);
+    if (!g || g->sealed || !s->is_answered) continue;
     /* Only the witness that the document names knows the limit: one that the
        home has left meanwhile agreed to less than was given out. */
     if (strcmp(g->witness, s->witness) != 0) continue;
-    shard_seal(g, s->limit, s->back, false, l->unix_s);
+    shard_seal_grant(g, s->limit, s->returned_to_home, false, l->unix_s);
     changed = true;
   }
   return changed;
@@ -59,8 +59,8 @@
 
 /* A grant whose home and witness are both gone can't be sealed. What its
    holders report is kept all the same, or none of them could ever stop. */
-static bool never_sealed(const Ledger *l, const Late *x, const ShardGrant *g) {
-  return l->now - x->since >= UNSEALED && !view_find(l->view, g->home);
+static bool never_sealed(const Ledger *l, const OrphanReport *x, const ShardGrant *g) {
+  return l->now - x->received_at >= UNSEALED && !view_find(l->view, g->home);
 }
 
 /* A grant that is sealed here is sealed for good. One that is missing here may
@@ -68,92 +68,92 @@
 static bool apply_late(Ledger *l, ShardState *s, HomeBudget *h,
                        ShardBudget *b) {
   bool changed = false;
-  for (guint i = 0; i < h->late->len; i++) {
-    Late *x = h->late->pdata[i];
-    ShardGrant *g = shard_grant(b, x->grant);
-    x->applied = g ? g->sealed || never_sealed(l, x, g) : s->fresh > x->since;
-    if (!g && !x->applied) s->reread = s->dirty = true;
+  for (guint i = 0; i < h->orphan_reports->len; i++) {
+    OrphanReport *x = h->orphan_reports->pdata[i];
+    ShardGrant *g = shard_find_grant(b, x->grant);
+    x->applied = g ? g->sealed || never_sealed(l, x, g) : s->confirmed_at > x->received_at;
+    if (!g && !x->applied) s->must_reread = s->dirty = true;
     if (!g || !x->applied) continue;
     changed |=
-        shard_report(g, x->holder, x->returned, x->spent, x->final, l->unix_s);
+        shard_apply_report(g, x->holder, x->returned, x->spent, x->final, l->unix_s);
   }
   return changed;
 }
 
 /* Hands over: what nobody holds goes back, and the grant is sealed with just
    what was given out, so that the reports to come account for all of it. */
-static bool apply_handover(Ledger *l, Held *g, ShardBudget *b, ShardGrant *sg) {
+static bool apply_handover(Ledger *l, HomeGrant *g, ShardBudget *b, ShardGrant *sg) {
   if (!sg || sg->sealed) return false;
-  g->returned += home_free(g);
+  g->returned += home_free_tokens(g);
   sg->returned = g->returned;
   sg->spent = g->spent;
-  if (g->given - g->back <= g->spent) {
-    shard_close(b, sg);
+  if (g->allotted - g->returned_by_holders <= g->spent) {
+    shard_close_grant(b, sg);
     return true;
   }
-  shard_seal(sg, g->given, g->back, true, l->unix_s);
+  shard_seal_grant(sg, g->allotted, g->returned_by_holders, true, l->unix_s);
   GHashTableIter it;
   gpointer k, v;
   g_hash_table_iter_init(&it, g->shares);
   while (g_hash_table_iter_next(&it, &k, &v)) {
-    const Share *s = v;
-    shard_report(sg, k, s->returned, s->spent, false, l->unix_s);
+    const HolderShare *s = v;
+    shard_apply_report(sg, k, s->returned, s->spent, false, l->unix_s);
   }
   return true;
 }
 
 /* Reports that others took in while we seemed gone. */
-static void take_back(Held *g, const ShardGrant *sg) {
+static void take_back(HomeGrant *g, const ShardGrant *sg) {
   GHashTableIter it;
   gpointer k, v;
-  if (!sg->back) return;
-  g_hash_table_iter_init(&it, sg->back);
+  if (!sg->reports) return;
+  g_hash_table_iter_init(&it, sg->reports);
   while (g_hash_table_iter_next(&it, &k, &v)) {
-    const ShardBack *r = v;
-    home_take(g, k, r->returned, r->spent);
+    const ShardReport *r = v;
+    home_apply_counts(g, k, r->returned, r->spent);
   }
 }
 
 static bool apply_held(Ledger *l, const ShardState *s, HomeBudget *h,
                        ShardBudget *b) {
-  Held *g = h->held;
+  HomeGrant *g = h->home_grant;
   if (!g) return false;
-  ShardGrant *sg = shard_grant(b, g->id);
+  ShardGrant *sg = shard_find_grant(b, g->id);
   if (sg) take_back(g, sg);
   if (g->frozen) return apply_handover(l, g, b, sg);
   if ((sg && sg->sealed) || (!sg && g->stored)) return false;
   bool changed = false;
   if (sg) {
     /* What is spent may wait for its time or for another cause to write. */
-    bool due = l->now - s->wrote >= l->report_every;
+    bool due = l->now - s->written_at >= l->report_write_s;
     changed = sg->returned != g->returned || (due && sg->spent != g->spent);
     sg->returned = g->returned;
     if (changed) sg->spent = g->spent;
-    if (g->moved && strcmp(sg->witness, g->moving_to) != 0) {
-      g_strlcpy(sg->witness, g->moving_to, sizeof sg->witness);
+    if (g->next_has_agreed && strcmp(sg->witness, g->next_witness) != 0) {
+      g_strlcpy(sg->witness, g->next_witness, sizeof sg->witness);
       changed = true;
     }
   }
-  int64_t left = shard_remaining(b);
-  if (left < 0 && home_free(g) > 0) { /* the table lowered the total */
-    int64_t n = MIN(-left, home_free(g));
+  int64_t left = shard_budget_remaining(b);
+  if (left < 0 && home_free_tokens(g) > 0) { /* the table lowered the total */
+    int64_t n = MIN(-left, home_free_tokens(g));
     g->returned += n;
     if (sg) sg->returned = g->returned;
     return true;
   }
-  int64_t n = home_plan(l, h, left);
+  int64_t n = home_plan_draw(l, h, left);
   if (n <= 0) return changed;
-  if (!sg) sg = shard_grant_add(b, g->id, l->self, g->witness, l->region);
+  if (!sg) sg = shard_add_grant(b, g->id, l->self, g->witness, l->region);
   sg->granted += n;
   sg->spent = g->spent;
-  sg->changed = l->unix_s;
+  sg->changed_unix_s = l->unix_s;
   return true;
 }
 
 static bool apply_folds(Ledger *l, ShardBudget *b) {
   bool changed = false;
   for (guint i = 0; i < b->grants->len;) {
-    if (shard_fold(b, b->grants->pdata[i], l->unix_s))
+    if (shard_remove_settled(b, b->grants->pdata[i], l->unix_s))
       changed = true;
     else
       i++;
@@ -163,14 +163,14 @@
 
 static bool apply(Ledger *l, ShardState *s) {
   bool changed = false;
-  const GPtrArray *rows = l->by_shard[s->index];
+  const GPtrArray *rows = l->rows_by_shard[s->index];
   for (guint i = 0; rows && i < rows->len; i++) {
     const LedgerBudget *row = rows->pdata[i];
-    changed |= apply_row(shard_budget_add(s->doc, row->name), row);
+    changed |= apply_row(shard_ensure_budget(s->doc, row->name), row);
   }
   for (guint i = 0; i < s->budgets->len; i++) {
     HomeBudget *h = s->budgets->pdata[i];
-    ShardBudget *b = shard_budget(s->doc, h->name);
+    ShardBudget *b = shard_find_budget(s->doc, h->name);
     if (!b) continue;
     changed |= apply_seals(l, h, b);
     changed |= apply_late(l, s, h, b);
@@ -183,12 +183,12 @@
 /* == after a version is known to be the store's == */
 
 static void confirm_held(HomeBudget *h, const ShardBudget *b) {
-  Held *g = h->held;
+  HomeGrant *g = h->home_grant;
   if (!g) return;
-  const ShardGrant *sg = b ? shard_grant(b, g->id) : NULL;
+  const ShardGrant *sg = b ? shard_find_grant(b, g->id) : NULL;
   bool over = sg ? sg->sealed : (g->stored || g->frozen);
   if (over) {
-    home_drop(h);
+    home_drop_grant(h);
     return;
   }
   if (!sg) return;
@@ -196,38 +196,38 @@
     /* Chosen anew while the first update was on its way: a successor will ask
        the one that the document names. */
     g_strlcpy(g->witness, sg->witness, sizeof g->witness);
-    g->limit = g->limit_asked = 0;
+    g->limit = g->limit_requested = 0;
   }
   g->stored = true;
   g->granted = sg->granted;
   g->stored_spent = sg->spent;
   g->stored_returned = sg->returned;
-  if (g->moving && g->moved && strcmp(sg->witness, g->moving_to) == 0) {
+  if (g->is_moving && g->next_has_agreed && strcmp(sg->witness, g->next_witness) == 0) {
     g_strlcpy(g->witness, sg->witness, sizeof g->witness);
-    g->moving = g->moved = false;
+    g->is_moving = g->next_has_agreed = false;
   }
 }
 
 static void confirm_late(Ledger *l, HomeBudget *h) {
-  for (guint i = 0; i < h->late->len;) {
-    const Late *x = h->late->pdata[i];
+  for (guint i = 0; i < h->orphan_reports->len;) {
+    const OrphanReport *x = h->orphan_reports->pdata[i];
     if (!x->applied) {
       i++;
       continue;
     }
-    LedgerMsg r = ledger_msg(LEDGER_REPORTED, h->name, x->grant);
+    LedgerMsg r = ledger_make_msg(LEDGER_REPORT_ACK, h->name, x->grant);
     r.returned = x->returned;
     r.spent = x->spent;
     r.final = true;
     ledger_send(l, x->holder, &r);
-    g_ptr_array_remove_index(h->late, i);
+    g_ptr_array_remove_index(h->orphan_reports, i);
   }
 }
 
 static void confirm_seals(HomeBudget *h, const ShardBudget *b) {
   for (guint i = 0; i < h->seals->len;) {
-    const Seal *s = h->seals->pdata[i];
-    const ShardGrant *g = b ? shard_grant(b, s->grant) : NULL;
+    const PendingSeal *s = h->seals->pdata[i];
+    const ShardGrant *g = b ? shard_find_grant(b, s->grant) : NULL;
     if (!g || g->sealed)
       g_ptr_array_remove_index(h->seals, i);
     else
@@ -239,45 +239,45 @@
 static void confirm_wishes(Ledger *l, ShardState *s) {
   for (guint i = 0; i < s->budgets->len; i++) {
     HomeBudget *h = s->budgets->pdata[i];
-    const ShardBudget *b = shard_budget(s->doc, h->name);
+    const ShardBudget *b = shard_find_budget(s->doc, h->name);
     confirm_held(h, b);
     confirm_late(l, h);
     confirm_seals(h, b);
-    h->remaining = b ? shard_remaining(b) : 0;
-    h->unspent = b ? b->total - b->retired - shard_spent(b) : 0;
+    h->remaining = b ? shard_budget_remaining(b) : 0;
+    h->unspent = b ? b->total - b->written_off - shard_budget_spent(b) : 0;
   }
 }
 
 static void confirm(Ledger *l, ShardState *s) {
-  s->seen = s->version;
-  s->fresh = l->now;
+  s->newest_version = s->version;
+  s->confirmed_at = l->now;
   s->backoff = 0;
   s->down_since = 0;
-  s->read_at = l->now + REFRESH * (0.75 + g_rand_double(l->rng) / 2);
+  s->next_read_at = l->now + REFRESH * (0.75 + g_rand_double(l->rng) / 2);
   confirm_wishes(l, s);
   for (guint i = 0; i < s->budgets->len; i++) {
     HomeBudget *h = s->budgets->pdata[i];
-    bool back = !h->held || h->held->stored_returned >= h->held->returned;
-    if (h->tell_recaller && back) {
-      h->tell_recaller = false;
-      LedgerMsg m = ledger_msg(LEDGER_RECALLED, h->name, 0);
+    bool back = !h->home_grant || h->home_grant->stored_returned >= h->home_grant->returned;
+    if (h->notify_recaller && back) {
+      h->notify_recaller = false;
+      LedgerMsg m = ledger_make_msg(LEDGER_RECALL_DONE, h->name, 0);
       ledger_send(l, h->recaller, &m);
     }
   }
-  home_watch_grants(l, s);
+  home_check_grants(l, s);
   for (guint i = 0; i < s->budgets->len; i++)
-    home_pump(l, s->budgets->pdata[i]);
+    home_serve_draws(l, s->budgets->pdata[i]);
 }
 
 /* == store operations == */
 
-static void start(Ledger *l, ShardState *s, LedgerDo what) {
-  LedgerAction *a = ledger_act(l, what);
+static void start(Ledger *l, ShardState *s, LedgerActionKind what) {
+  LedgerAction *a = ledger_add_action(l, what);
   a->shard = s->index;
-  s->busy = true;
-  s->started = l->now;
-  s->putting = what == LEDGER_DO_PUT;
-  if (!s->putting) return;
+  s->call_pending = true;
+  s->call_started_at = l->now;
+  s->call_is_put = what == LEDGER_ACTION_PUT;
+  if (!s->call_is_put) return;
   a->version = s->version;
   a->text = shard_encode(s->doc);
 }
@@ -288,14 +288,14 @@
   s->doc = NULL;
   for (guint i = 0; i < s->budgets->len; i++) {
     HomeBudget *h = s->budgets->pdata[i];
-    for (guint k = 0; k < h->late->len; k++)
-      ((Late *)h->late->pdata[k])->applied = false;
+    for (guint k = 0; k < h->orphan_reports->len; k++)
+      ((OrphanReport *)h->orphan_reports->pdata[k])->applied = false;
   }
 }
 
 /* A stop does not wait for others to say that the store is back. */
 static bool waits_for_store(const Ledger *l) {
-  return l->away && !l->draining;
+  return l->store_down && !l->draining;
 }
 
 /* The last tokens of a budget are few, and its homes would hand them to and fro
@@ -311,36 +311,36 @@
   return s->budgets->len > 0;
 }
 
-void stored_back(Ledger *l) {
+void sync_store_restored(Ledger *l) {
   for (int i = 0; i < LIMIT_SHARDS; i++) {
     ShardState *s = l->shards[i];
     if (s) s->retry_at = l->now + BACK_SPREAD * g_rand_double(l->rng);
   }
 }
 
-void stored_pump(Ledger *l, ShardState *s) {
-  if (s->busy || !s->dirty || l->now < s->retry_at) return;
+void sync_start_call(Ledger *l, ShardState *s) {
+  if (s->call_pending || !s->dirty || l->now < s->retry_at) return;
   if (waits_for_store(l)) return;
-  bool wrote = l->now - s->wrote < DRY_EVERY && s->wrote > 0;
+  bool wrote = l->now - s->written_at < DRY_EVERY && s->written_at > 0;
   if (wrote && !l->draining && nearly_dry(l, s)) return;
-  if (s->reread) forget_doc(s);
-  s->reread = false;
+  if (s->must_reread) forget_doc(s);
+  s->must_reread = false;
   if (!s->doc) {
-    start(l, s, LEDGER_DO_GET);
+    start(l, s, LEDGER_ACTION_GET);
     return;
   }
   s->dirty = false;
   if (apply(l, s))
-    start(l, s, LEDGER_DO_PUT);
+    start(l, s, LEDGER_ACTION_PUT);
   else
     confirm_wishes(l, s);
 }
 
-void stored_touch(Ledger *l, ShardState *s) {
+void sync_touch(Ledger *l, ShardState *s) {
   s->dirty = true;
   if (s->queued) return;
   s->queued = true;
-  g_queue_push_tail(&l->touched, s);
+  g_queue_push_tail(&l->touched_shards, s);
 }
 
 static void back_off(Ledger *l, ShardState *s) {
@@ -349,7 +349,7 @@
 
 static void got(Ledger *l, ShardState *s, uint64_t version, const char *text) {
   /* A read may be served from an old copy: never step back. */
-  bool stale = version < s->seen;
+  bool stale = version < s->newest_version;
   Shard *doc = stale ? NULL : text ? shard_decode(text) : shard_new();
   if (!doc) { /* stale, or not ours to mend: ask again later */
     s->dirty = true;
@@ -363,16 +363,16 @@
   confirm(l, s);
 }
 
-void stored_result(Ledger *l, ShardState *s, ErrKind kind, uint64_t version,
+void sync_result(Ledger *l, ShardState *s, ErrKind kind, uint64_t version,
                    const char *text) {
-  if (!s->busy) return;
-  bool putting = s->putting;
-  s->busy = s->putting = false;
+  if (!s->call_pending) return;
+  bool putting = s->call_is_put;
+  s->call_pending = s->call_is_put = false;
   switch (kind) {
   case ERR_NONE:
     if (putting) {
       s->version = version;
-      s->wrote = l->now;
+      s->written_at = l->now;
       confirm(l, s);
     } else {
       got(l, s, version, text);
@@ -390,26 +390,26 @@
     if (s->down_since == 0) s->down_since = l->now;
     back_off(l, s);
     for (guint i = 0; i < s->budgets->len; i++)
-      home_pump(l, s->budgets->pdata[i]);
+      home_serve_draws(l, s->budgets->pdata[i]);
     break;
   }
-  stored_pump(l, s);
+  sync_start_call(l, s);
 }
 
-void stored_tick(Ledger *l) {
+void sync_tick(Ledger *l) {
   for (int i = 0; i < LIMIT_SHARDS; i++) {
     ShardState *s = l->shards[i];
-    bool ours = l->by_shard[i] && ledger_ours(l, i) && !l->draining;
+    bool ours = l->rows_by_shard[i] && ledger_is_home(l, i) && !l->draining;
     if (!s && !ours) continue;
-    if (!s) s = stored_shard(l, i);
-    if (ours && l->now >= s->read_at && !s->busy) {
-      s->read_at = l->now + REFRESH;
-      s->reread = s->dirty = true;
+    if (!s) s = sync_shard(l, i);
+    if (ours && l->now >= s->next_read_at && !s->call_pending) {
+      s->next_read_at = l->now + REFRESH;
+      s->must_reread = s->dirty = true;
     }
-    if (ours && l->now - s->watched >= LEDGER_LOOK) {
-      s->watched = l->now;
-      home_watch_grants(l, s);
+    if (ours && l->now - s->grants_checked_at >= LEDGER_LOOK) {
+      s->grants_checked_at = l->now;
+      home_check_grants(l, s);
     }
-    stored_pump(l, s);
+    sync_start_call(l, s);
   }
 }
--- a/packages/ledger/witness.c
+++ b/packages/ledger/witness.c
@@ -19,43 +19,43 @@
 
 /* The limit only grows, and not at all once sealed: what a home gave out under
    this witness is never more than what the witness will tell a successor. */
-void witness_raise(Ledger *l, const char *from, const LedgerMsg *m) {
+void witness_on_raise(Ledger *l, const char *from, const LedgerMsg *m) {
   Witnessed *w = witnessed(l, m->grant);
   bool refuse = w->sealed && !l->faults.no_witness_check;
   if (!refuse && m->limit > w->limit) w->limit = m->limit;
-  if (m->returned > w->back) w->back = m->returned;
-  LedgerMsg r = ledger_msg(LEDGER_RAISED, m->budget, m->grant);
+  if (m->returned > w->returned_to_home) w->returned_to_home = m->returned;
+  LedgerMsg r = ledger_make_msg(LEDGER_RAISE_ACK, m->budget, m->grant);
   r.limit = w->limit;
   r.sealed = refuse;
   ledger_send(l, from, &r);
 }
 
-void witness_seal(Ledger *l, const char *from, const LedgerMsg *m) {
+void witness_on_seal(Ledger *l, const char *from, const LedgerMsg *m) {
   Witnessed *w = witnessed(l, m->grant);
   w->sealed = true;
-  LedgerMsg r = ledger_msg(LEDGER_SEALED, m->budget, m->grant);
+  LedgerMsg r = ledger_make_msg(LEDGER_SEAL_ACK, m->budget, m->grant);
   r.limit = w->limit;
-  r.returned = w->back;
+  r.returned = w->returned_to_home;
   ledger_send(l, from, &r);
 }
 
 /* == the home's side == */
 
 static ShardState *shard_of(Ledger *l, const HomeBudget *h) {
-  return stored_shard(l, shard_index(h->name));
+  return sync_shard(l, shard_index(h->name));
 }
 
 static void touch(Ledger *l, const HomeBudget *h) {
-  stored_touch(l, shard_of(l, h));
+  sync_touch(l, shard_of(l, h));
 }
 
 /* What may still be given out without asking the witness. */
-int64_t witness_room(const Held *g) {
-  if (!g->witness[0] && !g->moving) return INT64_MAX;
-  return g->limit - g->given;
+int64_t witness_room(const HomeGrant *g) {
+  if (!g->witness[0] && !g->is_moving) return INT64_MAX;
+  return g->limit - g->allotted;
 }
 
-void witness_pick(const Ledger *l, uint64_t grant, const char *silent,
+void witness_choose(const Ledger *l, uint64_t grant, const char *silent,
                   char *out) {
   const Member *self = view_find(l->view, l->self), *m;
   const Member *best = NULL, *quiet = NULL;
@@ -74,97 +74,97 @@
 }
 
 static void send_raise(Ledger *l, HomeBudget *h, const char *to) {
-  Held *g = h->held;
-  LedgerMsg m = ledger_msg(LEDGER_RAISE, h->name, g->id);
-  m.limit = g->limit_asked;
-  m.returned = g->back; /* so that it need not be written off with us */
-  g->raise_sent = l->now;
-  if (g->unanswered == 0) g->unanswered = l->now;
+  HomeGrant *g = h->home_grant;
+  LedgerMsg m = ledger_make_msg(LEDGER_RAISE, h->name, g->id);
+  m.limit = g->limit_requested;
+  m.returned = g->returned_by_holders; /* so that it need not be written off with us */
+  g->raise_sent_at = l->now;
+  if (g->unanswered_since == 0) g->unanswered_since = l->now;
   ledger_send(l, to, &m);
 }
 
 /* A witness that says nothing is not waited for until it is out of the view:
    callers wait for its word. To move is safe at any time. */
-static bool is_silent(const Ledger *l, Held *g, const char *id) {
-  if (g->unanswered == 0 || l->now - g->unanswered < SILENT) return false;
-  g_strlcpy(g->silent, id, sizeof g->silent);
-  g->unanswered = 0;
+static bool is_silent(const Ledger *l, HomeGrant *g, const char *id) {
+  if (g->unanswered_since == 0 || l->now - g->unanswered_since < SILENT) return false;
+  g_strlcpy(g->unresponsive, id, sizeof g->unresponsive);
+  g->unanswered_since = 0;
   return true;
 }
 
 /* Asks for room for `n` more tokens and for a few seconds of demand. */
-void witness_want(Ledger *l, HomeBudget *h, int64_t n) {
-  Held *g = h->held;
-  if (g->moving || !g->witness[0]) return;
-  int64_t ahead = (int64_t)(h->rate * l->agreed_s);
+void witness_request_room(Ledger *l, HomeBudget *h, int64_t n) {
+  HomeGrant *g = h->home_grant;
+  if (g->is_moving || !g->witness[0]) return;
+  int64_t ahead = (int64_t)(h->demand_per_s * l->witness_ahead_s);
   /* What is agreed ahead is written off should we be lost: little of a small
      budget, enough of a large one that not each gift needs a word. */
   ahead = MAX(ahead, MIN(LEDGER_MIN_DRAW, h->remaining / 2048));
-  ahead = MIN(ahead, MAX(home_free(g) - n, 0));
-  if (g->limit_asked - g->given >= n + ahead / 2) return;
-  g->limit_asked = g->given + n + ahead;
+  ahead = MIN(ahead, MAX(home_free_tokens(g) - n, 0));
+  if (g->limit_requested - g->allotted >= n + ahead / 2) return;
+  g->limit_requested = g->allotted + n + ahead;
   send_raise(l, h, g->witness);
 }
 
 static bool needs_room(const HomeBudget *h) {
   for (guint i = 0; i < h->draws->len; i++)
-    if (((Draw *)h->draws->pdata[i])->need > witness_room(h->held)) return true;
+    if (((Draw *)h->draws->pdata[i])->need > witness_room(h->home_grant)) return true;
   return false;
 }
 
 /* The grant gets another witness: it agrees to what was given out so far, then
    the document names it. Until then nothing beyond the old limit is given. */
 static void move_witness(Ledger *l, HomeBudget *h) {
-  Held *g = h->held;
+  HomeGrant *g = h->home_grant;
   char next[LIMIT_ID];
-  witness_pick(l, g->id, g->silent, next);
+  witness_choose(l, g->id, g->unresponsive, next);
   if (strcmp(next, g->witness) == 0) return;
   if (!next[0]) {
     /* Nobody is left: bound by the last limit, unless the store can take this
        grant back for one without a witness. */
     bool down = shard_of(l, h)->down_since > 0;
-    if (!down && needs_room(h)) home_freeze(l, h);
+    if (!down && needs_room(h)) home_freeze_grant(l, h);
     return;
   }
-  if (!g->witness[0]) g->limit = g->given;
-  g->limit = MAX(g->limit, g->given);
-  g->limit_asked = g->limit;
-  g->moving = true;
-  g->moved = false;
-  g_strlcpy(g->moving_to, next, sizeof g->moving_to);
+  if (!g->witness[0]) g->limit = g->allotted;
+  g->limit = MAX(g->limit, g->allotted);
+  g->limit_requested = g->limit;
+  g->is_moving = true;
+  g->next_has_agreed = false;
+  g_strlcpy(g->next_witness, next, sizeof g->next_witness);
   send_raise(l, h, next);
 }
 
-void witness_raised(Ledger *l, const char *from, const LedgerMsg *m) {
-  HomeBudget *h = g_hash_table_lookup(l->homes, m->budget);
-  Held *g = h ? h->held : NULL;
+void witness_on_raise_ack(Ledger *l, const char *from, const LedgerMsg *m) {
+  HomeBudget *h = g_hash_table_lookup(l->home_budgets, m->budget);
+  HomeGrant *g = h ? h->home_grant : NULL;
   if (!g || g->id != m->grant) return;
-  bool asked = strcmp(from, g->moving ? g->moving_to : g->witness) == 0;
+  bool asked = strcmp(from, g->is_moving ? g->next_witness : g->witness) == 0;
   if (!asked) return;
-  g->unanswered = 0;
+  g->unanswered_since = 0;
   if (m->sealed) { /* somebody took us for gone: this grant is over */
-    shard_of(l, h)->reread = true;
-    home_freeze(l, h);
+    shard_of(l, h)->must_reread = true;
+    home_freeze_grant(l, h);
     return;
   }
-  if (g->moving) {
+  if (g->is_moving) {
     if (m->limit < g->limit) return;
-    g->moved = true;
+    g->next_has_agreed = true;
     touch(l, h);
     return;
   }
-  if (m->limit > g->limit) g->limit = MIN(m->limit, g->limit_asked);
-  home_pump(l, h);
+  if (m->limit > g->limit) g->limit = MIN(m->limit, g->limit_requested);
+  home_serve_draws(l, h);
 }
 
-void witness_sealed(Ledger *l, const char *from, const LedgerMsg *m) {
-  HomeBudget *h = g_hash_table_lookup(l->homes, m->budget);
+void witness_on_seal_ack(Ledger *l, const char *from, const LedgerMsg *m) {
+  HomeBudget *h = g_hash_table_lookup(l->home_budgets, m->budget);
   for (guint i = 0; h && i < h->seals->len; i++) {
-    Seal *s = h->seals->pdata[i];
+    PendingSeal *s = h->seals->pdata[i];
     if (s->grant != m->grant || strcmp(s->witness, from) != 0) continue;
-    s->have = true;
+    s->is_answered = true;
     s->limit = m->limit;
-    s->back = m->returned;
+    s->returned_to_home = m->returned;
     touch(l, h);
   }
 }
@@ -172,15 +172,15 @@
 /* == time == */
 
 void witness_tick(Ledger *l, HomeBudget *h) {
-  Held *g = h->held;
-  if (g->moving) {
-    const Member *m = view_find(l->view, g->moving_to);
-    bool lost = !g->moved && (!m || is_silent(l, g, g->moving_to));
+  HomeGrant *g = h->home_grant;
+  if (g->is_moving) {
+    const Member *m = view_find(l->view, g->next_witness);
+    bool lost = !g->next_has_agreed && (!m || is_silent(l, g, g->next_witness));
     if (lost) {
-      g->moving = false;
+      g->is_moving = false;
       move_witness(l, h);
-    } else if (!g->moved && l->now - g->raise_sent >= LEDGER_RESEND) {
-      send_raise(l, h, g->moving_to);
+    } else if (!g->next_has_agreed && l->now - g->raise_sent_at >= LEDGER_RESEND) {
+      send_raise(l, h, g->next_witness);
     }
     return;
   }
@@ -188,16 +188,16 @@
   bool silent = m && is_silent(l, g, g->witness);
   if (!g->stored && g->limit == 0 && (!m || silent)) {
     /* No document names it yet: choose freely. */
-    witness_pick(l, g->id, g->silent, g->witness);
-    g->limit_asked = 0; /* the next draw asks the new one */
+    witness_choose(l, g->id, g->unresponsive, g->witness);
+    g->limit_requested = 0; /* the next draw asks the new one */
     return;
   }
   if (g->stored && (!m || m->leaving || silent)) {
     move_witness(l, h);
-    if (g->moving) return;
+    if (g->is_moving) return;
   }
   if (!g->witness[0]) return;
-  bool open = g->limit_asked > g->limit;
-  if (open && l->now - g->raise_sent >= LEDGER_RESEND)
+  bool open = g->limit_requested > g->limit;
+  if (open && l->now - g->raise_sent_at >= LEDGER_RESEND)
     send_raise(l, h, g->witness);
 }
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -127,7 +127,7 @@
     const ConfCustomer *u = c->customers->pdata[i];
     LedgerBudget row = {.total = u->budget,
                         .version = c->version,
-                        .reserve_s = number("lay-up")};
+                        .outage_reserve_s = number("lay-up")};
     if (u->budget == CONF_UNLIMITED) continue;
     g_strlcpy(row.name, u->name, sizeof row.name);
     g_array_append_val(rows, row);
--- a/packages/peer/decode.c
+++ b/packages/peer/decode.c
@@ -98,7 +98,7 @@
 }
 
 static void get_ledger(Reader *r, LedgerMsg *m) {
-  m->kind = (LedgerKind)get_small(r, LEDGER_KINDS);
+  m->kind = (LedgerKind)get_small(r, LEDGER_KIND_COUNT);
   get_str(r, m->budget, sizeof m->budget);
   m->grant = get_u64(r);
   m->granted = get_i64(r);
--- a/scenario/store.c
+++ b/scenario/store.c
@@ -135,7 +135,7 @@
   const char *text = e->put ? NULL : e->text;
   switch (e->owner) {
   case CALL_LEDGER:
-    ledger_stored(n->ledger, w->now, e->shard, e->result, e->version, text);
+    ledger_store_result(n->ledger, w->now, e->shard, e->result, e->version, text);
     break;
   case CALL_ONCE:
     once_stored(n->once, w->now, e->shard, e->part, e->result, e->version,
--- a/scenario/world.c
+++ b/scenario/world.c
@@ -128,17 +128,17 @@
 static void ledger_actions(World *w, int node) {
   LedgerAction a;
   char name[LIMIT_NAME];
-  while (ledger_next(w->nodes[node].ledger, &a)) {
-    shard_name(a.shard, name);
-    switch (a.what) {
-    case LEDGER_DO_SEND: post(w, node, a.to, EV_LEDGER, &a.msg, NULL); break;
-    case LEDGER_DO_GET:
+  while (ledger_next_action(w->nodes[node].ledger, &a)) {
+    shard_object_name(a.shard, name);
+    switch (a.action) {
+    case LEDGER_ACTION_SEND: post(w, node, a.to, EV_LEDGER, &a.msg, NULL); break;
+    case LEDGER_ACTION_GET:
       store_call(w, node, CALL_LEDGER, name, false, a.shard, 0, NULL);
       break;
-    case LEDGER_DO_PUT:
+    case LEDGER_ACTION_PUT:
       store_call(w, node, CALL_LEDGER, name, true, a.shard, a.version, a.text);
       break;
-    case LEDGER_DO_ANSWER: requests_reserved(w, node, &a); break;
+    case LEDGER_ACTION_ANSWER: requests_reserved(w, node, &a); break;
     }
   }
 }
@@ -193,7 +193,7 @@
   Node *n = &w->nodes[node];
   member_self(n->members, n->draining, 1);
   View *v = member_view(n->members, w->now);
-  ledger_view(n->ledger, w->now, v);
+  ledger_set_view(n->ledger, w->now, v);
   once_view(n->once, w->now, v);
   view_free(v);
 }
@@ -329,11 +329,11 @@
   uint32_t seed = g_rand_int(w->rng);
   n->ledger = ledger_new(n->id, n->region, seed);
   n->once = once_new(n->id, n->region, seed + 1);
-  ledger_faults(n->ledger, w->faults.ledger);
+  ledger_set_faults(n->ledger, w->faults.ledger);
   once_faults(n->once, w->faults.once);
   once_claim_sizes(n->once, CLAIM_SEAL_HERE, CLAIM_MERGE_HERE);
   take_view(w, i);
-  ledger_budgets(n->ledger, w->now, (LedgerBudget *)(void *)w->rows->data,
+  ledger_set_budgets(n->ledger, w->now, (LedgerBudget *)(void *)w->rows->data,
                  (int)w->rows->len);
   double start = w->now + world_chance(w) * TICK_S;
   world_schedule(w, world_event(w, EV_TICK, i, start));
@@ -366,12 +366,12 @@
     LedgerBudget *row = &g_array_index(w->rows, LedgerBudget, i);
     if (strcmp(row->name, name) != 0) continue;
     row->total = total;
-    row->reserve_s = reserve_s;
+    row->outage_reserve_s = reserve_s;
     row->version++;
   }
   for (int i = 0; i < w->n; i++) {
     if (!w->nodes[i].up) continue;
-    ledger_budgets(w->nodes[i].ledger, w->now,
+    ledger_set_budgets(w->nodes[i].ledger, w->now,
                    (LedgerBudget *)(void *)w->rows->data, (int)w->rows->len);
     world_after(w, i);
   }
@@ -447,7 +447,7 @@
 
 bool world_drained(World *w, int node) {
   const Node *n = &w->nodes[node];
-  return ledger_drained(n->ledger) && once_drained(n->once);
+  return ledger_is_drained(n->ledger) && once_drained(n->once);
 }
 
 /* == requests and what is seen == */
@@ -507,31 +507,31 @@
 
 static Shard *stored(const World *w, const char *name) {
   char object_name[LIMIT_NAME];
-  shard_name(shard_index(name), object_name);
+  shard_object_name(shard_index(name), object_name);
   const Object *o = g_hash_table_lookup(w->objects, object_name);
   return o ? shard_decode(o->text) : shard_new();
 }
 
 int64_t world_free_tokens(const World *w, const char *name) {
   Shard *s = stored(w, name);
-  int64_t n = shard_remaining(shard_budget_add(s, name));
+  int64_t n = shard_budget_remaining(shard_ensure_budget(s, name));
   shard_free(s);
   return n;
 }
 
 int64_t world_spent(const World *w, const char *name) {
   Shard *s = stored(w, name);
-  int64_t n = shard_spent(shard_budget_add(s, name));
+  int64_t n = shard_budget_spent(shard_ensure_budget(s, name));
   shard_free(s);
   return n;
 }
 
 int64_t world_held(const World *w, const char *name) {
   Shard *s = stored(w, name);
-  const ShardBudget *b = shard_budget_add(s, name);
+  const ShardBudget *b = shard_ensure_budget(s, name);
   int64_t n = 0;
   for (guint i = 0; i < b->grants->len; i++)
-    n += shard_outstanding(b->grants->pdata[i]);
+    n += shard_grant_outstanding(b->grants->pdata[i]);
   shard_free(s);
   return n;
 }
@@ -553,7 +553,7 @@
     const Node *n = &w->nodes[i];
     if (n->up && n->draining && !world_drained(w, i))
       world_broke(w, "the planned stop of %s does not end: %s%s", n->id,
-                  ledger_drained(n->ledger) ? "" : "tokens ",
+                  ledger_is_drained(n->ledger) ? "" : "tokens ",
                   once_drained(n->once) ? "" : "records");
   }
   GHashTableIter it;
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -379,7 +379,7 @@
     CodecMsg m;
     if (codec_get_head(b.data, len, &off, &got)) {
       while (off < len && codec_get(b.data, len, &off, &m)) {
-        if (m.type == CODEC_LEDGER) cr_assert_lt(m.ledger.kind, LEDGER_KINDS);
+        if (m.type == CODEC_LEDGER) cr_assert_lt(m.ledger.kind, LEDGER_KIND_COUNT);
         if (m.type == CODEC_ONCE) cr_assert_lt(m.once.kind, ONCE_KINDS);
         once_message_clear(&m.once);
       }
--- a/tests/test_holder.c
+++ b/tests/test_holder.c
@@ -18,12 +18,12 @@
 
 static void take_actions(void) {
   LedgerAction a;
-  while (ledger_next(ledger, &a)) {
-    if (a.what == LEDGER_DO_SEND && a.msg.kind == LEDGER_DRAW) {
+  while (ledger_next_action(ledger, &a)) {
+    if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_DRAW) {
       g_strlcpy(asked, a.to, sizeof asked);
       draws++;
     }
-    if (a.what == LEDGER_DO_ANSWER) answer = a.cause;
+    if (a.action == LEDGER_ACTION_ANSWER) answer = a.cause;
     g_free(a.text);
   }
 }
@@ -39,8 +39,8 @@
   g_free(list);
   LedgerBudget row = {.name = BUDGET, .total = 100000, .version = 1};
   ledger = ledger_new("self.1", "r", 1);
-  ledger_view(ledger, 1, v);
-  ledger_budgets(ledger, 1, &row, 1);
+  ledger_set_view(ledger, 1, v);
+  ledger_set_budgets(ledger, 1, &row, 1);
   view_free(v);
   answer = ERR_COUNT;
   draws = 0;
@@ -181,7 +181,7 @@
 Test(holder, no_other_home_is_asked_while_the_store_answers_nobody) {
   char first[LIMIT_ID];
   start();
-  ledger_away(ledger, 1, true);
+  ledger_set_store_down(ledger, 1, true);
   reserve(1, 1);
   g_strlcpy(first, asked, sizeof first);
   say(1.01, first, ERR_BUDGET_STORE);
@@ -197,10 +197,10 @@
 /* A home that gives what is asked for, and takes back what comes. */
 static void serve_draws(double now) {
   LedgerAction a;
-  while (ledger_next(ledger, &a)) {
+  while (ledger_next_action(ledger, &a)) {
     LedgerMsg m = {.kind = LEDGER_ALLOT, .budget = BUDGET, .grant = 7};
     g_free(a.text);
-    if (a.what != LEDGER_DO_SEND) continue;
+    if (a.action != LEDGER_ACTION_SEND) continue;
     if (a.msg.kind == LEDGER_REPORT) returned = a.msg.returned;
     if (a.msg.kind != LEDGER_DRAW) continue;
     m.granted = granted += a.msg.want;
--- a/tests/test_home.c
+++ b/tests/test_home.c
@@ -33,25 +33,25 @@
 /* The store answers at once, the witness agrees to everything. */
 static void take_actions(double now) {
   LedgerAction a;
-  while (ledger_next(ledger, &a)) {
-    bool put = a.what == LEDGER_DO_PUT, get = a.what == LEDGER_DO_GET;
+  while (ledger_next_action(ledger, &a)) {
+    bool put = a.action == LEDGER_ACTION_PUT, get = a.action == LEDGER_ACTION_GET;
     calls += put || get;
     if (put && !silent) {
       g_free(stored);
       stored = g_strdup(a.text);
-      ledger_stored(ledger, now, a.shard, ERR_NONE, ++version, NULL);
+      ledger_store_result(ledger, now, a.shard, ERR_NONE, ++version, NULL);
     }
     if (get && !silent)
-      ledger_stored(ledger, now, a.shard, stored ? ERR_NONE : ERR_STORE_ABSENT,
+      ledger_store_result(ledger, now, a.shard, stored ? ERR_NONE : ERR_STORE_ABSENT,
                     version, stored);
-    if (a.what == LEDGER_DO_SEND && a.msg.kind == LEDGER_ALLOT) {
+    if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_ALLOT) {
       given = MAX(given, a.msg.granted);
       grant = a.msg.grant;
       cause = a.msg.cause;
     }
-    if (a.what == LEDGER_DO_SEND && a.msg.kind == LEDGER_RAISE) {
+    if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_RAISE) {
       LedgerMsg yes = a.msg;
-      yes.kind = LEDGER_RAISED;
+      yes.kind = LEDGER_RAISE_ACK;
       ledger_receive(ledger, now, a.to, &yes);
     }
     g_free(a.text);
@@ -62,17 +62,17 @@
 static void find_home(const View *v, const LedgerBudget *row) {
   Ledger *asker = ledger_new("asker.1", "r", 1);
   LedgerAction a;
-  ledger_view(asker, 1, v);
-  ledger_budgets(asker, 1, row, 1);
+  ledger_set_view(asker, 1, v);
+  ledger_set_budgets(asker, 1, row, 1);
   ledger_reserve(asker, 1, 1, BUDGET, 1);
-  while (ledger_next(asker, &a))
-    if (a.what == LEDGER_DO_SEND) g_strlcpy(self, a.to, sizeof self);
+  while (ledger_next_action(asker, &a))
+    if (a.action == LEDGER_ACTION_SEND) g_strlcpy(self, a.to, sizeof self);
   ledger_free(asker);
 }
 
 static void start(int64_t total) {
   LedgerBudget row = {
-      .name = BUDGET, .total = total, .version = 1, .reserve_s = 9};
+      .name = BUDGET, .total = total, .version = 1, .outage_reserve_s = 9};
   View *v = members();
   find_home(v, &row);
   ledger = ledger_new(self, "r", 1);
@@ -82,8 +82,8 @@
   given = 0;
   grant = 0;
   g_clear_pointer(&stored, g_free);
-  ledger_view(ledger, 1, v);
-  ledger_budgets(ledger, 1, &row, 1);
+  ledger_set_view(ledger, 1, v);
+  ledger_set_budgets(ledger, 1, &row, 1);
   view_free(v);
 }
 
@@ -136,7 +136,7 @@
 Test(home, a_store_that_answers_nobody_is_not_called) {
   start(100 * 1000 * 1000);
   double now = demand(1, 10);
-  ledger_away(ledger, now, true);
+  ledger_set_store_down(ledger, now, true);
   silent = true;
   calls = 0;
   now = demand(now, 8);
@@ -148,7 +148,7 @@
   cr_assert_eq(cause, ERR_BUDGET_STORE);
   cr_assert_eq(calls, 0, "%d calls", calls);
   silent = false;
-  ledger_away(ledger, now + 1, false);
+  ledger_set_store_down(ledger, now + 1, false);
   ledger_tick(ledger, now + 1.3, 1000);
   take_actions(now + 1.3);
   cr_assert_gt(calls, 0, "it is back");
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -27,21 +27,21 @@
 
 static void look(const char *a, const char *b) {
   View *v = view_of(a, b);
-  ledger_view(ledger, 1, v);
+  ledger_set_view(ledger, 1, v);
   view_free(v);
 }
 
 static void take_actions(void) {
   LedgerAction a;
-  while (ledger_next(ledger, &a)) {
-    allots += a.what == LEDGER_DO_SEND && a.msg.kind == LEDGER_ALLOT &&
+  while (ledger_next_action(ledger, &a)) {
+    allots += a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_ALLOT &&
               a.msg.granted > 0;
-    if (a.what == LEDGER_DO_SEND && a.msg.kind == LEDGER_RAISE) {
+    if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_RAISE) {
       raises++;
       g_strlcpy(raised_to, a.to, sizeof raised_to);
     }
-    if (a.what == LEDGER_DO_GET) last.shard = a.shard;
-    if (a.what != LEDGER_DO_PUT) continue;
+    if (a.action == LEDGER_ACTION_GET) last.shard = a.shard;
+    if (a.action != LEDGER_ACTION_PUT) continue;
     g_free(last.text);
     last = a;
   }
@@ -51,7 +51,7 @@
   ledger = ledger_new("self.1", "r", 1);
   LedgerBudget row = {.name = BUDGET, .total = 100000, .version = 1};
   look("self.1", "w1.1");
-  ledger_budgets(ledger, 1, &row, 1);
+  ledger_set_budgets(ledger, 1, &row, 1);
   LedgerMsg draw = {
       .kind = LEDGER_DRAW, .budget = BUDGET, .need = 100, .want = 100};
   ledger_receive(ledger, 1, "holder.1", &draw);
@@ -64,29 +64,29 @@
    name. */
 Test(ledger, a_witness_that_goes_during_the_first_update) {
   start();
-  ledger_stored(ledger, 1, last.shard, ERR_STORE_ABSENT, 0, NULL);
+  ledger_store_result(ledger, 1, last.shard, ERR_STORE_ABSENT, 0, NULL);
   take_actions();
   cr_assert_not_null(last.text);
   cr_assert_not_null(strstr(last.text, "\"w1.1\""));
   look("self.1", "w2.1");
   ledger_tick(ledger, 1.1, 1000);
   take_actions();
-  ledger_stored(ledger, 1.2, last.shard, ERR_NONE, 1, NULL);
+  ledger_store_result(ledger, 1.2, last.shard, ERR_NONE, 1, NULL);
   take_actions();
   ledger_tick(ledger, 1.3, 1000);
   take_actions();
   /* Whoever was asked agrees to anything. */
   cr_assert_str_eq(raised_to, "w2.1");
-  LedgerMsg yes = {.kind = LEDGER_RAISED, .budget = BUDGET, .limit = 1 << 20};
+  LedgerMsg yes = {.kind = LEDGER_RAISE_ACK, .budget = BUDGET, .limit = 1 << 20};
   Shard *doc = shard_decode(last.text);
-  const ShardBudget *b = shard_budget(doc, BUDGET);
+  const ShardBudget *b = shard_find_budget(doc, BUDGET);
   yes.grant = ((ShardGrant *)b->grants->pdata[0])->id;
   shard_free(doc);
   ledger_receive(ledger, 1.4, "w2.1", &yes);
   take_actions();
   cr_assert_eq(allots, 0, "given out before the document names w2");
   cr_assert_not_null(strstr(last.text, "\"w2.1\""), "%s", last.text);
-  ledger_stored(ledger, 1.5, last.shard, ERR_NONE, 2, NULL);
+  ledger_store_result(ledger, 1.5, last.shard, ERR_NONE, 2, NULL);
   take_actions();
   ledger_tick(ledger, 1.9, 1000);
   take_actions();
@@ -110,19 +110,19 @@
 static int serve_store(double now) {
   LedgerAction a;
   int puts = 0;
-  while (ledger_next(ledger, &a)) {
-    if (a.what == LEDGER_DO_SEND && a.msg.kind == LEDGER_ALLOT)
+  while (ledger_next_action(ledger, &a)) {
+    if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_ALLOT)
       for (int i = 0; i < BUDGETS; i++)
         if (strcmp(names[i], a.msg.budget) == 0) grants[i] = a.msg.grant;
-    if (a.what == LEDGER_DO_GET)
-      ledger_stored(ledger, now, a.shard,
+    if (a.action == LEDGER_ACTION_GET)
+      ledger_store_result(ledger, now, a.shard,
                     texts[a.shard] ? ERR_NONE : ERR_STORE_ABSENT,
                     versions[a.shard], texts[a.shard]);
-    if (a.what != LEDGER_DO_PUT) continue;
+    if (a.action != LEDGER_ACTION_PUT) continue;
     puts++;
     g_free(texts[a.shard]);
     texts[a.shard] = a.text;
-    ledger_stored(ledger, now, a.shard, ERR_NONE, ++versions[a.shard], NULL);
+    ledger_store_result(ledger, now, a.shard, ERR_NONE, ++versions[a.shard], NULL);
   }
   return puts;
 }
@@ -150,7 +150,7 @@
     snprintf(list[i].region, LIMIT_NAME, "r%d", i);
   }
   View *v = view_new(list, REGIONS);
-  ledger_view(ledger, 1, v);
+  ledger_set_view(ledger, 1, v);
   view_free(v);
 }
 
@@ -160,10 +160,10 @@
   LedgerBudget rows[BUDGETS] = {0};
   int64_t spent = 0;
   ledger = ledger_new("self.1", "r0", 1);
-  ledger_lanes(ledger, LANES);
+  ledger_set_lanes(ledger, LANES);
   look_at_regions();
   name_budgets(rows);
-  ledger_budgets(ledger, 1, rows, BUDGETS);
+  ledger_set_budgets(ledger, 1, rows, BUDGETS);
   for (int i = 0; i < BUDGETS; i++) {
     LedgerMsg draw = {.kind = LEDGER_DRAW, .need = 10000, .want = 10000};
     g_strlcpy(draw.budget, names[i], LIMIT_NAME);
--- a/tests/test_layup.c
+++ b/tests/test_outage.c
@@ -22,29 +22,29 @@
 /* The store answers at once, the witness agrees to everything. */
 static void take_actions(double now) {
   LedgerAction a;
-  while (ledger_next(ledger, &a)) {
-    bool call = a.what == LEDGER_DO_GET || a.what == LEDGER_DO_PUT;
+  while (ledger_next_action(ledger, &a)) {
+    bool call = a.action == LEDGER_ACTION_GET || a.action == LEDGER_ACTION_PUT;
     if (call && away) {
       g_free(a.text);
-      ledger_stored(ledger, now, a.shard, ERR_STORE_DOWN, 0, NULL);
+      ledger_store_result(ledger, now, a.shard, ERR_STORE_DOWN, 0, NULL);
       continue;
     }
-    if (a.what == LEDGER_DO_GET && !stored)
-      ledger_stored(ledger, now, a.shard, ERR_STORE_ABSENT, 0, NULL);
-    if (a.what == LEDGER_DO_GET && stored)
-      ledger_stored(ledger, now, a.shard, ERR_NONE, version, stored);
-    if (a.what == LEDGER_DO_PUT) {
+    if (a.action == LEDGER_ACTION_GET && !stored)
+      ledger_store_result(ledger, now, a.shard, ERR_STORE_ABSENT, 0, NULL);
+    if (a.action == LEDGER_ACTION_GET && stored)
+      ledger_store_result(ledger, now, a.shard, ERR_NONE, version, stored);
+    if (a.action == LEDGER_ACTION_PUT) {
       g_free(stored);
       stored = g_strdup(a.text);
-      ledger_stored(ledger, now, a.shard, ERR_NONE, ++version, NULL);
+      ledger_store_result(ledger, now, a.shard, ERR_NONE, ++version, NULL);
     }
-    if (a.what == LEDGER_DO_SEND && a.msg.kind == LEDGER_ALLOT) {
+    if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_ALLOT) {
       given = MAX(given, a.msg.granted);
       grant = a.msg.grant;
     }
-    if (a.what == LEDGER_DO_SEND && a.msg.kind == LEDGER_RAISE) {
+    if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_RAISE) {
       LedgerMsg yes = a.msg;
-      yes.kind = LEDGER_RAISED;
+      yes.kind = LEDGER_RAISE_ACK;
       ledger_receive(ledger, now, a.to, &yes);
     }
     g_free(a.text);
@@ -55,7 +55,7 @@
   Member list[2] = {{.id = "self.1", .region = "r"},
                     {.id = "w.1", .region = "r"}};
   LedgerBudget row = {
-      .name = BUDGET, .total = total, .version = 1, .reserve_s = LAY_UP};
+      .name = BUDGET, .total = total, .version = 1, .outage_reserve_s = LAY_UP};
   ledger = ledger_new("self.1", "r", 1);
   version = 0;
   g_clear_pointer(&stored, g_free);
@@ -63,8 +63,8 @@
   given = 0;
   grant = 0;
   View *v = view_new(list, 2);
-  ledger_view(ledger, 1, v);
-  ledger_budgets(ledger, 1, &row, 1);
+  ledger_set_view(ledger, 1, v);
+  ledger_set_budgets(ledger, 1, &row, 1);
   view_free(v);
 }
 
@@ -87,7 +87,7 @@
 }
 
 static double held_s(void) {
-  return (double)ledger_sums(ledger).home_free / (DRAW / EVERY);
+  return (double)ledger_sums(ledger).home_free_tokens / (DRAW / EVERY);
 }
 
 /* In the first seconds of a budget a mean over minutes was taken for a tenth of
@@ -107,8 +107,8 @@
   demand(1, 36);
   LedgerSums s = ledger_sums(ledger);
   cr_assert_gt(given, total * 8 / 10, "%ld were given out", (long)given);
-  cr_assert_leq(s.home_free, total * 4 / 100, "%ld are held",
-                (long)s.home_free);
+  cr_assert_leq(s.home_free_tokens, total * 4 / 100, "%ld are held",
+                (long)s.home_free_tokens);
   ledger_free(ledger);
 }
 
--- a/tests/test_shard.c
+++ b/tests/test_shard.c
@@ -4,14 +4,14 @@
 #include "ledger/shard.h"
 
 static ShardGrant *grant(ShardBudget *b, uint64_t id, int64_t granted) {
-  ShardGrant *g = shard_grant_add(b, id, "home.1", "wit.1", "r");
+  ShardGrant *g = shard_add_grant(b, id, "home.1", "wit.1", "r");
   g->granted = granted;
   return g;
 }
 
 static ShardBudget *budget_of(int64_t total, Shard **s) {
   *s = shard_new();
-  ShardBudget *b = shard_budget_add(*s, "c/any");
+  ShardBudget *b = shard_ensure_budget(*s, "c/any");
   b->total = total;
   return b;
 }
@@ -20,7 +20,7 @@
   Shard *s;
   ShardBudget *b = budget_of(100, &s);
   grant(b, 1, 60);
-  cr_assert_eq(shard_remaining(b), 40);
+  cr_assert_eq(shard_budget_remaining(b), 40);
   shard_free(s);
 }
 
@@ -28,12 +28,12 @@
   Shard *s;
   ShardBudget *b = budget_of(100, &s);
   ShardGrant *g = grant(b, 1, 60);
-  shard_seal(g, 20, 0, false, 0);
-  cr_assert_eq(shard_remaining(b), 80);
-  shard_report(g, "i.1", 5, 7, false, 0);
-  cr_assert_eq(shard_remaining(b), 85);
-  shard_report(g, "i.1", 3, 2, false, 0); /* late: smaller counts */
-  cr_assert_eq(shard_remaining(b), 85);
+  shard_seal_grant(g, 20, 0, false, 0);
+  cr_assert_eq(shard_budget_remaining(b), 80);
+  shard_apply_report(g, "i.1", 5, 7, false, 0);
+  cr_assert_eq(shard_budget_remaining(b), 85);
+  shard_apply_report(g, "i.1", 3, 2, false, 0); /* late: smaller counts */
+  cr_assert_eq(shard_budget_remaining(b), 85);
   shard_free(s);
 }
 
@@ -41,12 +41,12 @@
   Shard *s;
   ShardBudget *b = budget_of(100, &s);
   ShardGrant *g = grant(b, 1, 60);
-  shard_seal(g, 50, 12, false, 0);
-  cr_assert_eq(shard_outstanding(g), 38);
-  shard_report(g, "i.1", 10, 0, false, 0); /* part of the twelve */
-  cr_assert_eq(shard_outstanding(g), 38);
-  shard_report(g, "i.2", 10, 0, false, 0);
-  cr_assert_eq(shard_outstanding(g), 30);
+  shard_seal_grant(g, 50, 12, false, 0);
+  cr_assert_eq(shard_grant_outstanding(g), 38);
+  shard_apply_report(g, "i.1", 10, 0, false, 0); /* part of the twelve */
+  cr_assert_eq(shard_grant_outstanding(g), 38);
+  shard_apply_report(g, "i.2", 10, 0, false, 0);
+  cr_assert_eq(shard_grant_outstanding(g), 30);
   shard_free(s);
 }
 
@@ -54,14 +54,14 @@
   Shard *s;
   ShardBudget *b = budget_of(100, &s);
   ShardGrant *g = grant(b, 1, 60);
-  shard_seal(g, 30, 0, true, 0);
-  shard_report(g, "i.1", 10, 20, false, 0);
-  cr_assert_not(shard_fold(b, g, 1), "the holder may still spend");
-  shard_report(g, "i.1", 10, 20, true, 0);
-  cr_assert(shard_fold(b, g, 1));
-  cr_assert_eq(b->closed, 20);
-  cr_assert_eq(b->retired, 0);
-  cr_assert_eq(shard_remaining(b), 80);
+  shard_seal_grant(g, 30, 0, true, 0);
+  shard_apply_report(g, "i.1", 10, 20, false, 0);
+  cr_assert_not(shard_remove_settled(b, g, 1), "the holder may still spend");
+  shard_apply_report(g, "i.1", 10, 20, true, 0);
+  cr_assert(shard_remove_settled(b, g, 1));
+  cr_assert_eq(b->closed_spent, 20);
+  cr_assert_eq(b->written_off, 0);
+  cr_assert_eq(shard_budget_remaining(b), 80);
   shard_free(s);
 }
 
@@ -69,25 +69,25 @@
   Shard *s;
   ShardBudget *b = budget_of(100, &s);
   ShardGrant *g = grant(b, 1, 60);
-  shard_seal(g, 30, 0, false, 1000);
-  shard_report(g, "i.1", 0, 20, true, 1000);
-  cr_assert_not(shard_fold(b, g, 1000 + 86399));
-  cr_assert(shard_fold(b, g, 1000 + 86400));
-  cr_assert_eq(b->closed, 20);
-  cr_assert_eq(b->retired, 10);
+  shard_seal_grant(g, 30, 0, false, 1000);
+  shard_apply_report(g, "i.1", 0, 20, true, 1000);
+  cr_assert_not(shard_remove_settled(b, g, 1000 + 86399));
+  cr_assert(shard_remove_settled(b, g, 1000 + 86400));
+  cr_assert_eq(b->closed_spent, 20);
+  cr_assert_eq(b->written_off, 10);
   shard_free(s);
 }
 
 Test(shard, json_keeps_everything) {
   Shard *s = shard_new();
-  ShardBudget *b = shard_budget_add(s, "c/\"odd\" name");
+  ShardBudget *b = shard_ensure_budget(s, "c/\"odd\" name");
   b->total = 1LL << 50;
-  b->tv = 7;
+  b->table_version = 7;
   ShardGrant *g = grant(b, 0xfedcba9876543210u, 60);
   g->returned = 5;
-  shard_report(grant(b, 2, 9), "i.2", 4, 5, false, 77);
-  shard_seal(g, 30, 0, true, 77);
-  shard_report(g, "i.1", 1, 2, true, 77);
+  shard_apply_report(grant(b, 2, 9), "i.2", 4, 5, false, 77);
+  shard_seal_grant(g, 30, 0, true, 77);
+  shard_apply_report(g, "i.1", 1, 2, true, 77);
   char *text = shard_encode(s);
   Shard *t = shard_decode(text);
   cr_assert_not_null(t);
