--- a/packages/ledger/holder.c
+++ b/packages/ledger/holder.c
@@ -42,7 +42,7 @@
   m.final = a->closing && a->reserved == 0 && free_of(a) <= 0;
   a->reported_at = l->now;
   if (view_find(l->view, a->home)) ledger_send(l, a->home, &m);
-  const char *taker = ledger_caretaker(l, p->shard);
+  const char *taker = ledger_report_recipient(l, p->shard);
   if (strcmp(taker, a->home) != 0) ledger_send(l, taker, &m);
 }
 
@@ -125,7 +125,7 @@
   if (!a || free_of(a) < amount) return false;
   a->reserved += amount;
   Reservation *r = g_new0(Reservation, 1);
-  *r = (Reservation){.purse = p, .account = a, .amount = amount};
+  *r = (Reservation){.budget = p, .account = a, .amount = amount};
   g_hash_table_insert(l->reservations, g_memdup2(&handle, sizeof handle), r);
   p->typical_tokens = amount;
   p->needs_tick = true;
@@ -161,7 +161,8 @@
 /* Asks a home for tokens. After two tries without an answer the next choice is
    asked, which acts as a home just as well. */
 static void ask(Ledger *l, HolderBudget *p) {
-  if (p->draw_sent_at == 0 && l->now - p->first_choice_at > FIRST_AGAIN) p->draw_tries = 0;
+  if (p->draw_sent_at == 0 && l->now - p->first_choice_at > FIRST_AGAIN)
+    p->draw_tries = 0;
   if (p->draw_tries == 0) p->first_choice_at = l->now;
   const Member *home = ledger_home(l, p->shard, p->draw_tries / 2);
   if (!home) {
@@ -196,7 +197,8 @@
    choice. A home that spoke just now is busy, not gone: others that step in
    for it would only race it for the store. */
 static double patience(const Ledger *l, const HolderBudget *p) {
-  bool spoke = p->draw_answered_at > 0 && l->now - p->draw_answered_at < HOME_SPOKE;
+  bool spoke =
+      p->draw_answered_at > 0 && l->now - p->draw_answered_at < HOME_SPOKE;
   return spoke ? LEDGER_RESEND : LEDGER_REDRAW;
 }
 
@@ -218,7 +220,8 @@
   *w = (Waiter){handle, amount, l->now + LEDGER_DRAW_WAIT, ERR_BUDGET_CUT};
   g_queue_push_tail(&p->waiters, w);
   g_hash_table_insert(l->waiting, g_memdup2(&handle, sizeof handle), p);
-  if (p->draw_sent_at == 0 || l->now - p->draw_sent_at >= patience(l, p)) ask(l, p);
+  if (p->draw_sent_at == 0 || l->now - p->draw_sent_at >= patience(l, p))
+    ask(l, p);
 }
 
 static GList *waiter_link(HolderBudget *p, uint64_t handle) {
@@ -237,7 +240,7 @@
   Reservation *r = g_hash_table_lookup(l->reservations, &handle);
   if (!r) return; /* settled before: each request is settled once */
   Account *a = r->account;
-  HolderBudget *p = r->purse;
+  HolderBudget *p = r->budget;
   a->reserved -= r->amount;
   a->spent += used;
   if (l->faults.settle_twice) a->reserved -= r->amount;
@@ -352,7 +355,8 @@
     p->needs_tick |= a->closing;
     if (a->closing) give_back(l, p, a, free_of(a));
     int64_t keep = laid_out(l, p);
-    int64_t idle = keep ? p->typical_tokens + (int64_t)(p->demand_per_s * LEDGER_IDLE) : 0;
+    int64_t idle =
+        keep ? p->typical_tokens + (int64_t)(p->demand_per_s * LEDGER_IDLE) : 0;
     /* A budget seldom asked for: one report for spent and returned together. */
     bool soon = p->demand_per_s < 1 && a->reserved > 0;
     if (!a->closing && !soon && p->waiters.length == 0 && free_of(a) > idle)
@@ -398,7 +402,8 @@
     p->ticked_at = l->now;
     tick_accounts(l, p);
     tick_waiters(l, p);
-    bool idle = p->accounts->len == 0 && !p->waiters.head && p->demand_per_s < 1;
+    bool idle =
+        p->accounts->len == 0 && !p->waiters.head && p->demand_per_s < 1;
     if (idle) g_hash_table_iter_remove(&it);
   }
 }
--- a/packages/ledger/home.c
+++ b/packages/ledger/home.c
@@ -47,7 +47,8 @@
 /* How much to draw now, when `remaining` tokens are left in the store. Beyond
    present need a region holds no more than its share of the rest, so that
    grants shrink as the budget does. */
-int64_t home_plan_draw(const Ledger *l, const HomeBudget *h, int64_t remaining) {
+int64_t home_plan_draw(const Ledger *l, const HomeBudget *h,
+                       int64_t remaining) {
   if (!h->home_grant || h->home_grant->frozen || remaining <= 0) return 0;
   int64_t have = home_free_tokens(h->home_grant);
   int64_t need = needs(h) - have;
@@ -128,7 +129,8 @@
 
 static void send_allot(Ledger *l, const HomeBudget *h, const char *holder,
                        int64_t granted, ErrKind cause) {
-  LedgerMsg m = ledger_make_msg(LEDGER_ALLOT, h->name, h->home_grant ? h->home_grant->id : 0);
+  LedgerMsg m = ledger_make_msg(LEDGER_ALLOT, h->name,
+                                h->home_grant ? h->home_grant->id : 0);
   m.granted = granted;
   m.cause = cause;
   ledger_send(l, holder, &m);
@@ -136,7 +138,7 @@
 
 static void give(Ledger *l, HomeBudget *h, const Draw *d, int64_t n) {
   HomeGrant *g = h->home_grant;
-  assert(n <= home_free_tokens(g) && n <= witness_room(g));
+  assert(n <= home_free_tokens(g) && n <= witness_headroom(g));
   HolderShare *s = share_of(g, d->holder, true);
   s->granted += n;
   g->allotted += n;
@@ -145,7 +147,8 @@
 }
 
 static void deny(Ledger *l, HomeBudget *h, const Draw *d, ErrKind cause) {
-  const HolderShare *s = h->home_grant ? share_of(h->home_grant, d->holder, false) : NULL;
+  const HolderShare *s =
+      h->home_grant ? share_of(h->home_grant, d->holder, false) : NULL;
   send_allot(l, h, d->holder, s ? s->granted : 0, cause);
 }
 
@@ -181,8 +184,10 @@
   ErrKind cause = down                   ? ERR_BUDGET_STORE
                   : h->unspent < d->need ? ERR_BUDGET_EMPTY
                                          : ERR_BUDGET_HELD;
-  if (late) return s->confirmed_at < d->received_at && !down ? ERR_BUDGET_STORE : cause;
-  if (!down && h->remaining > 0 && home_free_tokens(h->home_grant) + h->remaining >= d->need)
+  if (late)
+    return s->confirmed_at < d->received_at && !down ? ERR_BUDGET_STORE : cause;
+  if (!down && h->remaining > 0 &&
+      home_free_tokens(h->home_grant) + h->remaining >= d->need)
     return ERR_NONE; /* the next update of the store brings it */
   if (!down && s->confirmed_at < d->received_at - FRESH) {
     if (!s->call_pending) s->must_reread = true;
@@ -195,7 +200,8 @@
   }
   if (l->now - h->recalled_at < RECALL_WAIT) return ERR_NONE;
   if (!down && s->confirmed_at < h->recalled_at + RECALL_WAIT) {
-    if (!s->call_pending) s->must_reread = true; /* a last look at what came back */
+    if (!s->call_pending)
+      s->must_reread = true; /* a last look at what came back */
     return ERR_NONE;
   }
   return cause;
@@ -205,19 +211,19 @@
 static bool pump_draw(Ledger *l, HomeBudget *h, const Draw *d) {
   HomeGrant *g = h->home_grant;
   int64_t have = home_free_tokens(g);
-  if (d->need <= have && d->need <= witness_room(g)) {
+  if (d->need <= have && d->need <= witness_headroom(g)) {
     int64_t fair = have / GIVE_SHARE;
     int64_t n = CLAMP(d->want, d->need, MAX(d->need, fair));
-    n = MIN(n, witness_room(g));
+    n = MIN(n, witness_headroom(g));
     if (n > 0)
       give(l, h, d, n);
     else
       deny(l, h, d, ERR_NONE); /* nothing to spare, but we are here */
-    witness_request_room(l, h, 0);
+    witness_request_headroom(l, h, 0);
     return true;
   }
   if (d->need <= have) {
-    witness_request_room(l, h, d->need);
+    witness_request_headroom(l, h, d->need);
     return l->now >= d->deadline ? (deny(l, h, d, ERR_BUDGET_CUT), true)
                                  : false;
   }
@@ -250,7 +256,8 @@
 
 /* == messages == */
 
-static void take_counts(HomeGrant *g, HolderShare *s, int64_t returned, int64_t spent) {
+static void take_counts(HomeGrant *g, HolderShare *s, int64_t returned,
+                        int64_t spent) {
   int64_t back = returned - s->returned, more = spent - s->spent;
   if (back > 0) {
     s->returned += back;
@@ -262,7 +269,8 @@
   }
 }
 
-void home_apply_counts(HomeGrant *g, const char *holder, int64_t returned, int64_t spent) {
+void home_apply_counts(HomeGrant *g, const char *holder, int64_t returned,
+                       int64_t spent) {
   HolderShare *s = share_of(g, holder, false);
   if (s) take_counts(g, s, returned, spent);
 }
@@ -331,7 +339,7 @@
   bool mine = h && h->home_grant && h->home_grant->id == m->grant;
   if (!mine) {
     int shard = shard_index(m->budget);
-    bool ours = strcmp(ledger_caretaker(l, shard), l->self) == 0;
+    bool ours = strcmp(ledger_report_recipient(l, shard), l->self) == 0;
     if (ours || ledger_is_home(l, shard)) late_report(l, from, m);
     return;
   }
@@ -449,7 +457,8 @@
   bool other = ledger_home(l, shard, 0) && !ledger_is_home(l, shard) &&
                l->now - g->drawn_at >= LINGER;
   bool leaving = l->draining && holder_has_released(l, h->name, g->id);
-  if (!g->frozen && ((other && !l->draining) || leaving)) home_freeze_grant(l, h);
+  if (!g->frozen && ((other && !l->draining) || leaving))
+    home_freeze_grant(l, h);
   if (g->frozen) {
     touch(l, h);
     return;
@@ -502,8 +511,9 @@
     outage_tick(l, h, dt);
     if (h->home_grant) tick_held(l, h);
     ShardState *s = shard_of(l, h);
-    bool news = h->home_grant && (h->home_grant->spent > h->home_grant->stored_spent ||
-                            h->home_grant->returned > h->home_grant->stored_returned);
+    bool news = h->home_grant &&
+                (h->home_grant->spent > h->home_grant->stored_spent ||
+                 h->home_grant->returned > h->home_grant->stored_returned);
     if (news && l->now - s->written_at >= l->report_write_s) s->dirty = true;
     if (!idle(h) || s->call_pending) continue;
     g_ptr_array_remove(s->budgets, h);
--- a/packages/ledger/ledger.c
+++ b/packages/ledger/ledger.c
@@ -6,9 +6,9 @@
 
 /* == actions == */
 
-LedgerAction *ledger_add_action(Ledger *l, LedgerActionKind what) {
+LedgerAction *ledger_add_action(Ledger *l, LedgerActionKind kind) {
   LedgerAction *a = g_new0(LedgerAction, 1);
-  a->action = what;
+  a->action = kind;
   g_queue_push_tail(&l->actions, a);
   return a;
 }
@@ -30,7 +30,8 @@
   a->msg = *m;
 }
 
-void ledger_add_answer(Ledger *l, uint64_t handle, ErrKind cause, int retry_ms) {
+void ledger_add_answer(Ledger *l, uint64_t handle, ErrKind cause,
+                       int retry_ms) {
   LedgerAction *a = ledger_add_action(l, LEDGER_ACTION_ANSWER);
   a->handle = handle;
   a->cause = cause;
@@ -51,7 +52,8 @@
   Ledger *cache = (Ledger *)l;
   if (l->first_home_epoch[shard] == l->view_epoch) return l->first_homes[shard];
   cache->first_home_epoch[shard] = l->view_epoch;
-  cache->first_homes[shard] = view_home(l->view, l->region, l->shard_keys[shard], 0);
+  cache->first_homes[shard] =
+      view_home(l->view, l->region, l->shard_keys[shard], 0);
   return l->first_homes[shard];
 }
 
@@ -65,7 +67,7 @@
   return view_home(l->view, l->region, l->shard_keys[shard], rank);
 }
 
-const char *ledger_caretaker(const Ledger *l, int shard) {
+const char *ledger_report_recipient(const Ledger *l, int shard) {
   const Member *m = ledger_home(l, shard, 0);
   if (!m) m = view_home(l->view, NULL, l->shard_keys[shard], 0);
   return m ? m->id : l->self;
@@ -126,7 +128,8 @@
     l->shard_keys[i] = XXH64(name, strlen(name), 0);
   }
   l->rows = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-  l->closed_grants = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+  l->closed_grants =
+      g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
   l->holder_budgets =
       g_hash_table_new_full(g_str_hash, g_str_equal, NULL, holder_budget_free);
   l->reservations =
@@ -182,7 +185,8 @@
   finish(l);
 }
 
-void ledger_set_budgets(Ledger *l, double now, const LedgerBudget *list, int n) {
+void ledger_set_budgets(Ledger *l, double now, const LedgerBudget *list,
+                        int n) {
   l->now = now;
   GHashTable *rows =
       g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
@@ -224,7 +228,7 @@
 }
 
 void ledger_store_result(Ledger *l, double now, int shard, ErrKind kind,
-                   uint64_t version, const char *text) {
+                         uint64_t version, const char *text) {
   l->now = now;
   sync_result(l, sync_shard(l, shard), kind, version, text);
   finish(l);
@@ -240,11 +244,11 @@
   finish(l);
 }
 
-void ledger_set_store_down(Ledger *l, double now, bool away) {
-  if (l->store_down == away) return;
+void ledger_set_store_down(Ledger *l, double now, bool down) {
+  if (l->store_down == down) return;
   l->now = now;
-  l->store_down = away;
-  if (!away) sync_store_restored(l);
+  l->store_down = down;
+  if (!down) sync_store_restored(l);
   finish(l);
 }
 
--- a/packages/ledger/ledger.h
+++ b/packages/ledger/ledger.h
@@ -1,10 +1,14 @@
-/* ledger.h: prepaid budgets across the fleet; the pure core of one instance.
-
-   Three roles, all in every instance: the holder reserves and settles from its
-   accounts; the home of a budget in a region draws grants from the store and
-   gives out accounts; the witness of a grant agrees to how much its home may
-   give out, and can be told to stop agreeing (seal). Nothing here depends on
-   a clock for safety, only for when to ask again. docs/LEDGER.md. */
+/* ledger.h: prepaid token budgets across the fleet; the core of one instance,
+   which does no I/O.
+
+   Every instance plays three roles. As the holder it serves reservations from
+   its accounts; an account is the part of a grant that one holder may spend.
+   As the home of a budget in its region it takes grants (blocks of the budget's
+   tokens) from the store and allots them to the holders' accounts. As the
+   witness of a grant it keeps the limit up to which the grant's home may allot
+   tokens, and stops raising that limit once a successor of the home seals the
+   grant. Safety doesn't depend on clocks; they only decide when to send
+   again. docs/LEDGER.md. */
 #ifndef LEDGER_LEDGER_H
 #define LEDGER_LEDGER_H
 
@@ -16,22 +20,23 @@
 #include "member/view.h"
 
 typedef enum {
-  LEDGER_DRAW,     /* holder -> home: need and want tokens */
-  LEDGER_ALLOT,    /* home -> holder: your account now, or the cause why not */
-  LEDGER_REPORT,   /* holder -> home: spent and returned so far */
-  LEDGER_REPORT_ACK, /* home -> holder: taken in */
-  LEDGER_RAISE,    /* home -> witness: agree to a higher limit */
-  LEDGER_RAISE_ACK,   /* witness -> home */
-  LEDGER_SEAL,     /* successor -> witness: agree to nothing more */
-  LEDGER_SEAL_ACK,   /* witness -> successor: the last limit */
-  LEDGER_RETURN,   /* home -> its holder: give back what is free */
-  LEDGER_RECALL,   /* home -> home: give back what is free */
-  LEDGER_RECALL_DONE, /* home -> home: something went back to the store */
+  LEDGER_DRAW,        /* holder -> home: requests `need` to `want` tokens */
+  LEDGER_ALLOT,       /* home -> holder: tokens allotted so far, or the cause
+                         of a refusal */
+  LEDGER_REPORT,      /* holder -> home: spent and returned so far */
+  LEDGER_REPORT_ACK,  /* home -> holder: report recorded */
+  LEDGER_RAISE,       /* home -> witness: requests a higher limit */
+  LEDGER_RAISE_ACK,   /* witness -> home: the limit it agrees to */
+  LEDGER_SEAL,        /* successor -> witness: agree to no further raise */
+  LEDGER_SEAL_ACK,    /* witness -> successor: the final limit */
+  LEDGER_RETURN,      /* home -> its holder: return free tokens */
+  LEDGER_RECALL,      /* home -> home: return free tokens to the store */
+  LEDGER_RECALL_DONE, /* home -> home: tokens were returned to the store */
   LEDGER_KIND_COUNT
 } LedgerKind;
 
-/* One message. Counts are cumulative, so lost, doubled and late messages
-   change nothing that is not true anyway. */
+/* One message. Counts are cumulative, so lost, duplicated and delayed messages
+   do no harm. */
 typedef struct LedgerMsg {
   LedgerKind kind;
   char budget[LIMIT_NAME];
@@ -43,7 +48,7 @@
 } LedgerMsg;
 
 typedef enum {
-  LEDGER_ACTION_SEND,   /* msg to instance `to` */
+  LEDGER_ACTION_SEND,   /* send `msg` to instance `to` */
   LEDGER_ACTION_GET,    /* read the shard */
   LEDGER_ACTION_PUT,    /* conditional update of the shard: version, text */
   LEDGER_ACTION_ANSWER, /* the reservation `handle` is decided: cause */
@@ -61,64 +66,70 @@
   int retry_ms;
 } LedgerAction;
 
-/* What the table says of one budget. */
+/* The row of one budget in the configuration table. */
 typedef struct LedgerBudget {
   char name[LIMIT_NAME];
-  int64_t total;    /* prepaid tokens */
-  uint64_t version; /* table version that last changed this row */
-  double outage_reserve_s; /* seconds of measured demand laid up per region */
+  int64_t total;           /* prepaid tokens */
+  uint64_t version;        /* table version that last changed this row */
+  double outage_reserve_s; /* seconds of measured demand that each region's
+                              home holds in reserve for a store outage */
 } LedgerBudget;
 
 typedef struct LedgerSums {
   int64_t free, reserved, spent; /* this instance's accounts */
-  int64_t home_free_tokens;             /* held as a home, given to nobody */
+  int64_t home_free_tokens;      /* held as a home, not allotted */
   int waiting, accounts, grants, witnessed;
 } LedgerSums;
 
-/* Switches that take a mechanism out, so that tests are seen to fail without
-   it. All false in the product. */
+/* Fault injection: each switch disables one mechanism, so that tests can show
+   that they fail without it. All are false in production. */
 typedef struct LedgerFaults {
   bool no_version_check; /* the fake store ignores versions */
   bool no_witness_check; /* a witness agrees even when sealed */
-  bool settle_twice;     /* a settlement is applied to free twice */
-  bool add_reports;      /* reports are added up in place of the maximum */
+  bool settle_twice;     /* a settlement is added to the free tokens twice */
+  bool add_reports;      /* cumulative reports are summed, not maximised */
   bool no_recall;
 } LedgerFaults;
 
 typedef struct Ledger Ledger;
 
 Ledger *ledger_new(const char *self, const char *region, uint32_t seed);
-/* This core looks after one of `n` equal parts of the shards; 1 unless told. */
+/* Says that this core handles one of `n` equal parts of the shards. Default
+   1. */
 void ledger_set_lanes(Ledger *l, int n);
 void ledger_free(Ledger *l);
 void ledger_set_faults(Ledger *l, LedgerFaults f);
 
-/* Events. `now` is monotonic seconds. After each, take the actions. */
+/* Events. `now` is monotonic seconds. After each event, the caller executes
+   the actions from ledger_next_action. */
 void ledger_set_view(Ledger *l, double now, const View *v);
 void ledger_set_budgets(Ledger *l, double now, const LedgerBudget *list, int n);
+/* Requests `amount` tokens; a LEDGER_ACTION_ANSWER decides `handle`. */
 void ledger_reserve(Ledger *l, double now, uint64_t handle, const char *budget,
                     int64_t amount);
-/* `used` tokens were consumed; also for handles that still wait (used 0).
-   Tokens above the reservation are taken from the account as well. */
+/* Ends a reservation of which `used` tokens were consumed. With `used` 0 it
+   also cancels one that is still waiting. Tokens above the reserved amount are
+   charged to the account too. */
 void ledger_settle(Ledger *l, double now, uint64_t handle, int64_t used);
 void ledger_receive(Ledger *l, double now, const char *from,
                     const LedgerMsg *m);
-/* `kind`: ERR_NONE with version and text (text NULL after a PUT),
-   ERR_STORE_ABSENT, ERR_STORE_CONFLICT, ERR_STORE_UNKNOWN or ERR_STORE_DOWN. */
+/* Result of a GET or PUT. `kind`: ERR_NONE with version and text (text NULL
+   after a PUT), ERR_STORE_ABSENT, ERR_STORE_CONFLICT, ERR_STORE_UNKNOWN or
+   ERR_STORE_DOWN. */
 void ledger_store_result(Ledger *l, double now, int shard, ErrKind kind,
-                   uint64_t version, const char *text);
-/* The store answers nobody, as instances that read it for all say; or it does
-   again. Meanwhile it is not called, and what it would be needed for is refused
-   at once. */
-void ledger_set_store_down(Ledger *l, double now, bool away);
-/* Call about ten times a second; `unix_s` is for stored records only. */
+                         uint64_t version, const char *text);
+/* Starts or ends a store outage, as reported by the instances that read the
+   store for all others. During an outage the core doesn't call the store and
+   refuses at once what would need it. */
+void ledger_set_store_down(Ledger *l, double now, bool down);
+/* Call about ten times a second; `unix_s` is used for stored records only. */
 void ledger_tick(Ledger *l, double now, int64_t unix_s);
-/* Planned stop: everything free goes back, homes are handed over. */
+/* Starts a planned stop: returns all free tokens and hands over all grants. */
 void ledger_drain(Ledger *l, double now);
-/* True when a draining core holds nothing that is not safely given back. */
+/* True when a draining core has returned everything that it held. */
 bool ledger_is_drained(const Ledger *l);
 
-/* Next action, false when there is none. */
+/* Takes the next action; false when there is none. */
 bool ledger_next_action(Ledger *l, LedgerAction *a);
 
 LedgerSums ledger_sums(const Ledger *l);
--- a/packages/ledger/outage.c
+++ b/packages/ledger/outage.c
@@ -34,14 +34,16 @@
 /* Tokens a second that this region used. */
 static double demand(const Ledger *l, const HomeBudget *h) {
   double age = MAX(l->now - h->started_at, YOUNG);
-  return MAX(grown(h->slow_demand_per_s, age, SLOW_TAU), grown(h->demand_per_s, age, RATE_TAU));
+  return MAX(grown(h->slow_demand_per_s, age, SLOW_TAU),
+             grown(h->demand_per_s, age, RATE_TAU));
 }
 
 /* Demand is what is used, not what was reserved at most: what comes back is
    taken off again. */
 void outage_note_allotted(HomeBudget *h, int64_t tokens) {
   h->demand_per_s = MAX(0, h->demand_per_s + (double)tokens / RATE_TAU);
-  h->slow_demand_per_s = MAX(0, h->slow_demand_per_s + (double)tokens / SLOW_TAU);
+  h->slow_demand_per_s =
+      MAX(0, h->slow_demand_per_s + (double)tokens / SLOW_TAU);
 }
 
 /* == what is laid up == */
@@ -50,7 +52,8 @@
 static double reserve_s(const Ledger *l, const HomeBudget *h) {
   const LedgerBudget *row = row_of(l, h);
   double s = row ? row->outage_reserve_s : 0;
-  if (h->home_grant && !h->home_grant->witness[0] && s > SOLE_RESERVE) s = SOLE_RESERVE;
+  if (h->home_grant && !h->home_grant->witness[0] && s > SOLE_RESERVE)
+    s = SOLE_RESERVE;
   if (!ledger_is_home(l, shard_index(h->name)) && s > STAND_IN) s = STAND_IN;
   return s;
 }
@@ -60,7 +63,7 @@
 }
 
 int64_t outage_reserve_max(const Ledger *l, const HomeBudget *h, int64_t have,
-                    int64_t remaining) {
+                           int64_t remaining) {
   const LedgerBudget *row = row_of(l, h);
   double total = row ? (double)row->total : 0;
   double rest = (double)(have + remaining);
--- a/packages/ledger/shard.c
+++ b/packages/ledger/shard.c
@@ -121,7 +121,7 @@
 }
 
 void shard_seal_grant(ShardGrant *g, int64_t limit, int64_t known, bool exact,
-                int64_t now) {
+                      int64_t now) {
   if (g->sealed) return;
   g->sealed = true;
   g->limit_is_exact = exact;
@@ -131,7 +131,7 @@
 }
 
 bool shard_apply_report(ShardGrant *g, const char *instance, int64_t returned,
-                  int64_t spent, bool final, int64_t now) {
+                        int64_t spent, bool final, int64_t now) {
   if (!g->reports)
     g->reports = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   ShardReport *r = g_hash_table_lookup(g->reports, instance);
@@ -157,7 +157,8 @@
   bool whole = g->limit_is_exact && out <= spent;
   if (!whole && now - g->changed_unix_s < (int64_t)LEDGER_RETIRE) return false;
   if (!whole) sum_back(g, false, &spent);
-  b->closed_spent += spent; /* more than `out` only if a target broke its bound */
+  b->closed_spent +=
+      spent; /* more than `out` only if a target broke its bound */
   b->written_off += MAX(out - spent, 0);
   return g_ptr_array_remove(b->grants, g);
 }
--- a/packages/ledger/shard.h
+++ b/packages/ledger/shard.h
@@ -1,10 +1,12 @@
-/* shard.h: the durable document of one budget shard, and what may change it.
+/* shard.h: the stored document of one shard of the budgets, and the operations
+   that may change it.
 
-   For each budget, at every version of the document:
-     total >= closed + retired + sum of grant_outstanding(g)   (as far as the
-     table has not lowered `total` below what was already handed out)
-   and the tokens of a grant that were or can still be spent are never more
-   than grant_outstanding(g). */
+   A grant is a block of a budget's tokens that one instance, its home, has
+   taken from the store. For each budget, at every version of the document:
+     total >= closed_spent + written_off + sum of shard_grant_outstanding(g)
+   (unless the table lowered `total` below what was already granted), and the
+   tokens of a grant that were spent or can still be spent never exceed
+   shard_grant_outstanding(g). */
 #ifndef LEDGER_SHARD_H
 #define LEDGER_SHARD_H
 
@@ -14,36 +16,37 @@
 
 #include "kernel/limits.h"
 
-/* What one instance reported of a grant whose home is gone; all counts only
+/* What one instance reported on a grant whose home is gone. Counts only
    grow. */
 typedef struct ShardReport {
   int64_t returned;
   int64_t spent;
-  bool final; /* nothing of it is reserved or free there any more */
+  bool final; /* the instance has no reserved or free tokens of it left */
 } ShardReport;
 
 typedef struct ShardGrant {
   uint64_t id;
-  char home[LIMIT_ID];    /* the only one who raises it */
-  char witness[LIMIT_ID]; /* who must agree to each raise of `limit`; "": none,
-                             then the limit is the whole grant */
+  char home[LIMIT_ID];    /* the only instance that raises `granted` */
+  char witness[LIMIT_ID]; /* must agree to each raise of the home's limit;
+                             "": none, then the limit is the whole grant */
   char region[LIMIT_NAME];
   int64_t granted, returned, spent; /* cumulative */
   bool sealed;
-  bool limit_is_exact;       /* sealed by its home itself: limit is what it gave out */
-  int64_t limit;    /* sealed: the home never gave out more than this */
-  int64_t known_returned;    /* sealed: and had at least this back in all */
-  int64_t changed_unix_s;  /* unix seconds */
-  GHashTable *reports; /* instance id -> ShardBack; NULL: no reports. They count
-                       from the seal on. */
+  bool limit_is_exact;    /* sealed by its own home: `limit` is the number of
+                             tokens allotted */
+  int64_t limit;          /* sealed: max tokens the home can have allotted */
+  int64_t known_returned; /* sealed: min tokens returned to the home */
+  int64_t changed_unix_s;
+  GHashTable *reports; /* instance id -> ShardReport; NULL: no reports. They
+                          count from the seal on. */
 } ShardGrant;
 
 typedef struct ShardBudget {
   char name[LIMIT_NAME];
-  int64_t total;   /* prepaid, from the table */
-  uint64_t table_version;     /* table version of `total` */
-  int64_t closed_spent;  /* spent by grants that are gone */
-  int64_t written_off; /* written off with grants that are gone */
+  int64_t total;          /* prepaid, from the table */
+  uint64_t table_version; /* of `total` */
+  int64_t closed_spent;   /* spent from grants that were removed */
+  int64_t written_off;    /* lost with grants that were removed */
   GPtrArray *grants;
 } ShardBudget;
 
@@ -55,16 +58,16 @@
 void shard_free(Shard *s);
 /* JSON; the caller frees it with g_free. */
 char *shard_encode(const Shard *s);
-/* NULL when the text is not a shard. */
+/* NULL when the text is not a valid shard. */
 Shard *shard_decode(const char *text);
 
-/* Which shard a budget lives in. */
+/* The shard that a budget belongs to. */
 int shard_index(const char *budget);
 /* Object name of a shard, to `out` of LIMIT_NAME bytes. */
 void shard_object_name(int index, char *out);
 
 ShardBudget *shard_find_budget(Shard *s, const char *name);
-/* As shard_budget, made when absent. */
+/* As shard_find_budget, but creates an absent budget. */
 ShardBudget *shard_ensure_budget(Shard *s, const char *name);
 ShardGrant *shard_find_grant(const ShardBudget *b, uint64_t id);
 ShardGrant *shard_add_grant(ShardBudget *b, uint64_t id, const char *home,
@@ -72,23 +75,25 @@
 
 /* Tokens that this grant's holders have spent or may still spend. */
 int64_t shard_grant_outstanding(const ShardGrant *g);
-/* Tokens nobody holds; negative after the table lowered a total too far. */
+/* Tokens that are in no grant; negative after the table lowered the total
+   below what was already granted. */
 int64_t shard_budget_remaining(const ShardBudget *b);
-/* Spent as far as it was reported. */
+/* Tokens reported as spent. */
 int64_t shard_budget_spent(const ShardBudget *b);
 
-/* Seals a grant with the most its home can have given out, and the least it had
-   back. */
+/* Seals a grant: `limit` is the max that its home can have allotted,
+   `known` the min that was returned to the home. */
 void shard_seal_grant(ShardGrant *g, int64_t limit, int64_t known, bool exact,
-                int64_t now);
-/* Takes in a report on a grant whose home is gone, sealed or not yet; true when
-   something changed. */
+                      int64_t now);
+/* Records a report on a grant whose home is gone, whether it is sealed yet or
+   not; true when something changed. */
 bool shard_apply_report(ShardGrant *g, const char *instance, int64_t returned,
-                  int64_t spent, bool final, int64_t now);
-/* Removes an open grant whose home settled everything, or a sealed one whose
-   reports cover it or which is older than LEDGER_RETIRE. True when removed. */
+                        int64_t spent, bool final, int64_t now);
+/* Removes a sealed grant when reports account for all of it, or when it has
+   been unchanged for LEDGER_RETIRE seconds. True when removed. */
 bool shard_remove_settled(ShardBudget *b, ShardGrant *g, int64_t now);
-/* An open grant leaves with all of it either spent or returned. */
+/* Removes a grant that is not sealed and whose tokens are all either spent or
+   returned. */
 void shard_close_grant(ShardBudget *b, ShardGrant *g);
 
 #endif
--- a/packages/ledger/shardio.c
+++ b/packages/ledger/shardio.c
@@ -51,8 +51,9 @@
   if (!g->sealed && !g->reports) return o;
   json_t *last = encode_back(g);
   if (g->sealed)
-    last = json_pack("[I,I,b,I,o]", (json_int_t)g->limit, (json_int_t)g->known_returned,
-                     (int)g->limit_is_exact, (json_int_t)g->changed_unix_s, last);
+    last = json_pack("[I,I,b,I,o]", (json_int_t)g->limit,
+                     (json_int_t)g->known_returned, (int)g->limit_is_exact,
+                     (json_int_t)g->changed_unix_s, last);
   json_array_append_new(o, last);
   return o;
 }
@@ -61,8 +62,9 @@
   json_t *grants = json_array();
   for (guint i = 0; i < b->grants->len; i++)
     json_array_append_new(grants, encode_grant(n, b->grants->pdata[i]));
-  return json_pack("[I,I,I,I,o]", (json_int_t)b->total, (json_int_t)b->table_version,
-                   (json_int_t)b->closed_spent, (json_int_t)b->written_off, grants);
+  return json_pack("[I,I,I,I,o]", (json_int_t)b->total,
+                   (json_int_t)b->table_version, (json_int_t)b->closed_spent,
+                   (json_int_t)b->written_off, grants);
 }
 
 static int by_name(gconstpointer a, gconstpointer b) {
--- a/packages/ledger/state.h
+++ b/packages/ledger/state.h
@@ -1,4 +1,5 @@
-/* state.h: the insides of the ledger core, shared by its own files only. */
+/* state.h: the internal state of the ledger core, for files of this folder
+   only. */
 #ifndef LEDGER_STATE_H
 #define LEDGER_STATE_H
 
@@ -16,21 +17,21 @@
   char home[LIMIT_ID];
   int64_t granted, returned, spent, reserved;
   int64_t acked_returned, acked_spent; /* acknowledged by a home */
-  bool closing;                      /* no new reservations, give back */
-  bool superseded;                         /* its home has a newer grant */
+  bool closing;    /* takes no new reservations, returns its free tokens */
+  bool superseded; /* its home has a newer grant */
   double reported_at;
-  double allotted_at; /* when the home last spoke of it */
+  double allotted_at; /* when the home last sent an ALLOT for it */
 } Account;
 
 typedef struct Waiter {
   uint64_t handle;
   int64_t amount;
   double deadline;
-  ErrKind cause; /* best known reason so far */
+  ErrKind cause; /* the refusal to send if the wait ends now */
 } Waiter;
 
 typedef struct Reservation {
-  struct HolderBudget *purse;
+  struct HolderBudget *budget;
   Account *account;
   int64_t amount;
 } Reservation;
@@ -40,22 +41,22 @@
   char name[LIMIT_NAME];
   int shard;
   GPtrArray *accounts;
-  GQueue waiters;      /* Waiter* */
-  double demand_per_s;         /* tokens a second, decayed */
-  int64_t typical_tokens;     /* size of a recent reservation */
-  double draw_sent_at;        /* when the last DRAW went out; 0: none open */
-  double draw_answered_at;     /* when a home last answered one; 0: never */
-  double prefetched_at;        /* when tokens were last asked for ahead of need */
-  double reserve_called_at;     /* when a reservation was last asked for */
-  int draw_tries;           /* DRAWs without an answer; two for each choice */
-  double first_choice_at; /* when the first choice was last asked */
-  double ticked_at;       /* when it was last looked at */
-  bool needs_tick;            /* something happened since, or is to be repeated soon */
+  GQueue waiters;           /* Waiter* */
+  double demand_per_s;      /* tokens a second, decaying average */
+  int64_t typical_tokens;   /* size of a recent reservation */
+  double draw_sent_at;      /* when the last DRAW was sent; 0: none open */
+  double draw_answered_at;  /* when a home last answered one; 0: never */
+  double prefetched_at;     /* when tokens were last requested in advance */
+  double reserve_called_at; /* when a reservation was last requested */
+  int draw_tries;           /* DRAWs without an answer; two for each home */
+  double first_choice_at;   /* when the first choice was last sent a DRAW */
+  double ticked_at;
+  bool needs_tick; /* changed since the last tick, or has to resend soon */
 } HolderBudget;
 
 /* == home == */
 
-/* The home's book of one account. */
+/* The home's record of one holder's account. */
 typedef struct HolderShare {
   int64_t granted, returned, spent;
 } HolderShare;
@@ -66,39 +67,42 @@
   double received_at, deadline;
 } Draw;
 
-/* A grant this instance drew as home.
-   free = (granted - returned) - (given - back) and given <= limit. */
+/* A grant of which this instance is the home.
+   free = (granted - returned) - (allotted - returned_by_holders), and
+   allotted <= limit. */
 typedef struct HomeGrant {
   uint64_t id;
   char witness[LIMIT_ID];
-  char next_witness[LIMIT_ID]; /* next witness, "" none */
-  bool is_moving, next_has_agreed;       /* asked it; it agreed */
-  double drawn_at;             /* when somebody last asked for tokens */
-  bool stored;              /* the document has this grant */
-  bool frozen;              /* gives out no more: handing over */
+  char next_witness[LIMIT_ID];     /* "": none */
+  bool is_moving, next_has_agreed; /* to `next_witness` */
+  double drawn_at;                 /* when the last DRAW arrived */
+  bool stored;                     /* the document contains this grant */
+  bool frozen; /* allots nothing more: is being handed over */
   int64_t granted, returned;
-  int64_t allotted, returned_by_holders, spent; /* sums over shares */
+  int64_t allotted, returned_by_holders, spent; /* sums over `shares` */
   int64_t limit, limit_requested;
   double raise_sent_at;
-  double unanswered_since;     /* the first RAISE since the witness spoke; 0: none */
-  char unresponsive[LIMIT_ID]; /* a witness that did not answer, "" none */
-  GHashTable *shares;    /* holder id -> Share */
+  double unanswered_since;     /* the first RAISE since the witness last
+                                  answered; 0: none */
+  char unresponsive[LIMIT_ID]; /* a witness that did not answer; "": none */
+  GHashTable *shares;          /* holder id -> HolderShare */
   int64_t stored_spent, stored_returned;
 } HomeGrant;
 
-/* A report on a grant that is not ours, to be put into the document. */
+/* A report on a grant of another home, to be written to the document. */
 typedef struct OrphanReport {
   uint64_t grant;
   char holder[LIMIT_ID];
   int64_t returned, spent;
   bool final, applied;
-  double received_at; /* when it came */
+  double received_at;
 } OrphanReport;
 
+/* The sealing of a grant whose home is gone. */
 typedef struct PendingSeal {
   uint64_t grant;
-  char witness[LIMIT_ID]; /* whom we asked */
-  bool is_answered;              /* it answered */
+  char witness[LIMIT_ID]; /* that the SEAL is sent to */
+  bool is_answered;
   int64_t limit, returned_to_home;
   double sent_at;
   double gone_since;
@@ -108,19 +112,21 @@
 typedef struct HomeBudget {
   char name[LIMIT_NAME];
   HomeGrant *home_grant;
-  GPtrArray *draws; /* Draw* */
-  GPtrArray *orphan_reports;  /* Late* */
-  GPtrArray *seals; /* Seal* */
-  double demand_per_s;      /* tokens a second, of the last half minute */
-  double slow_demand_per_s;      /* the same over minutes, decayed from `born` on */
-  double reserve_cap_s;   /* seconds of demand that may be laid up by now */
+  GPtrArray *draws;          /* Draw* */
+  GPtrArray *orphan_reports; /* OrphanReport* */
+  GPtrArray *seals;          /* PendingSeal* */
+  double demand_per_s;       /* tokens a second over the last half minute */
+  double slow_demand_per_s;  /* the same over minutes, decaying from
+                                `started_at` on */
+  double reserve_cap_s;      /* max seconds of demand in reserve for now */
   double started_at;
-  double ticked_at;       /* when it was last looked at */
-  double recalled_at;     /* when we last recalled; -1: never */
-  double return_until; /* somebody recalled: free goes to the store at once */
+  double ticked_at;
+  double recalled_at;  /* when this home last recalled; -1: never */
+  double return_until; /* another home recalls: until then free tokens go back
+                          to the store at once */
   char recaller[LIMIT_ID];
   bool notify_recaller;
-  int64_t remaining, unspent; /* as last seen in the document */
+  int64_t remaining, unspent; /* from the last version of the document */
 } HomeBudget;
 
 /* One shard of the store as this instance knows it. */
@@ -128,16 +134,16 @@
   int index;
   Shard *doc; /* NULL: must be read first */
   uint64_t version;
-  uint64_t newest_version; /* newest version ever read or written */
+  uint64_t newest_version; /* ever read or written */
   bool call_pending, call_is_put;
-  double call_started_at; /* the call in progress */
-  bool dirty;     /* something may have to be written */
-  bool queued;    /* stands in `touched` */
-  bool must_reread;    /* somebody else changed it */
-  double confirmed_at;   /* when `doc` was last known to be the store's */
-  double written_at;   /* when we last wrote it */
-  double grants_checked_at; /* when its grants' homes were last looked for */
-  double next_read_at; /* next refresh without other cause */
+  double call_started_at;
+  bool dirty;               /* there may be something to write */
+  bool queued;              /* is in `touched_shards` */
+  bool must_reread;         /* another instance changed it */
+  double confirmed_at;      /* when `doc` was last known to be current */
+  double written_at;        /* when this instance last wrote it */
+  double grants_checked_at; /* when its grants' homes were last checked */
+  double next_read_at;      /* next periodic read */
   double retry_at, backoff;
   double down_since;  /* 0: the store answers */
   GPtrArray *budgets; /* HomeBudget* */
@@ -145,10 +151,10 @@
 
 /* == witness == */
 
-typedef struct Witnessed {
+typedef struct WitnessedGrant {
   int64_t limit, returned_to_home;
   bool sealed;
-} Witnessed;
+} WitnessedGrant;
 
 struct Ledger {
   char self[LIMIT_ID];
@@ -159,29 +165,32 @@
   double now;
   int64_t unix_s;
   bool draining;
-  bool store_down; /* the store answers nobody */
+  bool store_down;
   int lanes;
   double report_write_s; /* seconds between two writes of spend reports */
-  GHashTable *rows;    /* name -> LedgerBudget, as the table has it */
-  GPtrArray *rows_by_shard[LIMIT_SHARDS]; /* the same rows; NULL: none there */
-  const Member *first_homes[LIMIT_SHARDS]; /* its home in our region as of `homed`;
-                                        NULL: nobody */
-  uint32_t first_home_epoch[LIMIT_SHARDS];      /* the view that this was worked out for */
-  uint32_t view_epoch;                    /* that there have been */
-  double account_cover_s;  /* seconds of demand that an account covers */
-  double witness_ahead_s;   /* that a witness agrees to ahead */
-  int regions, region_members; /* regions in the view; instances of ours */
+  GHashTable *rows;      /* name -> LedgerBudget, as in the table */
+  GPtrArray *rows_by_shard[LIMIT_SHARDS];  /* the same rows; NULL: none */
+  const Member *first_homes[LIMIT_SHARDS]; /* the shard's home in this region
+                                              at `first_home_epoch`; NULL:
+                                              nobody */
+  uint32_t first_home_epoch[LIMIT_SHARDS]; /* `view_epoch` of that entry */
+  uint32_t view_epoch;                     /* number of views so far */
+  double account_cover_s;      /* seconds of demand that an account covers */
+  double witness_ahead_s;      /* that a witness agrees to in advance */
+  int regions, region_members; /* regions in the view; instances of this
+                                  region in it */
   uint64_t shard_keys[LIMIT_SHARDS];
-  GHashTable *closed_grants;       /* grants whose account is over: never again */
-  GHashTable *holder_budgets;       /* name -> Purse */
-  GHashTable *reservations; /* handle -> Reservation */
-  GHashTable *waiting;      /* handle -> Purse, for handles in a queue */
-  GHashTable *home_budgets;        /* name -> HomeBudget */
+  GHashTable *closed_grants;  /* grants whose account here was closed; it is
+                                 never opened again */
+  GHashTable *holder_budgets; /* name -> HolderBudget */
+  GHashTable *reservations;   /* handle -> Reservation */
+  GHashTable *waiting;        /* handle -> HolderBudget, for queued handles */
+  GHashTable *home_budgets;   /* name -> HomeBudget */
   ShardState *shards[LIMIT_SHARDS];
-  GHashTable *witnessed; /* grant -> Witnessed */
+  GHashTable *witnessed; /* grant -> WitnessedGrant */
   GQueue actions;        /* LedgerAction* */
-  GQueue self_messages;           /* LedgerMsg* to ourselves */
-  GQueue touched_shards;        /* ShardState* to be pumped before the event ends */
+  GQueue self_messages;  /* LedgerMsg* from this instance to itself */
+  GQueue touched_shards; /* ShardState* to synchronise before the event ends */
 };
 
 /* == ledger.c == */
@@ -189,14 +198,15 @@
 void ledger_send(Ledger *l, const char *to, const LedgerMsg *m);
 void ledger_add_answer(Ledger *l, uint64_t handle, ErrKind cause, int retry_ms);
 LedgerMsg ledger_make_msg(LedgerKind kind, const char *budget, uint64_t grant);
-/* The home of a shard in our region, `rank`-th choice; NULL: nobody. */
+/* The `rank`-th choice for the home of a shard in this region; NULL: nobody. */
 const Member *ledger_home(const Ledger *l, int shard, int rank);
-/* We are that home. */
+/* This instance is the first choice. */
 bool ledger_is_home(const Ledger *l, int shard);
-/* Who takes reports on grants of our region: its home; with nobody left there
-   the first choice of the whole fleet; when all leave, we ourselves. */
-const char *ledger_caretaker(const Ledger *l, int shard);
-LedgerAction *ledger_add_action(Ledger *l, LedgerActionKind what);
+/* The instance that receives reports on grants of this region: the region's
+   home; if the region has no members, the first choice of the whole fleet; if
+   every instance is leaving, this one. */
+const char *ledger_report_recipient(const Ledger *l, int shard);
+LedgerAction *ledger_add_action(Ledger *l, LedgerActionKind kind);
 
 /* == holder.c == */
 
@@ -208,7 +218,7 @@
 void holder_on_return(Ledger *l, const LedgerMsg *m);
 void holder_tick(Ledger *l);
 bool holder_is_empty(const Ledger *l);
-/* Nothing of that grant is held here, and its home knows. */
+/* This holder has no tokens of that grant, and a home has acknowledged it. */
 bool holder_has_released(Ledger *l, const char *budget, uint64_t grant);
 void holder_budget_free(gpointer p);
 
@@ -224,51 +234,58 @@
 void home_budget_free(gpointer p);
 int64_t home_free_tokens(const HomeGrant *g);
 int64_t home_plan_draw(const Ledger *l, const HomeBudget *h, int64_t remaining);
-/* Takes in what a holder returned and spent in all; less is old news. */
-void home_apply_counts(HomeGrant *g, const char *holder, int64_t returned, int64_t spent);
+/* Records the cumulative counts of a holder; smaller counts are outdated and
+   have no effect. */
+void home_apply_counts(HomeGrant *g, const char *holder, int64_t returned,
+                       int64_t spent);
 void home_drop_grant(HomeBudget *h);
 void home_freeze_grant(Ledger *l, HomeBudget *h);
+/* Seals grants of the shard whose homes are gone. */
 void home_check_grants(Ledger *l, ShardState *s);
 
-/* == layup.c == */
+/* == outage.c == */
 
-/* Tokens that were given out, below 0: that came back unused. */
+/* Counts tokens that were allotted; below 0: that holders returned unused. */
 void outage_note_allotted(HomeBudget *h, int64_t tokens);
-/* Tokens that are to be held ready now. */
+/* Tokens that the home should hold in reserve now. */
 double outage_reserve_tokens(const Ledger *l, const HomeBudget *h);
-/* What is laid up is lost when home and witness die together, so a region holds
-   no more than its share of the rest, and near the end of the budget no more
-   than may go unused. */
+/* Max tokens that a region may hold. The reserve is lost when home and witness
+   die together, so a region holds no more than its share of the rest, and near
+   the end of the budget no more than may go unused. */
 int64_t outage_reserve_max(const Ledger *l, const HomeBudget *h, int64_t have,
-                    int64_t remaining);
+                           int64_t remaining);
 /* `dt` seconds have passed. */
 void outage_tick(Ledger *l, HomeBudget *h, double dt);
 
 /* == witness.c == */
 
-/* Another instance of our region, of another data centre if there is one, and
-   not `silent` if there is another; to `out` of LIMIT_ID bytes, "" when there
-   is none. */
-void witness_choose(const Ledger *l, uint64_t grant, const char *silent,
-                  char *out);
-int64_t witness_room(const HomeGrant *g);
-void witness_request_room(Ledger *l, HomeBudget *h, int64_t n);
+/* Chooses another instance of this region, in another data centre if there is
+   one, and not `avoid` if there is another; to `out` of LIMIT_ID bytes, ""
+   when there is none. */
+void witness_choose(const Ledger *l, uint64_t grant, const char *avoid,
+                    char *out);
+/* Tokens that may be allotted without a further agreement of the witness. */
+int64_t witness_headroom(const HomeGrant *g);
+/* Requests headroom for `n` more tokens and for a few seconds of demand. */
+void witness_request_headroom(Ledger *l, HomeBudget *h, int64_t n);
 void witness_on_raise(Ledger *l, const char *from, const LedgerMsg *m);
 void witness_on_raise_ack(Ledger *l, const char *from, const LedgerMsg *m);
 void witness_on_seal(Ledger *l, const char *from, const LedgerMsg *m);
 void witness_on_seal_ack(Ledger *l, const char *from, const LedgerMsg *m);
 void witness_tick(Ledger *l, HomeBudget *h);
 
-/* == stored.c == */
+/* == sync.c == */
 
 ShardState *sync_shard(Ledger *l, int index);
-/* Has the shard looked at before the event ends. */
+/* Queues the shard to be synchronised before the event ends. */
 void sync_touch(Ledger *l, ShardState *s);
+/* Starts the next store call of the shard if one is needed and allowed now. */
 void sync_start_call(Ledger *l, ShardState *s);
 void sync_result(Ledger *l, ShardState *s, ErrKind kind, uint64_t version,
-                   const char *text);
+                 const char *text);
 void sync_tick(Ledger *l);
-/* The store has come back: what waits for it is done, spread over a moment. */
+/* The store has come back: schedules the waiting calls, spread over a short
+   time. */
 void sync_store_restored(Ledger *l);
 void sync_shard_free(ShardState *s);
 
--- a/packages/ledger/sync.c
+++ b/packages/ledger/sync.c
@@ -59,7 +59,8 @@
 
 /* A grant whose home and witness are both gone can't be sealed. What its
    holders report is kept all the same, or none of them could ever stop. */
-static bool never_sealed(const Ledger *l, const OrphanReport *x, const ShardGrant *g) {
+static bool never_sealed(const Ledger *l, const OrphanReport *x,
+                         const ShardGrant *g) {
   return l->now - x->received_at >= UNSEALED && !view_find(l->view, g->home);
 }
 
@@ -71,18 +72,20 @@
   for (guint i = 0; i < h->orphan_reports->len; i++) {
     OrphanReport *x = h->orphan_reports->pdata[i];
     ShardGrant *g = shard_find_grant(b, x->grant);
-    x->applied = g ? g->sealed || never_sealed(l, x, g) : s->confirmed_at > x->received_at;
+    x->applied = g ? g->sealed || never_sealed(l, x, g)
+                   : s->confirmed_at > x->received_at;
     if (!g && !x->applied) s->must_reread = s->dirty = true;
     if (!g || !x->applied) continue;
-    changed |=
-        shard_apply_report(g, x->holder, x->returned, x->spent, x->final, l->unix_s);
+    changed |= shard_apply_report(g, x->holder, x->returned, x->spent, x->final,
+                                  l->unix_s);
   }
   return changed;
 }
 
 /* Hands over: what nobody holds goes back, and the grant is sealed with just
    what was given out, so that the reports to come account for all of it. */
-static bool apply_handover(Ledger *l, HomeGrant *g, ShardBudget *b, ShardGrant *sg) {
+static bool apply_handover(Ledger *l, HomeGrant *g, ShardBudget *b,
+                           ShardGrant *sg) {
   if (!sg || sg->sealed) return false;
   g->returned += home_free_tokens(g);
   sg->returned = g->returned;
@@ -202,7 +205,8 @@
   g->granted = sg->granted;
   g->stored_spent = sg->spent;
   g->stored_returned = sg->returned;
-  if (g->is_moving && g->next_has_agreed && strcmp(sg->witness, g->next_witness) == 0) {
+  if (g->is_moving && g->next_has_agreed &&
+      strcmp(sg->witness, g->next_witness) == 0) {
     g_strlcpy(g->witness, sg->witness, sizeof g->witness);
     g->is_moving = g->next_has_agreed = false;
   }
@@ -257,7 +261,8 @@
   confirm_wishes(l, s);
   for (guint i = 0; i < s->budgets->len; i++) {
     HomeBudget *h = s->budgets->pdata[i];
-    bool back = !h->home_grant || h->home_grant->stored_returned >= h->home_grant->returned;
+    bool back = !h->home_grant ||
+                h->home_grant->stored_returned >= h->home_grant->returned;
     if (h->notify_recaller && back) {
       h->notify_recaller = false;
       LedgerMsg m = ledger_make_msg(LEDGER_RECALL_DONE, h->name, 0);
@@ -364,7 +369,7 @@
 }
 
 void sync_result(Ledger *l, ShardState *s, ErrKind kind, uint64_t version,
-                   const char *text) {
+                 const char *text) {
   if (!s->call_pending) return;
   bool putting = s->call_is_put;
   s->call_pending = s->call_is_put = false;
--- a/packages/ledger/witness.c
+++ b/packages/ledger/witness.c
@@ -9,10 +9,10 @@
 
 /* == the witness's side == */
 
-static Witnessed *witnessed(Ledger *l, uint64_t grant) {
-  Witnessed *w = g_hash_table_lookup(l->witnessed, &grant);
+static WitnessedGrant *witnessed(Ledger *l, uint64_t grant) {
+  WitnessedGrant *w = g_hash_table_lookup(l->witnessed, &grant);
   if (w) return w;
-  w = g_new0(Witnessed, 1);
+  w = g_new0(WitnessedGrant, 1);
   g_hash_table_insert(l->witnessed, g_memdup2(&grant, sizeof grant), w);
   return w;
 }
@@ -20,7 +20,7 @@
 /* The limit only grows, and not at all once sealed: what a home gave out under
    this witness is never more than what the witness will tell a successor. */
 void witness_on_raise(Ledger *l, const char *from, const LedgerMsg *m) {
-  Witnessed *w = witnessed(l, m->grant);
+  WitnessedGrant *w = witnessed(l, m->grant);
   bool refuse = w->sealed && !l->faults.no_witness_check;
   if (!refuse && m->limit > w->limit) w->limit = m->limit;
   if (m->returned > w->returned_to_home) w->returned_to_home = m->returned;
@@ -31,7 +31,7 @@
 }
 
 void witness_on_seal(Ledger *l, const char *from, const LedgerMsg *m) {
-  Witnessed *w = witnessed(l, m->grant);
+  WitnessedGrant *w = witnessed(l, m->grant);
   w->sealed = true;
   LedgerMsg r = ledger_make_msg(LEDGER_SEAL_ACK, m->budget, m->grant);
   r.limit = w->limit;
@@ -50,18 +50,18 @@
 }
 
 /* What may still be given out without asking the witness. */
-int64_t witness_room(const HomeGrant *g) {
+int64_t witness_headroom(const HomeGrant *g) {
   if (!g->witness[0] && !g->is_moving) return INT64_MAX;
   return g->limit - g->allotted;
 }
 
-void witness_choose(const Ledger *l, uint64_t grant, const char *silent,
-                  char *out) {
+void witness_choose(const Ledger *l, uint64_t grant, const char *avoid,
+                    char *out) {
   const Member *self = view_find(l->view, l->self), *m;
   const Member *best = NULL, *quiet = NULL;
   for (int r = 0; (m = view_home(l->view, l->region, grant, r)); r++) {
     if (strcmp(m->id, l->self) == 0) continue;
-    if (strcmp(m->id, silent) == 0) {
+    if (strcmp(m->id, avoid) == 0) {
       quiet = m;
       continue;
     }
@@ -77,7 +77,8 @@
   HomeGrant *g = h->home_grant;
   LedgerMsg m = ledger_make_msg(LEDGER_RAISE, h->name, g->id);
   m.limit = g->limit_requested;
-  m.returned = g->returned_by_holders; /* so that it need not be written off with us */
+  m.returned =
+      g->returned_by_holders; /* so that it need not be written off with us */
   g->raise_sent_at = l->now;
   if (g->unanswered_since == 0) g->unanswered_since = l->now;
   ledger_send(l, to, &m);
@@ -86,14 +87,15 @@
 /* A witness that says nothing is not waited for until it is out of the view:
    callers wait for its word. To move is safe at any time. */
 static bool is_silent(const Ledger *l, HomeGrant *g, const char *id) {
-  if (g->unanswered_since == 0 || l->now - g->unanswered_since < SILENT) return false;
+  if (g->unanswered_since == 0 || l->now - g->unanswered_since < SILENT)
+    return false;
   g_strlcpy(g->unresponsive, id, sizeof g->unresponsive);
   g->unanswered_since = 0;
   return true;
 }
 
 /* Asks for room for `n` more tokens and for a few seconds of demand. */
-void witness_request_room(Ledger *l, HomeBudget *h, int64_t n) {
+void witness_request_headroom(Ledger *l, HomeBudget *h, int64_t n) {
   HomeGrant *g = h->home_grant;
   if (g->is_moving || !g->witness[0]) return;
   int64_t ahead = (int64_t)(h->demand_per_s * l->witness_ahead_s);
@@ -108,7 +110,8 @@
 
 static bool needs_room(const HomeBudget *h) {
   for (guint i = 0; i < h->draws->len; i++)
-    if (((Draw *)h->draws->pdata[i])->need > witness_room(h->home_grant)) return true;
+    if (((Draw *)h->draws->pdata[i])->need > witness_headroom(h->home_grant))
+      return true;
   return false;
 }
 
@@ -179,7 +182,8 @@
     if (lost) {
       g->is_moving = false;
       move_witness(l, h);
-    } else if (!g->next_has_agreed && l->now - g->raise_sent_at >= LEDGER_RESEND) {
+    } else if (!g->next_has_agreed &&
+               l->now - g->raise_sent_at >= LEDGER_RESEND) {
       send_raise(l, h, g->next_witness);
     }
     return;
