--- a/packages/ledger/holder.c
+++ b/packages/ledger/holder.c
@@ -5,185 +5,193 @@
 #include <math.h>
 #include <string.h>
 
-#define RATE_TAU 10.0 /* seconds over which demand is averaged */
-/* An account elsewhere than at the first choice lives on while its home
-   speaks. */
-#define LINGER 5.0
-#define HOME_SPOKE 1.0 /* seconds; a home that answered since is there */
-#define CHOICES 4      /* homes that are asked one after the other */
-#define BACK_MS 1000   /* Retry-After while tokens are on their way back */
-#define BACK_AWAY_MS                                                           \
-  5000                  /* while the store is away: 4 to 9 s on the users'     \
-                           days */
-#define FIRST_AGAIN 3.0 /* the first choice is tried again after this */
-/* Seconds without a request after which nothing is laid out for a customer that
-   had many: its caller has gone to another instance, and what lies here is
-   missing there and lost with us. */
-#define DESERTED 1.0
-/* Tokens are asked for ahead again after this part of what an account covers:
-   once in half of it, an instance with all requests of a customer ran dry each
-   second. */
-#define AHEAD_SHARE 0.125
+#define DEMAND_AVERAGE_S 10.0 /* seconds over which demand is averaged */
+/* An account of a home that is not the first choice stays open while that home
+   has sent an ALLOT within this time. */
+#define ACTIVE_HOME_S 5.0
+#define RECENT_ANSWER_S                                                        \
+  1.0 /* a home that answered within this time is reachable */
+#define MAX_HOME_CHOICES 4  /* homes that are tried one after the other */
+#define RETRY_AFTER_MS 1000 /* while holders are returning tokens */
+#define RETRY_AFTER_OUTAGE_MS 5000 /* store outages last 4 to 9 s */
+#define FIRST_CHOICE_RETRY_S                                                   \
+  3.0 /* time until the first choice is tried again */
+/* After this time without a request an instance keeps no tokens for a customer
+   that sent many: the caller has moved to another instance, which lacks the
+   tokens kept here, and they are lost if this instance dies. */
+#define IDLE_BUDGET_S 1.0
+/* Tokens are requested in advance at most once in this part of the time that
+   an account covers. With half of it, an instance with all requests of a
+   customer ran out of tokens each second. */
+#define PREFETCH_SHARE 0.125
 
 /* == accounts == */
 
-static int64_t free_of(const Account *a) {
+static int64_t free_tokens(const Account *a) {
   return a->granted - a->returned - a->spent - a->reserved;
 }
 
-static bool told(const Account *a) {
+static bool is_acked(const Account *a) {
   return a->acked_returned >= a->returned && a->acked_spent >= a->spent;
 }
 
-static void report(Ledger *l, const HolderBudget *p, Account *a) {
-  LedgerMsg m = ledger_make_msg(LEDGER_REPORT, p->name, a->grant);
+static void send_report(Ledger *l, const HolderBudget *b, Account *a) {
+  LedgerMsg m = ledger_make_msg(LEDGER_REPORT, b->name, a->grant);
   m.returned = a->returned;
   m.spent = a->spent;
-  m.final = a->closing && a->reserved == 0 && free_of(a) <= 0;
+  m.final = a->closing && a->reserved == 0 && free_tokens(a) <= 0;
   a->reported_at = l->now;
   if (view_find(l->view, a->home)) ledger_send(l, a->home, &m);
-  const char *taker = ledger_report_recipient(l, p->shard);
-  if (strcmp(taker, a->home) != 0) ledger_send(l, taker, &m);
+  const char *recipient = ledger_report_recipient(l, b->shard);
+  if (strcmp(recipient, a->home) != 0) ledger_send(l, recipient, &m);
 }
 
-/* Gives back `n` free tokens; from here on they are not ours. */
-static void give_back(Ledger *l, const HolderBudget *p, Account *a, int64_t n) {
+/* Returns `n` free tokens to the home; they can't be spent here any more. */
+static void return_tokens(Ledger *l, const HolderBudget *b, Account *a,
+                          int64_t n) {
   if (n <= 0) return;
-  assert(n <= free_of(a));
+  assert(n <= free_tokens(a));
   a->returned += n;
-  report(l, p, a);
+  send_report(l, b, a);
 }
 
-static Account *account(const HolderBudget *p, uint64_t grant) {
-  for (guint i = 0; i < p->accounts->len; i++) {
-    Account *a = p->accounts->pdata[i];
+static Account *find_account(const HolderBudget *b, uint64_t grant) {
+  for (guint i = 0; i < b->accounts->len; i++) {
+    Account *a = b->accounts->pdata[i];
     if (a->grant == grant) return a;
   }
   return NULL;
 }
 
-/* The newest account of a home: an older grant of it is over. */
-static Account *account_at(const HolderBudget *p, const char *home) {
-  for (guint i = p->accounts->len; i-- > 0;) {
-    Account *a = p->accounts->pdata[i];
+/* A home's newest account; its accounts of older grants are superseded. */
+static Account *newest_account_of_home(const HolderBudget *b,
+                                       const char *home) {
+  for (guint i = b->accounts->len; i-- > 0;) {
+    Account *a = b->accounts->pdata[i];
     if (strcmp(a->home, home) == 0) return a;
   }
   return NULL;
 }
 
-static Account *richest(const HolderBudget *p) {
+static Account *account_with_most_free(const HolderBudget *b) {
   Account *best = NULL;
-  for (guint i = 0; i < p->accounts->len; i++) {
-    Account *a = p->accounts->pdata[i];
+  for (guint i = 0; i < b->accounts->len; i++) {
+    Account *a = b->accounts->pdata[i];
     if (a->closing) continue;
-    if (!best || free_of(a) > free_of(best)) best = a;
+    if (!best || free_tokens(a) > free_tokens(best)) best = a;
   }
   return best;
 }
 
-/* == purses == */
+/* == budgets == */
 
-static HolderBudget *find_purse(Ledger *l, const char *budget) {
+static HolderBudget *find_budget(Ledger *l, const char *budget) {
   return g_hash_table_lookup(l->holder_budgets, budget);
 }
 
-static HolderBudget *add_purse(Ledger *l, const char *budget) {
-  HolderBudget *p = find_purse(l, budget);
-  if (p) return p;
-  p = g_new0(HolderBudget, 1);
-  p->ticked_at = l->now;
-  g_strlcpy(p->name, budget, sizeof p->name);
-  p->shard = shard_index(budget);
-  p->accounts = g_ptr_array_new_with_free_func(g_free);
-  g_queue_init(&p->waiters);
-  g_hash_table_insert(l->holder_budgets, p->name, p);
-  return p;
+static HolderBudget *ensure_budget(Ledger *l, const char *budget) {
+  HolderBudget *b = find_budget(l, budget);
+  if (b) return b;
+  b = g_new0(HolderBudget, 1);
+  b->ticked_at = l->now;
+  g_strlcpy(b->name, budget, sizeof b->name);
+  b->shard = shard_index(budget);
+  b->accounts = g_ptr_array_new_with_free_func(g_free);
+  g_queue_init(&b->waiters);
+  g_hash_table_insert(l->holder_budgets, b->name, b);
+  return b;
 }
 
 void holder_budget_free(gpointer v) {
-  HolderBudget *p = v;
-  g_ptr_array_free(p->accounts, TRUE);
-  g_queue_clear_full(&p->waiters, g_free);
-  g_free(p);
+  HolderBudget *b = v;
+  g_ptr_array_free(b->accounts, TRUE);
+  g_queue_clear_full(&b->waiters, g_free);
+  g_free(b);
 }
 
-/* What an account is to have beyond the requests that wait. A budget that is
-   seldom asked for here has nothing laid out: it would be missing elsewhere at
-   its end, and be lost with the instance. Laid out at each of 295
-   instances for 40 customers it was lost with a loss of power of all. */
-static int64_t laid_out(const Ledger *l, const HolderBudget *p) {
-  int64_t flow = (int64_t)(p->demand_per_s * l->account_cover_s);
-  if (p->demand_per_s < 1 || flow < p->typical_tokens) return 0;
-  if (l->now - p->reserve_called_at >= DESERTED) return 0;
-  return p->typical_tokens + flow;
+/* Tokens that an account should have beyond those for the waiting requests. For
+   a budget that is seldom used here it is none: they would be missing elsewhere
+   near the end of the budget, and are lost if the instance dies. With some kept
+   for 40 customers at each of 295 instances, a power failure of all of them
+   lost them all. */
+static int64_t tokens_to_keep(const Ledger *l, const HolderBudget *b) {
+  int64_t flow = (int64_t)(b->demand_per_s * l->account_cover_s);
+  if (b->demand_per_s < 1 || flow < b->typical_tokens) return 0;
+  if (l->now - b->reserve_called_at >= IDLE_BUDGET_S) return 0;
+  return b->typical_tokens + flow;
 }
 
 /* == reservations == */
 
-static bool take(Ledger *l, HolderBudget *p, uint64_t handle, int64_t amount) {
-  Account *a = richest(p);
-  if (!a || free_of(a) < amount) return false;
+static bool reserve_from_account(Ledger *l, HolderBudget *b, uint64_t handle,
+                                 int64_t amount) {
+  Account *a = account_with_most_free(b);
+  if (!a || free_tokens(a) < amount) return false;
   a->reserved += amount;
   Reservation *r = g_new0(Reservation, 1);
-  *r = (Reservation){.budget = p, .account = a, .amount = amount};
+  *r = (Reservation){.budget = b, .account = a, .amount = amount};
   g_hash_table_insert(l->reservations, g_memdup2(&handle, sizeof handle), r);
-  p->typical_tokens = amount;
-  p->needs_tick = true;
+  b->typical_tokens = amount;
+  b->needs_tick = true;
   ledger_add_answer(l, handle, ERR_NONE, 0);
   return true;
 }
 
-static void drop_waiter(Ledger *l, HolderBudget *p, GList *link) {
+static void drop_waiter(Ledger *l, HolderBudget *b, GList *link) {
   Waiter *w = link->data;
   g_hash_table_remove(l->waiting, &w->handle);
-  g_queue_delete_link(&p->waiters, link);
+  g_queue_delete_link(&b->waiters, link);
   g_free(w);
 }
 
-static void refuse(Ledger *l, HolderBudget *p, GList *link, ErrKind cause) {
+static void refuse_waiter(Ledger *l, HolderBudget *b, GList *link,
+                          ErrKind cause) {
   const Waiter *w = link->data;
-  bool away = cause == ERR_BUDGET_STORE;
-  int retry_ms = cause == ERR_BUDGET_EMPTY ? 0 : away ? BACK_AWAY_MS : BACK_MS;
+  bool store_down = cause == ERR_BUDGET_STORE;
+  int retry_ms = cause == ERR_BUDGET_EMPTY ? 0
+                 : store_down              ? RETRY_AFTER_OUTAGE_MS
+                                           : RETRY_AFTER_MS;
   ledger_add_answer(l, w->handle, cause, retry_ms);
-  drop_waiter(l, p, link);
+  drop_waiter(l, b, link);
 }
 
-/* Whoever fits is served; a large request at the head does not hold up small
-   ones, its own wait is bounded anyway. */
-static void serve(Ledger *l, HolderBudget *p) {
-  for (GList *i = p->waiters.head, *next; i; i = next) {
+/* Serves every waiter that fits. A large request at the head doesn't block
+   small ones behind it; its own wait is bounded. */
+static void serve_waiters(Ledger *l, HolderBudget *b) {
+  for (GList *i = b->waiters.head, *next; i; i = next) {
     next = i->next;
     const Waiter *w = i->data;
-    if (take(l, p, w->handle, w->amount)) drop_waiter(l, p, i);
+    if (reserve_from_account(l, b, w->handle, w->amount)) drop_waiter(l, b, i);
   }
 }
 
-/* Asks a home for tokens. After two tries without an answer the next choice is
-   asked, which acts as a home just as well. */
-static void ask(Ledger *l, HolderBudget *p) {
-  if (p->draw_sent_at == 0 && l->now - p->first_choice_at > FIRST_AGAIN)
-    p->draw_tries = 0;
-  if (p->draw_tries == 0) p->first_choice_at = l->now;
-  const Member *home = ledger_home(l, p->shard, p->draw_tries / 2);
+/* Requests tokens from a home. After two tries without an answer the request
+   goes to the next choice, which can act as a home too. */
+static void send_draw(Ledger *l, HolderBudget *b) {
+  if (b->draw_sent_at == 0 &&
+      l->now - b->first_choice_at > FIRST_CHOICE_RETRY_S)
+    b->draw_tries = 0;
+  if (b->draw_tries == 0) b->first_choice_at = l->now;
+  const Member *home = ledger_home(l, b->shard, b->draw_tries / 2);
   if (!home) {
-    p->draw_tries = 0;
-    home = ledger_home(l, p->shard, 0);
+    b->draw_tries = 0;
+    home = ledger_home(l, b->shard, 0);
   }
-  p->draw_sent_at = l->now;
-  p->draw_tries++;
+  b->draw_sent_at = l->now;
+  b->draw_tries++;
   if (!home || l->draining) return;
-  Account *a = account_at(p, home->id);
+  Account *a = newest_account_of_home(b, home->id);
   if (a && a->superseded) a = NULL;
-  if (a) a->closing = false; /* its home is asked again: it is in use again */
-  int64_t have = a ? free_of(a) : 0;
+  if (a) a->closing = false; /* in use again */
+  int64_t have = a ? free_tokens(a) : 0;
   int64_t sum = 0;
-  for (GList *i = p->waiters.head; i; i = i->next)
+  for (GList *i = b->waiters.head; i; i = i->next)
     sum += ((Waiter *)i->data)->amount;
-  const Waiter *head = p->waiters.head ? p->waiters.head->data : NULL;
-  LedgerMsg m = ledger_make_msg(LEDGER_DRAW, p->name, a ? a->grant : 0);
+  const Waiter *head = b->waiters.head ? b->waiters.head->data : NULL;
+  LedgerMsg m = ledger_make_msg(LEDGER_DRAW, b->name, a ? a->grant : 0);
   m.need = head ? head->amount - have : 0;
   if (m.need < 0) m.need = 0;
-  m.want = sum + laid_out(l, p) - have;
+  m.want = sum + tokens_to_keep(l, b) - have;
   if (m.want < m.need) m.want = m.need;
   if (a) {
     m.granted = a->granted;
@@ -193,13 +201,13 @@
   ledger_send(l, home->id, &m);
 }
 
-/* Seconds until an unanswered draw goes out again, and after two to the next
-   choice. A home that spoke just now is busy, not gone: others that step in
-   for it would only race it for the store. */
-static double patience(const Ledger *l, const HolderBudget *p) {
-  bool spoke =
-      p->draw_answered_at > 0 && l->now - p->draw_answered_at < HOME_SPOKE;
-  return spoke ? LEDGER_RESEND : LEDGER_REDRAW;
+/* Seconds until an unanswered DRAW is sent again, after two to the next choice.
+   A home that has answered recently is busy, not gone: another home in its
+   place would only compete with it for the store. */
+static double draw_resend_s(const Ledger *l, const HolderBudget *b) {
+  bool answered_recently =
+      b->draw_answered_at > 0 && l->now - b->draw_answered_at < RECENT_ANSWER_S;
+  return answered_recently ? LEDGER_RESEND : LEDGER_REDRAW;
 }
 
 void holder_reserve(Ledger *l, uint64_t handle, const char *budget,
@@ -213,181 +221,190 @@
     ledger_add_answer(l, handle, ERR_NO_BUDGET, 0);
     return;
   }
-  HolderBudget *p = add_purse(l, budget);
-  p->reserve_called_at = l->now;
-  if (take(l, p, handle, amount)) return;
+  HolderBudget *b = ensure_budget(l, budget);
+  b->reserve_called_at = l->now;
+  if (reserve_from_account(l, b, handle, amount)) return;
   Waiter *w = g_new0(Waiter, 1);
   *w = (Waiter){handle, amount, l->now + LEDGER_DRAW_WAIT, ERR_BUDGET_CUT};
-  g_queue_push_tail(&p->waiters, w);
-  g_hash_table_insert(l->waiting, g_memdup2(&handle, sizeof handle), p);
-  if (p->draw_sent_at == 0 || l->now - p->draw_sent_at >= patience(l, p))
-    ask(l, p);
+  g_queue_push_tail(&b->waiters, w);
+  g_hash_table_insert(l->waiting, g_memdup2(&handle, sizeof handle), b);
+  if (b->draw_sent_at == 0 || l->now - b->draw_sent_at >= draw_resend_s(l, b))
+    send_draw(l, b);
 }
 
-static GList *waiter_link(HolderBudget *p, uint64_t handle) {
-  for (GList *i = p->waiters.head; i; i = i->next)
+static GList *waiter_link(HolderBudget *b, uint64_t handle) {
+  for (GList *i = b->waiters.head; i; i = i->next)
     if (((Waiter *)i->data)->handle == handle) return i;
   return NULL;
 }
 
 void holder_settle(Ledger *l, uint64_t handle, int64_t used) {
   assert(used >= 0);
-  HolderBudget *queued = g_hash_table_lookup(l->waiting, &handle);
-  if (queued) {
-    drop_waiter(l, queued, waiter_link(queued, handle));
+  HolderBudget *waiting_in = g_hash_table_lookup(l->waiting, &handle);
+  if (waiting_in) {
+    drop_waiter(l, waiting_in, waiter_link(waiting_in, handle));
     return;
   }
   Reservation *r = g_hash_table_lookup(l->reservations, &handle);
-  if (!r) return; /* settled before: each request is settled once */
+  if (!r) return; /* already settled */
   Account *a = r->account;
-  HolderBudget *p = r->budget;
+  HolderBudget *b = r->budget;
   a->reserved -= r->amount;
   a->spent += used;
   if (l->faults.settle_twice) a->reserved -= r->amount;
-  p->demand_per_s += (double)used / RATE_TAU;
+  b->demand_per_s += (double)used / DEMAND_AVERAGE_S;
   if (!l->faults.settle_twice) g_hash_table_remove(l->reservations, &handle);
-  if (a->closing) give_back(l, p, a, free_of(a));
-  serve(l, p);
+  if (a->closing) return_tokens(l, b, a, free_tokens(a));
+  serve_waiters(l, b);
 }
 
 /* == messages from homes == */
 
-/* The home that answered is cut off from the store; another instance may not
-   be, unless it answers nobody. True when there is one more choice to ask. */
-static bool try_next(const Ledger *l, HolderBudget *p, const char *from) {
-  int choices = l->store_down ? 1 : MIN(l->region_members, CHOICES);
+/* Selects the choice after `from`, which can't reach the store; another
+   instance may reach it, unless the store is down for all. False when there is
+   no further choice. */
+static bool skip_to_next_home(const Ledger *l, HolderBudget *b,
+                              const char *from) {
+  int choices = l->store_down ? 1 : MIN(l->region_members, MAX_HOME_CHOICES);
   for (int rank = 0; rank + 1 < choices; rank++) {
-    const Member *m = ledger_home(l, p->shard, rank);
+    const Member *m = ledger_home(l, b->shard, rank);
     if (!m || strcmp(m->id, from) != 0) continue;
-    p->draw_tries = 2 * (rank + 1);
+    b->draw_tries = 2 * (rank + 1);
     return true;
   }
   return false;
 }
 
-/* What a home says to one who waits, the others hear as well when their own
-   wait ends: it was reached. That a larger request can never be covered does
-   not hold for a smaller one. */
-static void note_cause(HolderBudget *p, ErrKind cause, int64_t amount) {
+/* A home's answer to the first waiter becomes the refusal cause of the other
+   waiters too, as it shows that the home was reached. But that a request of
+   `amount` can never be covered does not hold for a smaller one. */
+static void set_waiter_causes(HolderBudget *b, ErrKind cause, int64_t amount) {
   if (cause == ERR_NONE) cause = ERR_BUDGET_HELD;
-  for (GList *i = p->waiters.head; i; i = i->next) {
+  for (GList *i = b->waiters.head; i; i = i->next) {
     Waiter *w = i->data;
-    bool less = cause == ERR_BUDGET_EMPTY && w->amount < amount;
-    w->cause = less ? ERR_BUDGET_HELD : cause;
+    bool is_smaller = cause == ERR_BUDGET_EMPTY && w->amount < amount;
+    w->cause = is_smaller ? ERR_BUDGET_HELD : cause;
   }
 }
 
 void holder_on_allot(Ledger *l, const char *from, const LedgerMsg *m) {
-  HolderBudget *p = find_purse(l, m->budget);
-  if (!p) p = add_purse(l, m->budget);
+  HolderBudget *b = find_budget(l, m->budget);
+  if (!b) b = ensure_budget(l, m->budget);
   if (g_hash_table_contains(l->closed_grants, &m->grant)) return;
-  Account *a = account(p, m->grant);
+  Account *a = find_account(b, m->grant);
   if (!a && m->granted > 0) {
-    for (guint i = 0; i < p->accounts->len; i++) {
-      Account *old = p->accounts->pdata[i];
-      if (strcmp(old->home, from) == 0) old->superseded = old->closing = true;
+    for (guint i = 0; i < b->accounts->len; i++) {
+      Account *older = b->accounts->pdata[i];
+      if (strcmp(older->home, from) == 0)
+        older->superseded = older->closing = true;
     }
     a = g_new0(Account, 1);
     a->grant = m->grant;
     g_strlcpy(a->home, from, sizeof a->home);
-    g_ptr_array_add(p->accounts, a);
+    g_ptr_array_add(b->accounts, a);
   }
   if (a && m->granted > a->granted) {
     a->granted = m->granted;
     a->superseded = false;
   }
   if (a) a->allotted_at = l->now;
-  p->draw_sent_at = 0;
-  p->draw_answered_at = l->now;
-  /* Whoever answered is asked first next time. */
-  if (p->draw_tries > 0) p->draw_tries = (p->draw_tries - 1) / 2 * 2;
-  serve(l, p);
-  GList *head = p->waiters.head;
-  if (head) note_cause(p, m->cause, ((Waiter *)head->data)->amount);
-  if (head && m->cause == ERR_BUDGET_STORE && try_next(l, p, from)) {
-    ask(l, p);
+  b->draw_sent_at = 0;
+  b->draw_answered_at = l->now;
+  /* The next DRAW goes first to the home that answered. */
+  if (b->draw_tries > 0) b->draw_tries = (b->draw_tries - 1) / 2 * 2;
+  serve_waiters(l, b);
+  GList *head = b->waiters.head;
+  if (head) set_waiter_causes(b, m->cause, ((Waiter *)head->data)->amount);
+  if (head && m->cause == ERR_BUDGET_STORE && skip_to_next_home(l, b, from)) {
+    send_draw(l, b);
     return;
   }
-  if (m->cause != ERR_NONE && head) refuse(l, p, head, m->cause);
-  if (p->waiters.head) ask(l, p);
+  if (m->cause != ERR_NONE && head) refuse_waiter(l, b, head, m->cause);
+  if (b->waiters.head) send_draw(l, b);
 }
 
-static void forget(Ledger *l, HolderBudget *p, Account *a) {
+static void close_account(Ledger *l, HolderBudget *b, Account *a) {
   g_hash_table_add(l->closed_grants, g_memdup2(&a->grant, sizeof a->grant));
-  g_ptr_array_remove(p->accounts, a);
+  g_ptr_array_remove(b->accounts, a);
 }
 
 void holder_on_report_ack(Ledger *l, const LedgerMsg *m) {
-  HolderBudget *p = find_purse(l, m->budget);
-  Account *a = p ? account(p, m->grant) : NULL;
+  HolderBudget *b = find_budget(l, m->budget);
+  Account *a = b ? find_account(b, m->grant) : NULL;
   if (!a) return;
   if (m->returned > a->acked_returned) a->acked_returned = m->returned;
   if (m->spent > a->acked_spent) a->acked_spent = m->spent;
-  bool over = a->closing && a->reserved == 0 && free_of(a) <= 0 && told(a);
-  if (m->final && over) forget(l, p, a);
+  bool is_done =
+      a->closing && a->reserved == 0 && free_tokens(a) <= 0 && is_acked(a);
+  if (m->final && is_done) close_account(l, b, a);
 }
 
 void holder_on_return(Ledger *l, const LedgerMsg *m) {
-  HolderBudget *p = find_purse(l, m->budget);
-  Account *a = p ? account(p, m->grant) : NULL;
+  HolderBudget *b = find_budget(l, m->budget);
+  Account *a = b ? find_account(b, m->grant) : NULL;
   if (!a) return;
-  int64_t n = free_of(a);
+  int64_t n = free_tokens(a);
   if (n > 0)
-    give_back(l, p, a, n);
+    return_tokens(l, b, a, n);
   else
-    report(l, p, a);
+    send_report(l, b, a);
 }
 
 /* == time == */
 
-static bool speaks(const Ledger *l, const Account *a) {
-  return l->now - a->allotted_at < LINGER && view_find(l->view, a->home);
-}
-
-static void tick_accounts(Ledger *l, HolderBudget *p) {
-  const Member *home = ledger_home(l, p->shard, 0);
-  p->needs_tick = l->draining;
-  for (guint i = 0; i < p->accounts->len; i++) {
-    Account *a = p->accounts->pdata[i];
-    bool current = !home || strcmp(home->id, a->home) == 0;
-    /* With nobody to ask, what we have stays in use. */
-    a->closing = l->draining || a->superseded || (!current && !speaks(l, a));
-    p->needs_tick |= a->closing;
-    if (a->closing) give_back(l, p, a, free_of(a));
-    int64_t keep = laid_out(l, p);
-    int64_t idle =
-        keep ? p->typical_tokens + (int64_t)(p->demand_per_s * LEDGER_IDLE) : 0;
-    /* A budget seldom asked for: one report for spent and returned together. */
-    bool soon = p->demand_per_s < 1 && a->reserved > 0;
-    if (!a->closing && !soon && p->waiters.length == 0 && free_of(a) > idle)
-      give_back(l, p, a, free_of(a) - keep);
-    bool pending = !told(a) || a->closing;
+static bool home_is_active(const Ledger *l, const Account *a) {
+  return l->now - a->allotted_at < ACTIVE_HOME_S && view_find(l->view, a->home);
+}
+
+static void tick_accounts(Ledger *l, HolderBudget *b) {
+  const Member *home = ledger_home(l, b->shard, 0);
+  b->needs_tick = l->draining;
+  for (guint i = 0; i < b->accounts->len; i++) {
+    Account *a = b->accounts->pdata[i];
+    bool is_current = !home || strcmp(home->id, a->home) == 0;
+    /* Without a home in the view, the accounts stay in use. */
+    a->closing =
+        l->draining || a->superseded || (!is_current && !home_is_active(l, a));
+    b->needs_tick |= a->closing;
+    if (a->closing) return_tokens(l, b, a, free_tokens(a));
+    int64_t keep = tokens_to_keep(l, b);
+    int64_t max_free =
+        keep ? b->typical_tokens + (int64_t)(b->demand_per_s * LEDGER_IDLE) : 0;
+    /* For a budget that is seldom used, one report covers both the spent and
+   the returned tokens. */
+    bool will_report_soon = b->demand_per_s < 1 && a->reserved > 0;
+    if (!a->closing && !will_report_soon && b->waiters.length == 0 &&
+        free_tokens(a) > max_free)
+      return_tokens(l, b, a, free_tokens(a) - keep);
+    bool pending = !is_acked(a) || a->closing;
     double wait = a->closing ? LEDGER_RESEND : LEDGER_REPORT_EVERY;
-    if (pending && l->now - a->reported_at >= wait) report(l, p, a);
+    if (pending && l->now - a->reported_at >= wait) send_report(l, b, a);
   }
 }
 
-static void tick_waiters(Ledger *l, HolderBudget *p) {
-  for (GList *i = p->waiters.head, *next; i; i = next) {
+static void tick_waiters(Ledger *l, HolderBudget *b) {
+  for (GList *i = b->waiters.head, *next; i; i = next) {
     next = i->next;
     const Waiter *w = i->data;
     if (l->draining)
-      refuse(l, p, i, ERR_DRAINING);
+      refuse_waiter(l, b, i, ERR_DRAINING);
     else if (l->now >= w->deadline)
-      refuse(l, p, i, w->cause);
+      refuse_waiter(l, b, i, w->cause);
   }
-  double quiet = l->now - p->draw_sent_at;
-  if (p->waiters.head) {
-    if (p->draw_sent_at == 0 || quiet >= patience(l, p)) ask(l, p);
+  double elapsed = l->now - b->draw_sent_at;
+  if (b->waiters.head) {
+    if (b->draw_sent_at == 0 || elapsed >= draw_resend_s(l, b)) send_draw(l, b);
     return;
   }
-  /* Ask ahead, so that a request need not wait for a message. */
-  const Account *a = richest(p);
-  int64_t low = (int64_t)(p->demand_per_s * l->account_cover_s / 2);
-  if (l->draining || !laid_out(l, p) || (a && free_of(a) >= low)) return;
-  if (l->now - p->prefetched_at < l->account_cover_s * AHEAD_SHARE) return;
-  p->prefetched_at = l->now;
-  ask(l, p);
+  /* Requests tokens in advance, so that a reservation need not wait for a
+   message. */
+  const Account *a = account_with_most_free(b);
+  int64_t low = (int64_t)(b->demand_per_s * l->account_cover_s / 2);
+  if (l->draining || !tokens_to_keep(l, b) || (a && free_tokens(a) >= low))
+    return;
+  if (l->now - b->prefetched_at < l->account_cover_s * PREFETCH_SHARE) return;
+  b->prefetched_at = l->now;
+  send_draw(l, b);
 }
 
 void holder_tick(Ledger *l) {
@@ -395,27 +412,27 @@
   gpointer v;
   g_hash_table_iter_init(&it, l->holder_budgets);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    HolderBudget *p = v;
-    bool quiet = !p->needs_tick && !p->waiters.head && !l->draining;
-    if (quiet && l->now - p->ticked_at < LEDGER_LOOK) continue;
-    p->demand_per_s *= exp(-(l->now - p->ticked_at) / RATE_TAU);
-    p->ticked_at = l->now;
-    tick_accounts(l, p);
-    tick_waiters(l, p);
-    bool idle =
-        p->accounts->len == 0 && !p->waiters.head && p->demand_per_s < 1;
-    if (idle) g_hash_table_iter_remove(&it);
+    HolderBudget *b = v;
+    bool at_rest = !b->needs_tick && !b->waiters.head && !l->draining;
+    if (at_rest && l->now - b->ticked_at < LEDGER_LOOK) continue;
+    b->demand_per_s *= exp(-(l->now - b->ticked_at) / DEMAND_AVERAGE_S);
+    b->ticked_at = l->now;
+    tick_accounts(l, b);
+    tick_waiters(l, b);
+    bool is_unused =
+        b->accounts->len == 0 && !b->waiters.head && b->demand_per_s < 1;
+    if (is_unused) g_hash_table_iter_remove(&it);
   }
 }
 
-static bool left(const Account *a) {
-  return free_of(a) <= 0 && a->reserved == 0 && told(a);
+static bool is_released(const Account *a) {
+  return free_tokens(a) <= 0 && a->reserved == 0 && is_acked(a);
 }
 
 bool holder_has_released(Ledger *l, const char *budget, uint64_t grant) {
-  const HolderBudget *p = find_purse(l, budget);
-  const Account *a = p ? account(p, grant) : NULL;
-  return !a || left(a);
+  const HolderBudget *b = find_budget(l, budget);
+  const Account *a = b ? find_account(b, grant) : NULL;
+  return !a || is_released(a);
 }
 
 bool holder_is_empty(const Ledger *l) {
@@ -425,9 +442,9 @@
   gpointer v;
   g_hash_table_iter_init(&it, l->holder_budgets);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    const HolderBudget *p = v;
-    for (guint i = 0; i < p->accounts->len; i++)
-      if (!left(p->accounts->pdata[i])) return false;
+    const HolderBudget *b = v;
+    for (guint i = 0; i < b->accounts->len; i++)
+      if (!is_released(b->accounts->pdata[i])) return false;
   }
   return true;
 }
