--- a/packages/ledger/sync.c
+++ b/packages/ledger/sync.c
@@ -1,20 +1,21 @@
-/* stored.c: one conditional update at a time per shard; every wish is put into
-   whatever version is found, so a lost race or a lost answer is just read
-   again. */
+/* sync.c: synchronises the shards with the store, with one conditional update
+   at a time per shard. All pending changes are applied to whatever version is
+   found, so after a conflict or a lost answer the shard is just read again. */
 #include "ledger/state.h"
 #include "store/pace.h"
 
 #include <string.h>
 
-#define REFRESH 30.0 /* a shard that is ours is looked at this often */
-#define FIRST_READ                                                             \
-  3.0                 /* the same without a cause after its first sight: while \
-                         instances start, each thinks that it is the home */
-#define UNSEALED 10.0 /* a report waits this long for its grant's seal */
-/* Seconds between two writes of budgets nearly used up. */
-#define DRY_EVERY 1.0
-/* Seconds over which the homes come back to the store after an outage. */
-#define BACK_SPREAD 0.2
+#define READ_INTERVAL_S                                                        \
+  30.0 /* for a shard of which this instance is the home */
+#define FIRST_READ_S                                                           \
+  3.0 /* delay of a shard's first read without another cause: while instances  \
+         start, each takes itself for the home */
+#define SEAL_WAIT_S 10.0 /* a report waits this long for its grant's seal */
+/* Between two writes of a shard whose budgets are nearly used up. */
+#define LOW_BUDGET_WRITE_INTERVAL_S 1.0
+/* After an outage the homes' calls to the store are spread over this time. */
+#define RESTORE_SPREAD_S 0.2
 
 ShardState *sync_shard(Ledger *l, int index) {
   ShardState *s = l->shards[index];
@@ -22,7 +23,7 @@
   s = l->shards[index] = g_new0(ShardState, 1);
   s->index = index;
   s->budgets = g_ptr_array_new();
-  s->next_read_at = l->now + FIRST_READ * (0.5 + g_rand_double(l->rng));
+  s->next_read_at = l->now + FIRST_READ_S * (0.5 + g_rand_double(l->rng));
   return s;
 }
 
@@ -33,7 +34,7 @@
   g_free(s);
 }
 
-/* == putting wishes into the document == */
+/* == applying pending changes to the document == */
 
 static bool apply_row(ShardBudget *b, const LedgerBudget *row) {
   if (b->table_version >= row->version) return false;
@@ -48,8 +49,8 @@
     const PendingSeal *s = h->seals->pdata[i];
     ShardGrant *g = shard_find_grant(b, s->grant);
     if (!g || g->sealed || !s->is_answered) continue;
-    /* Only the witness that the document names knows the limit: one that the
-       home has left meanwhile agreed to less than was given out. */
+    /* Only the witness that the document names knows the limit. One that the
+       home has replaced since may have agreed to less than was allotted. */
     if (strcmp(g->witness, s->witness) != 0) continue;
     shard_seal_grant(g, s->limit, s->returned_to_home, false, l->unix_s);
     changed = true;
@@ -57,22 +58,24 @@
   return changed;
 }
 
-/* A grant whose home and witness are both gone can't be sealed. What its
-   holders report is kept all the same, or none of them could ever stop. */
-static bool never_sealed(const Ledger *l, const OrphanReport *x,
-                         const ShardGrant *g) {
-  return l->now - x->received_at >= UNSEALED && !view_find(l->view, g->home);
+/* A grant whose home and witness are both gone can't be sealed. Its holders'
+   reports are stored all the same, otherwise no holder could ever finish a
+   drain. */
+static bool cannot_be_sealed(const Ledger *l, const OrphanReport *x,
+                             const ShardGrant *g) {
+  return l->now - x->received_at >= SEAL_WAIT_S && !view_find(l->view, g->home);
 }
 
-/* A grant that is sealed here is sealed for good. One that is missing here may
-   be newer than our copy: only a copy read since can say that it is gone. */
-static bool apply_late(Ledger *l, ShardState *s, HomeBudget *h,
-                       ShardBudget *b) {
+/* A grant that is sealed in this copy stays sealed. One that is missing may be
+   newer than the copy: only a copy read after the report arrived shows that the
+   grant is gone. */
+static bool apply_orphan_reports(Ledger *l, ShardState *s, HomeBudget *h,
+                                 ShardBudget *b) {
   bool changed = false;
   for (guint i = 0; i < h->orphan_reports->len; i++) {
     OrphanReport *x = h->orphan_reports->pdata[i];
     ShardGrant *g = shard_find_grant(b, x->grant);
-    x->applied = g ? g->sealed || never_sealed(l, x, g)
+    x->applied = g ? g->sealed || cannot_be_sealed(l, x, g)
                    : s->confirmed_at > x->received_at;
     if (!g && !x->applied) s->must_reread = s->dirty = true;
     if (!g || !x->applied) continue;
@@ -82,8 +85,8 @@
   return changed;
 }
 
-/* Hands over: what nobody holds goes back, and the grant is sealed with just
-   what was given out, so that the reports to come account for all of it. */
+/* Hands a grant over: returns its free tokens, and seals it with exactly what
+   was allotted, so that later reports can account for all of it. */
 static bool apply_handover(Ledger *l, HomeGrant *g, ShardBudget *b,
                            ShardGrant *sg) {
   if (!sg || sg->sealed) return false;
@@ -105,8 +108,9 @@
   return true;
 }
 
-/* Reports that others took in while we seemed gone. */
-static void take_back(HomeGrant *g, const ShardGrant *sg) {
+/* Applies reports that other instances stored while they took this one for
+   gone. */
+static void apply_stored_reports(HomeGrant *g, const ShardGrant *sg) {
   GHashTableIter it;
   gpointer k, v;
   if (!sg->reports) return;
@@ -117,19 +121,19 @@
   }
 }
 
-static bool apply_held(Ledger *l, const ShardState *s, HomeBudget *h,
-                       ShardBudget *b) {
+static bool apply_grant(Ledger *l, const ShardState *s, HomeBudget *h,
+                        ShardBudget *b) {
   HomeGrant *g = h->home_grant;
   if (!g) return false;
   ShardGrant *sg = shard_find_grant(b, g->id);
-  if (sg) take_back(g, sg);
+  if (sg) apply_stored_reports(g, sg);
   if (g->frozen) return apply_handover(l, g, b, sg);
   if ((sg && sg->sealed) || (!sg && g->stored)) return false;
   bool changed = false;
   if (sg) {
-    /* What is spent may wait for its time or for another cause to write. */
-    bool due = l->now - s->written_at >= l->report_write_s;
-    changed = sg->returned != g->returned || (due && sg->spent != g->spent);
+    /* The spent count is written at its interval or with another change. */
+    bool is_due = l->now - s->written_at >= l->report_write_s;
+    changed = sg->returned != g->returned || (is_due && sg->spent != g->spent);
     sg->returned = g->returned;
     if (changed) sg->spent = g->spent;
     if (g->next_has_agreed && strcmp(sg->witness, g->next_witness) != 0) {
@@ -153,7 +157,7 @@
   return true;
 }
 
-static bool apply_folds(Ledger *l, ShardBudget *b) {
+static bool remove_settled_grants(Ledger *l, ShardBudget *b) {
   bool changed = false;
   for (guint i = 0; i < b->grants->len;) {
     if (shard_remove_settled(b, b->grants->pdata[i], l->unix_s))
@@ -164,7 +168,7 @@
   return changed;
 }
 
-static bool apply(Ledger *l, ShardState *s) {
+static bool apply_changes(Ledger *l, ShardState *s) {
   bool changed = false;
   const GPtrArray *rows = l->rows_by_shard[s->index];
   for (guint i = 0; rows && i < rows->len; i++) {
@@ -176,28 +180,28 @@
     ShardBudget *b = shard_find_budget(s->doc, h->name);
     if (!b) continue;
     changed |= apply_seals(l, h, b);
-    changed |= apply_late(l, s, h, b);
-    changed |= apply_held(l, s, h, b);
-    changed |= apply_folds(l, b);
+    changed |= apply_orphan_reports(l, s, h, b);
+    changed |= apply_grant(l, s, h, b);
+    changed |= remove_settled_grants(l, b);
   }
   return changed;
 }
 
-/* == after a version is known to be the store's == */
+/* == after a version is known to be current == */
 
-static void confirm_held(HomeBudget *h, const ShardBudget *b) {
+static void confirm_grant(HomeBudget *h, const ShardBudget *b) {
   HomeGrant *g = h->home_grant;
   if (!g) return;
   const ShardGrant *sg = b ? shard_find_grant(b, g->id) : NULL;
-  bool over = sg ? sg->sealed : (g->stored || g->frozen);
-  if (over) {
+  bool is_over = sg ? sg->sealed : (g->stored || g->frozen);
+  if (is_over) {
     home_drop_grant(h);
     return;
   }
   if (!sg) return;
   if (!g->stored && strcmp(g->witness, sg->witness) != 0) {
-    /* Chosen anew while the first update was on its way: a successor will ask
-       the one that the document names. */
+    /* The witness was replaced while the first update was in progress, but a
+       successor will query the one that the document names. */
     g_strlcpy(g->witness, sg->witness, sizeof g->witness);
     g->limit = g->limit_requested = 0;
   }
@@ -212,7 +216,7 @@
   }
 }
 
-static void confirm_late(Ledger *l, HomeBudget *h) {
+static void confirm_orphan_reports(Ledger *l, HomeBudget *h) {
   for (guint i = 0; i < h->orphan_reports->len;) {
     const OrphanReport *x = h->orphan_reports->pdata[i];
     if (!x->applied) {
@@ -239,31 +243,32 @@
   }
 }
 
-/* Wishes that the document now shows are done with. */
-static void confirm_wishes(Ledger *l, ShardState *s) {
+/* Removes pending changes that the document now contains. */
+static void confirm_changes(Ledger *l, ShardState *s) {
   for (guint i = 0; i < s->budgets->len; i++) {
     HomeBudget *h = s->budgets->pdata[i];
     const ShardBudget *b = shard_find_budget(s->doc, h->name);
-    confirm_held(h, b);
-    confirm_late(l, h);
+    confirm_grant(h, b);
+    confirm_orphan_reports(l, h);
     confirm_seals(h, b);
     h->remaining = b ? shard_budget_remaining(b) : 0;
     h->unspent = b ? b->total - b->written_off - shard_budget_spent(b) : 0;
   }
 }
 
-static void confirm(Ledger *l, ShardState *s) {
+static void confirm_doc(Ledger *l, ShardState *s) {
   s->newest_version = s->version;
   s->confirmed_at = l->now;
   s->backoff = 0;
   s->down_since = 0;
-  s->next_read_at = l->now + REFRESH * (0.75 + g_rand_double(l->rng) / 2);
-  confirm_wishes(l, s);
+  s->next_read_at =
+      l->now + READ_INTERVAL_S * (0.75 + g_rand_double(l->rng) / 2);
+  confirm_changes(l, s);
   for (guint i = 0; i < s->budgets->len; i++) {
     HomeBudget *h = s->budgets->pdata[i];
-    bool back = !h->home_grant ||
-                h->home_grant->stored_returned >= h->home_grant->returned;
-    if (h->notify_recaller && back) {
+    bool is_returned = !h->home_grant || h->home_grant->stored_returned >=
+                                             h->home_grant->returned;
+    if (h->notify_recaller && is_returned) {
       h->notify_recaller = false;
       LedgerMsg m = ledger_make_msg(LEDGER_RECALL_DONE, h->name, 0);
       ledger_send(l, h->recaller, &m);
@@ -276,18 +281,19 @@
 
 /* == store operations == */
 
-static void start(Ledger *l, ShardState *s, LedgerActionKind what) {
-  LedgerAction *a = ledger_add_action(l, what);
+static void start_call(Ledger *l, ShardState *s, LedgerActionKind kind) {
+  LedgerAction *a = ledger_add_action(l, kind);
   a->shard = s->index;
   s->call_pending = true;
   s->call_started_at = l->now;
-  s->call_is_put = what == LEDGER_ACTION_PUT;
+  s->call_is_put = kind == LEDGER_ACTION_PUT;
   if (!s->call_is_put) return;
   a->version = s->version;
   a->text = shard_encode(s->doc);
 }
 
-/* What was put into a document that is dropped was not put anywhere. */
+/* Drops the local copy; reports that were applied only to it are pending
+   again. */
 static void forget_doc(ShardState *s) {
   shard_free(s->doc);
   s->doc = NULL;
@@ -298,20 +304,21 @@
   }
 }
 
-/* A stop does not wait for others to say that the store is back. */
-static bool waits_for_store(const Ledger *l) {
+/* A draining instance calls the store without waiting for the others to report
+   that it is back. */
+static bool must_wait_for_store(const Ledger *l) {
   return l->store_down && !l->draining;
 }
 
-/* The last tokens of a budget are few, and its homes would hand them to and fro
-   with each request: three budgets of 40 made 949 of 2,236 writes of a fleet of
-   295. Requests that wait are served from what comes back to the home. */
-static bool nearly_dry(const Ledger *l, const ShardState *s) {
+/* Homes would pass the few last tokens of a budget back and forth with each
+   request: 3 of 40 budgets caused 949 of the 2,236 writes of 295 instances.
+   Waiting requests are served from tokens that holders return to the home. */
+static bool is_nearly_used_up(const Ledger *l, const ShardState *s) {
   for (guint i = 0; i < s->budgets->len; i++) {
     const HomeBudget *h = s->budgets->pdata[i];
     const LedgerBudget *row = g_hash_table_lookup(l->rows, h->name);
-    double least = row ? LEDGER_UNUSED * (double)row->total : 0;
-    if ((double)h->remaining >= least) return false;
+    double threshold = row ? LEDGER_UNUSED * (double)row->total : 0;
+    if ((double)h->remaining >= threshold) return false;
   }
   return s->budgets->len > 0;
 }
@@ -319,26 +326,27 @@
 void sync_store_restored(Ledger *l) {
   for (int i = 0; i < LIMIT_SHARDS; i++) {
     ShardState *s = l->shards[i];
-    if (s) s->retry_at = l->now + BACK_SPREAD * g_rand_double(l->rng);
+    if (s) s->retry_at = l->now + RESTORE_SPREAD_S * g_rand_double(l->rng);
   }
 }
 
 void sync_start_call(Ledger *l, ShardState *s) {
   if (s->call_pending || !s->dirty || l->now < s->retry_at) return;
-  if (waits_for_store(l)) return;
-  bool wrote = l->now - s->written_at < DRY_EVERY && s->written_at > 0;
-  if (wrote && !l->draining && nearly_dry(l, s)) return;
+  if (must_wait_for_store(l)) return;
+  bool wrote_recently =
+      l->now - s->written_at < LOW_BUDGET_WRITE_INTERVAL_S && s->written_at > 0;
+  if (wrote_recently && !l->draining && is_nearly_used_up(l, s)) return;
   if (s->must_reread) forget_doc(s);
   s->must_reread = false;
   if (!s->doc) {
-    start(l, s, LEDGER_ACTION_GET);
+    start_call(l, s, LEDGER_ACTION_GET);
     return;
   }
   s->dirty = false;
-  if (apply(l, s))
-    start(l, s, LEDGER_ACTION_PUT);
+  if (apply_changes(l, s))
+    start_call(l, s, LEDGER_ACTION_PUT);
   else
-    confirm_wishes(l, s);
+    confirm_changes(l, s);
 }
 
 void sync_touch(Ledger *l, ShardState *s) {
@@ -348,52 +356,53 @@
   g_queue_push_tail(&l->touched_shards, s);
 }
 
-static void back_off(Ledger *l, ShardState *s) {
+static void schedule_retry(Ledger *l, ShardState *s) {
   s->retry_at = l->now + pace_backoff(&s->backoff, g_rand_double(l->rng));
 }
 
-static void got(Ledger *l, ShardState *s, uint64_t version, const char *text) {
-  /* A read may be served from an old copy: never step back. */
-  bool stale = version < s->newest_version;
-  Shard *doc = stale ? NULL : text ? shard_decode(text) : shard_new();
-  if (!doc) { /* stale, or not ours to mend: ask again later */
+static void receive_doc(Ledger *l, ShardState *s, uint64_t version,
+                        const char *text) {
+  /* A read may return an old copy, which must not replace a newer one. */
+  bool is_stale = version < s->newest_version;
+  Shard *doc = is_stale ? NULL : text ? shard_decode(text) : shard_new();
+  if (!doc) { /* stale, or damaged, which can't be repaired here: read again */
     s->dirty = true;
-    back_off(l, s);
+    schedule_retry(l, s);
     return;
   }
   forget_doc(s);
   s->doc = doc;
   s->version = version;
   s->dirty = true;
-  confirm(l, s);
+  confirm_doc(l, s);
 }
 
 void sync_result(Ledger *l, ShardState *s, ErrKind kind, uint64_t version,
                  const char *text) {
   if (!s->call_pending) return;
-  bool putting = s->call_is_put;
+  bool was_put = s->call_is_put;
   s->call_pending = s->call_is_put = false;
   switch (kind) {
   case ERR_NONE:
-    if (putting) {
+    if (was_put) {
       s->version = version;
       s->written_at = l->now;
-      confirm(l, s);
+      confirm_doc(l, s);
     } else {
-      got(l, s, version, text);
+      receive_doc(l, s, version, text);
     }
     break;
-  case ERR_STORE_ABSENT: got(l, s, 0, NULL); break;
+  case ERR_STORE_ABSENT: receive_doc(l, s, 0, NULL); break;
   case ERR_STORE_CONFLICT:
     forget_doc(s);
     s->dirty = true;
     s->retry_at = l->now + g_rand_double(l->rng) * 0.02;
     break;
-  default: /* no answer: it may have taken effect, so read before all else */
+  default: /* no answer: a write may have taken effect, so read first */
     forget_doc(s);
     s->dirty = true;
     if (s->down_since == 0) s->down_since = l->now;
-    back_off(l, s);
+    schedule_retry(l, s);
     for (guint i = 0; i < s->budgets->len; i++)
       home_serve_draws(l, s->budgets->pdata[i]);
     break;
@@ -404,14 +413,14 @@
 void sync_tick(Ledger *l) {
   for (int i = 0; i < LIMIT_SHARDS; i++) {
     ShardState *s = l->shards[i];
-    bool ours = l->rows_by_shard[i] && ledger_is_home(l, i) && !l->draining;
-    if (!s && !ours) continue;
+    bool is_home = l->rows_by_shard[i] && ledger_is_home(l, i) && !l->draining;
+    if (!s && !is_home) continue;
     if (!s) s = sync_shard(l, i);
-    if (ours && l->now >= s->next_read_at && !s->call_pending) {
-      s->next_read_at = l->now + REFRESH;
+    if (is_home && l->now >= s->next_read_at && !s->call_pending) {
+      s->next_read_at = l->now + READ_INTERVAL_S;
       s->must_reread = s->dirty = true;
     }
-    if (ours && l->now - s->grants_checked_at >= LEDGER_LOOK) {
+    if (is_home && l->now - s->grants_checked_at >= LEDGER_LOOK) {
       s->grants_checked_at = l->now;
       home_check_grants(l, s);
     }
