--- a/packages/ledger/witness.c
+++ b/packages/ledger/witness.c
@@ -1,15 +1,17 @@
-/* witness.c: who agrees to how much a home gives out. The witness's side keeps
-   one number a grant; the home's side asks for more room, and for another
-   witness when its own is gone. */
+/* witness.c: limits on what a home may allot. A witness is another instance
+   that keeps the limit of a grant, so that a successor can learn the limit when
+   the home is gone. The home requests higher limits ahead of need, and replaces
+   a witness that is gone. */
 #include "ledger/state.h"
 
 #include <string.h>
 
-#define SILENT 0.5 /* seconds until an unanswered witness is replaced */
+#define WITNESS_TIMEOUT_S                                                      \
+  0.5 /* a witness that doesn't answer in this time is replaced */
 
 /* == the witness's side == */
 
-static WitnessedGrant *witnessed(Ledger *l, uint64_t grant) {
+static WitnessedGrant *ensure_witnessed(Ledger *l, uint64_t grant) {
   WitnessedGrant *w = g_hash_table_lookup(l->witnessed, &grant);
   if (w) return w;
   w = g_new0(WitnessedGrant, 1);
@@ -17,21 +19,21 @@
   return w;
 }
 
-/* The limit only grows, and not at all once sealed: what a home gave out under
-   this witness is never more than what the witness will tell a successor. */
+/* The limit only grows, and not at all once sealed: a home never allots more
+   under this witness than the limit that the witness reports to a successor. */
 void witness_on_raise(Ledger *l, const char *from, const LedgerMsg *m) {
-  WitnessedGrant *w = witnessed(l, m->grant);
-  bool refuse = w->sealed && !l->faults.no_witness_check;
-  if (!refuse && m->limit > w->limit) w->limit = m->limit;
+  WitnessedGrant *w = ensure_witnessed(l, m->grant);
+  bool must_refuse = w->sealed && !l->faults.no_witness_check;
+  if (!must_refuse && m->limit > w->limit) w->limit = m->limit;
   if (m->returned > w->returned_to_home) w->returned_to_home = m->returned;
   LedgerMsg r = ledger_make_msg(LEDGER_RAISE_ACK, m->budget, m->grant);
   r.limit = w->limit;
-  r.sealed = refuse;
+  r.sealed = must_refuse;
   ledger_send(l, from, &r);
 }
 
 void witness_on_seal(Ledger *l, const char *from, const LedgerMsg *m) {
-  WitnessedGrant *w = witnessed(l, m->grant);
+  WitnessedGrant *w = ensure_witnessed(l, m->grant);
   w->sealed = true;
   LedgerMsg r = ledger_make_msg(LEDGER_SEAL_ACK, m->budget, m->grant);
   r.limit = w->limit;
@@ -45,11 +47,10 @@
   return sync_shard(l, shard_index(h->name));
 }
 
-static void touch(Ledger *l, const HomeBudget *h) {
+static void touch_shard(Ledger *l, const HomeBudget *h) {
   sync_touch(l, shard_of(l, h));
 }
 
-/* What may still be given out without asking the witness. */
 int64_t witness_headroom(const HomeGrant *g) {
   if (!g->witness[0] && !g->is_moving) return INT64_MAX;
   return g->limit - g->allotted;
@@ -58,18 +59,18 @@
 void witness_choose(const Ledger *l, uint64_t grant, const char *avoid,
                     char *out) {
   const Member *self = view_find(l->view, l->self), *m;
-  const Member *best = NULL, *quiet = NULL;
+  const Member *best = NULL, *fallback = NULL;
   for (int r = 0; (m = view_home(l->view, l->region, grant, r)); r++) {
     if (strcmp(m->id, l->self) == 0) continue;
     if (strcmp(m->id, avoid) == 0) {
-      quiet = m;
+      fallback = m;
       continue;
     }
-    bool far = !self || strcmp(self->dc, m->dc) != 0;
-    if (!best || far) best = m;
-    if (far) break;
+    bool other_dc = !self || strcmp(self->dc, m->dc) != 0;
+    if (!best || other_dc) best = m;
+    if (other_dc) break;
   }
-  if (!best) best = quiet;
+  if (!best) best = fallback;
   g_strlcpy(out, best ? best->id : "", LIMIT_ID);
 }
 
@@ -77,30 +78,32 @@
   HomeGrant *g = h->home_grant;
   LedgerMsg m = ledger_make_msg(LEDGER_RAISE, h->name, g->id);
   m.limit = g->limit_requested;
-  m.returned =
-      g->returned_by_holders; /* so that it need not be written off with us */
+  m.returned = g->returned_by_holders; /* these need not be written off if this
+                                          home dies */
   g->raise_sent_at = l->now;
   if (g->unanswered_since == 0) g->unanswered_since = l->now;
   ledger_send(l, to, &m);
 }
 
-/* A witness that says nothing is not waited for until it is out of the view:
-   callers wait for its word. To move is safe at any time. */
-static bool is_silent(const Ledger *l, HomeGrant *g, const char *id) {
-  if (g->unanswered_since == 0 || l->now - g->unanswered_since < SILENT)
+/* Returns true, and marks the witness as unresponsive, when it has not answered
+   in time. The home doesn't wait until such a witness has left the view,
+   because callers wait for the answer; another witness is safe at any time. */
+static bool note_unresponsive(const Ledger *l, HomeGrant *g, const char *id) {
+  if (g->unanswered_since == 0 ||
+      l->now - g->unanswered_since < WITNESS_TIMEOUT_S)
     return false;
   g_strlcpy(g->unresponsive, id, sizeof g->unresponsive);
   g->unanswered_since = 0;
   return true;
 }
 
-/* Asks for room for `n` more tokens and for a few seconds of demand. */
 void witness_request_headroom(Ledger *l, HomeBudget *h, int64_t n) {
   HomeGrant *g = h->home_grant;
   if (g->is_moving || !g->witness[0]) return;
   int64_t ahead = (int64_t)(h->demand_per_s * l->witness_ahead_s);
-  /* What is agreed ahead is written off should we be lost: little of a small
-     budget, enough of a large one that not each gift needs a word. */
+  /* The headroom agreed in advance is written off if this home dies. So it is
+     little for a small budget, and for a large one enough that not every
+     allotment needs a message. */
   ahead = MAX(ahead, MIN(LEDGER_MIN_DRAW, h->remaining / 2048));
   ahead = MIN(ahead, MAX(home_free_tokens(g) - n, 0));
   if (g->limit_requested - g->allotted >= n + ahead / 2) return;
@@ -108,25 +111,26 @@
   send_raise(l, h, g->witness);
 }
 
-static bool needs_room(const HomeBudget *h) {
+static bool needs_headroom(const HomeBudget *h) {
   for (guint i = 0; i < h->draws->len; i++)
     if (((Draw *)h->draws->pdata[i])->need > witness_headroom(h->home_grant))
       return true;
   return false;
 }
 
-/* The grant gets another witness: it agrees to what was given out so far, then
-   the document names it. Until then nothing beyond the old limit is given. */
-static void move_witness(Ledger *l, HomeBudget *h) {
+/* Starts to replace the grant's witness: the next one agrees to what was
+   allotted so far, then the document names it. Until then nothing is allotted
+   above the old limit. */
+static void replace_witness(Ledger *l, HomeBudget *h) {
   HomeGrant *g = h->home_grant;
   char next[LIMIT_ID];
   witness_choose(l, g->id, g->unresponsive, next);
   if (strcmp(next, g->witness) == 0) return;
   if (!next[0]) {
-    /* Nobody is left: bound by the last limit, unless the store can take this
-       grant back for one without a witness. */
-    bool down = shard_of(l, h)->down_since > 0;
-    if (!down && needs_room(h)) home_freeze_grant(l, h);
+    /* No other instance is left, so the last limit holds. While the store is
+       up, the grant can be exchanged for one without a witness. */
+    bool store_is_down = shard_of(l, h)->down_since > 0;
+    if (!store_is_down && needs_headroom(h)) home_freeze_grant(l, h);
     return;
   }
   if (!g->witness[0]) g->limit = g->allotted;
@@ -142,10 +146,12 @@
   HomeBudget *h = g_hash_table_lookup(l->home_budgets, m->budget);
   HomeGrant *g = h ? h->home_grant : NULL;
   if (!g || g->id != m->grant) return;
-  bool asked = strcmp(from, g->is_moving ? g->next_witness : g->witness) == 0;
-  if (!asked) return;
+  bool is_expected =
+      strcmp(from, g->is_moving ? g->next_witness : g->witness) == 0;
+  if (!is_expected) return;
   g->unanswered_since = 0;
-  if (m->sealed) { /* somebody took us for gone: this grant is over */
+  if (m->sealed) { /* a successor took this home for gone: the grant has ended
+                    */
     shard_of(l, h)->must_reread = true;
     home_freeze_grant(l, h);
     return;
@@ -153,7 +159,7 @@
   if (g->is_moving) {
     if (m->limit < g->limit) return;
     g->next_has_agreed = true;
-    touch(l, h);
+    touch_shard(l, h);
     return;
   }
   if (m->limit > g->limit) g->limit = MIN(m->limit, g->limit_requested);
@@ -168,7 +174,7 @@
     s->is_answered = true;
     s->limit = m->limit;
     s->returned_to_home = m->returned;
-    touch(l, h);
+    touch_shard(l, h);
   }
 }
 
@@ -178,10 +184,11 @@
   HomeGrant *g = h->home_grant;
   if (g->is_moving) {
     const Member *m = view_find(l->view, g->next_witness);
-    bool lost = !g->next_has_agreed && (!m || is_silent(l, g, g->next_witness));
-    if (lost) {
+    bool is_lost =
+        !g->next_has_agreed && (!m || note_unresponsive(l, g, g->next_witness));
+    if (is_lost) {
       g->is_moving = false;
-      move_witness(l, h);
+      replace_witness(l, h);
     } else if (!g->next_has_agreed &&
                l->now - g->raise_sent_at >= LEDGER_RESEND) {
       send_raise(l, h, g->next_witness);
@@ -189,19 +196,20 @@
     return;
   }
   const Member *m = g->witness[0] ? view_find(l->view, g->witness) : NULL;
-  bool silent = m && is_silent(l, g, g->witness);
-  if (!g->stored && g->limit == 0 && (!m || silent)) {
-    /* No document names it yet: choose freely. */
+  bool is_unresponsive = m && note_unresponsive(l, g, g->witness);
+  if (!g->stored && g->limit == 0 && (!m || is_unresponsive)) {
+    /* No document names the witness yet, so any other one may take its place.
+     */
     witness_choose(l, g->id, g->unresponsive, g->witness);
-    g->limit_requested = 0; /* the next draw asks the new one */
+    g->limit_requested = 0; /* the next draw sends a RAISE to the new one */
     return;
   }
-  if (g->stored && (!m || m->leaving || silent)) {
-    move_witness(l, h);
+  if (g->stored && (!m || m->leaving || is_unresponsive)) {
+    replace_witness(l, h);
     if (g->is_moving) return;
   }
   if (!g->witness[0]) return;
-  bool open = g->limit_requested > g->limit;
-  if (open && l->now - g->raise_sent_at >= LEDGER_RESEND)
+  bool is_open = g->limit_requested > g->limit;
+  if (is_open && l->now - g->raise_sent_at >= LEDGER_RESEND)
     send_raise(l, h, g->witness);
 }
