--- a/packages/ledger/ledger.c
+++ b/packages/ledger/ledger.c
@@ -1,4 +1,4 @@
-/* ledger.c: events in, actions out. */
+/* ledger.c: the core's entry points, which take events and queue actions. */
 #include "ledger/state.h"
 
 #include <string.h>
@@ -46,24 +46,24 @@
   return true;
 }
 
-/* Worked out when it is first asked for: a view changes more often than most
-   shards are used, and each costs a pass over all members. */
-static const Member *first_home(const Ledger *l, int shard) {
-  Ledger *cache = (Ledger *)l;
+/* Computes a shard's home on first use in a view: views change more often than
+   most shards are used, and each home costs a pass over all members. */
+static const Member *cached_home(const Ledger *l, int shard) {
+  Ledger *writable = (Ledger *)l;
   if (l->first_home_epoch[shard] == l->view_epoch) return l->first_homes[shard];
-  cache->first_home_epoch[shard] = l->view_epoch;
-  cache->first_homes[shard] =
+  writable->first_home_epoch[shard] = l->view_epoch;
+  writable->first_homes[shard] =
       view_home(l->view, l->region, l->shard_keys[shard], 0);
   return l->first_homes[shard];
 }
 
 bool ledger_is_home(const Ledger *l, int shard) {
-  const Member *m = first_home(l, shard);
+  const Member *m = cached_home(l, shard);
   return m && strcmp(m->id, l->self) == 0;
 }
 
 const Member *ledger_home(const Ledger *l, int shard, int rank) {
-  if (rank == 0) return first_home(l, shard);
+  if (rank == 0) return cached_home(l, shard);
   return view_home(l->view, l->region, l->shard_keys[shard], rank);
 }
 
@@ -92,8 +92,9 @@
   }
 }
 
-/* Messages to ourselves are handled before the event ends, then shards. */
-static void finish(Ledger *l) {
+/* Handles messages from this instance to itself, then touched shards, before
+   the event ends. */
+static void process_queued(Ledger *l) {
   while (l->self_messages.length > 0 || l->touched_shards.length > 0) {
     LedgerMsg *m = g_queue_pop_head(&l->self_messages);
     if (m) {
@@ -107,7 +108,7 @@
   }
 }
 
-static void drop_index(Ledger *l) {
+static void clear_rows_by_shard(Ledger *l) {
   for (int i = 0; i < LIMIT_SHARDS; i++) {
     if (l->rows_by_shard[i]) g_ptr_array_free(l->rows_by_shard[i], TRUE);
     l->rows_by_shard[i] = NULL;
@@ -150,7 +151,7 @@
   while (ledger_next_action(l, &a)) g_free(a.text);
   g_queue_clear_full(&l->self_messages, g_free);
   g_queue_clear(&l->touched_shards);
-  drop_index(l);
+  clear_rows_by_shard(l);
   for (int i = 0; i < LIMIT_SHARDS; i++) sync_shard_free(l->shards[i]);
   g_hash_table_destroy(l->reservations);
   g_hash_table_destroy(l->waiting);
@@ -176,13 +177,13 @@
   l->now = now;
   view_free(l->view);
   l->view = view_copy(v);
-  bool small = v->n <= MEMBER_SMALL;
-  l->account_cover_s = small ? LEDGER_ACCOUNT_SMALL : LEDGER_ACCOUNT_S;
-  l->witness_ahead_s = small ? LEDGER_ACCOUNT_SMALL : LEDGER_AGREED_S;
+  bool is_small = v->n <= MEMBER_SMALL;
+  l->account_cover_s = is_small ? LEDGER_ACCOUNT_SMALL : LEDGER_ACCOUNT_S;
+  l->witness_ahead_s = is_small ? LEDGER_ACCOUNT_SMALL : LEDGER_AGREED_S;
   l->regions = view_regions(v);
   l->region_members = view_count(v, l->region);
   l->view_epoch++;
-  finish(l);
+  process_queued(l);
 }
 
 void ledger_set_budgets(Ledger *l, double now, const LedgerBudget *list,
@@ -190,58 +191,59 @@
   l->now = now;
   GHashTable *rows =
       g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-  drop_index(l);
+  clear_rows_by_shard(l);
   for (int i = 0; i < n; i++) {
     LedgerBudget *row = g_memdup2(&list[i], sizeof *row);
-    const LedgerBudget *old = g_hash_table_lookup(l->rows, row->name);
+    const LedgerBudget *previous = g_hash_table_lookup(l->rows, row->name);
     int shard = shard_index(row->name);
     if (!l->rows_by_shard[shard]) l->rows_by_shard[shard] = g_ptr_array_new();
     g_ptr_array_add(l->rows_by_shard[shard], row);
-    /* A row that is new to us is put there with the first draw. */
-    if (ledger_is_home(l, shard) && old && old->version != row->version)
+    /* A row that is new here is written to the shard with the first draw. */
+    if (ledger_is_home(l, shard) && previous &&
+        previous->version != row->version)
       sync_shard(l, shard)->dirty = true;
     g_hash_table_insert(rows, row->name, row);
   }
   g_hash_table_destroy(l->rows);
   l->rows = rows;
-  finish(l);
+  process_queued(l);
 }
 
 void ledger_reserve(Ledger *l, double now, uint64_t handle, const char *budget,
                     int64_t amount) {
   l->now = now;
   holder_reserve(l, handle, budget, amount);
-  finish(l);
+  process_queued(l);
 }
 
 void ledger_settle(Ledger *l, double now, uint64_t handle, int64_t used) {
   l->now = now;
   holder_settle(l, handle, used);
-  finish(l);
+  process_queued(l);
 }
 
 void ledger_receive(Ledger *l, double now, const char *from,
                     const LedgerMsg *m) {
   l->now = now;
   dispatch(l, from, m);
-  finish(l);
+  process_queued(l);
 }
 
 void ledger_store_result(Ledger *l, double now, int shard, ErrKind kind,
                          uint64_t version, const char *text) {
   l->now = now;
   sync_result(l, sync_shard(l, shard), kind, version, text);
-  finish(l);
+  process_queued(l);
 }
 
 void ledger_tick(Ledger *l, double now, int64_t unix_s) {
   l->now = now;
   l->unix_s = unix_s;
   holder_tick(l);
-  finish(l);
+  process_queued(l);
   home_tick(l);
   sync_tick(l);
-  finish(l);
+  process_queued(l);
 }
 
 void ledger_set_store_down(Ledger *l, double now, bool down) {
@@ -249,7 +251,7 @@
   l->now = now;
   l->store_down = down;
   if (!down) sync_store_restored(l);
-  finish(l);
+  process_queued(l);
 }
 
 void ledger_drain(Ledger *l, double now) {
@@ -269,7 +271,7 @@
   return true;
 }
 
-/* == what operators see == */
+/* == sums for operators == */
 
 LedgerSums ledger_sums(const Ledger *l) {
   LedgerSums s = {.waiting = (int)g_hash_table_size(l->waiting),
@@ -278,9 +280,9 @@
   gpointer v;
   g_hash_table_iter_init(&it, l->holder_budgets);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
-    const HolderBudget *p = v;
-    for (guint i = 0; i < p->accounts->len; i++) {
-      const Account *a = p->accounts->pdata[i];
+    const HolderBudget *b = v;
+    for (guint i = 0; i < b->accounts->len; i++) {
+      const Account *a = b->accounts->pdata[i];
       s.accounts++;
       s.reserved += a->reserved;
       s.spent += a->spent;
