--- a/packages/ledger/shard.c
+++ b/packages/ledger/shard.c
@@ -1,4 +1,4 @@
-/* shard.c: arithmetic of a budget shard. */
+/* shard.c: the data and the token arithmetic of one shard of the budgets. */
 #include "ledger/shard.h"
 
 #include <assert.h>
@@ -77,7 +77,8 @@
 
 /* == arithmetic == */
 
-static int64_t sum_back(const ShardGrant *g, bool only_final, int64_t *spent) {
+static int64_t sum_reports(const ShardGrant *g, bool only_final,
+                           int64_t *spent) {
   GHashTableIter it;
   gpointer v;
   int64_t returned = 0;
@@ -95,11 +96,11 @@
 int64_t shard_grant_outstanding(const ShardGrant *g) {
   int64_t open = g->granted - g->returned;
   if (!g->sealed) return open;
-  /* `limit` counts all that was ever given out, so all that ever came back
-     may be taken off it. */
-  int64_t back = sum_back(g, false, NULL);
-  int64_t bound = g->limit - MAX(back, g->known_returned);
-  return bound < open ? bound : open;
+  /* `limit` bounds the tokens ever allotted, so all tokens ever returned may be
+     subtracted. */
+  int64_t returned = sum_reports(g, false, NULL);
+  int64_t max_open = g->limit - MAX(returned, g->known_returned);
+  return max_open < open ? max_open : open;
 }
 
 int64_t shard_budget_remaining(const ShardBudget *b) {
@@ -113,9 +114,9 @@
   int64_t spent = b->closed_spent;
   for (guint i = 0; i < b->grants->len; i++) {
     const ShardGrant *g = b->grants->pdata[i];
-    int64_t back = 0;
-    sum_back(g, false, &back);
-    spent += back > g->spent ? back : g->spent;
+    int64_t reported = 0;
+    sum_reports(g, false, &reported);
+    spent += reported > g->spent ? reported : g->spent;
   }
   return spent;
 }
@@ -139,27 +140,29 @@
     r = g_new0(ShardReport, 1);
     g_hash_table_insert(g->reports, g_strdup(instance), r);
   }
-  /* Late and doubled reports carry smaller or equal counts: keep the max. */
-  bool news =
+  /* Delayed and duplicated reports carry smaller or equal counts: keep the
+     max. */
+  bool changed =
       returned > r->returned || spent > r->spent || (final && !r->final);
   if (returned > r->returned) r->returned = returned;
   if (spent > r->spent) r->spent = spent;
   r->final = r->final || final;
-  if (news) g->changed_unix_s = now;
-  return news;
+  if (changed) g->changed_unix_s = now;
+  return changed;
 }
 
 bool shard_remove_settled(ShardBudget *b, ShardGrant *g, int64_t now) {
   if (!g->sealed) return false;
   int64_t spent = 0;
-  sum_back(g, true, &spent);
-  int64_t out = shard_grant_outstanding(g);
-  bool whole = g->limit_is_exact && out <= spent;
-  if (!whole && now - g->changed_unix_s < (int64_t)LEDGER_RETIRE) return false;
-  if (!whole) sum_back(g, false, &spent);
-  b->closed_spent +=
-      spent; /* more than `out` only if a target broke its bound */
-  b->written_off += MAX(out - spent, 0);
+  sum_reports(g, true, &spent);
+  int64_t outstanding = shard_grant_outstanding(g);
+  bool is_complete = g->limit_is_exact && outstanding <= spent;
+  if (!is_complete && now - g->changed_unix_s < (int64_t)LEDGER_RETIRE)
+    return false;
+  if (!is_complete) sum_reports(g, false, &spent);
+  b->closed_spent += spent; /* exceeds the outstanding tokens only if a target
+                               used more than its limit */
+  b->written_off += MAX(outstanding - spent, 0);
   return g_ptr_array_remove(b->grants, g);
 }
 
