--- a/packages/ledger/shardio.c
+++ b/packages/ledger/shardio.c
@@ -1,6 +1,6 @@
-/* shardio.c: a budget shard as JSON. A shard is written often and holds a grant
-   for each budget and region, so arrays stand in place of names, and an id is
-   spelled once and then named by its place:
+/* shardio.c: encodes and decodes a shard as JSON. A shard is written often and
+   contains a grant for each budget and region. To keep it small, arrays replace
+   objects, and each id is stored once and then referred to by its index:
 
    {"ids": [ID...], "budgets": {NAME: [total, tv, closed, retired, [GRANT...]]}}
    GRANT: [id, home, witness, region, granted, returned, spent], then
@@ -13,52 +13,52 @@
 
 /* == encoding == */
 
-typedef struct Names {
+typedef struct IdTable {
   json_t *list;
-  GHashTable *places; /* name -> its place and 1 */
-} Names;
+  GHashTable *indexes; /* name -> its index in `list`, plus 1 */
+} IdTable;
 
-static json_t *place(Names *n, const char *name) {
-  gpointer at = g_hash_table_lookup(n->places, name);
+static json_t *intern_id(IdTable *n, const char *name) {
+  gpointer at = g_hash_table_lookup(n->indexes, name);
   if (!at) {
     json_array_append_new(n->list, json_string(name));
     at = GSIZE_TO_POINTER(json_array_size(n->list));
-    g_hash_table_insert(n->places, g_strdup(name), at);
+    g_hash_table_insert(n->indexes, g_strdup(name), at);
   }
   return json_integer((json_int_t)GPOINTER_TO_SIZE(at) - 1);
 }
 
-static json_t *encode_back(const ShardGrant *g) {
-  json_t *back = json_object();
+static json_t *encode_reports(const ShardGrant *g) {
+  json_t *reports = json_object();
   GHashTableIter it;
   gpointer k, v;
-  if (!g->reports) return back;
+  if (!g->reports) return reports;
   g_hash_table_iter_init(&it, g->reports);
   while (g_hash_table_iter_next(&it, &k, &v)) {
     const ShardReport *r = v;
-    json_object_set_new(back, k,
+    json_object_set_new(reports, k,
                         json_pack("[I,I,b]", (json_int_t)r->returned,
                                   (json_int_t)r->spent, (int)r->final));
   }
-  return back;
+  return reports;
 }
 
-static json_t *encode_grant(Names *n, const ShardGrant *g) {
-  json_t *o = json_pack("[I,o,o,o,I,I,I]", (json_int_t)g->id, place(n, g->home),
-                        place(n, g->witness), place(n, g->region),
-                        (json_int_t)g->granted, (json_int_t)g->returned,
-                        (json_int_t)g->spent);
+static json_t *encode_grant(IdTable *n, const ShardGrant *g) {
+  json_t *o = json_pack("[I,o,o,o,I,I,I]", (json_int_t)g->id,
+                        intern_id(n, g->home), intern_id(n, g->witness),
+                        intern_id(n, g->region), (json_int_t)g->granted,
+                        (json_int_t)g->returned, (json_int_t)g->spent);
   if (!g->sealed && !g->reports) return o;
-  json_t *last = encode_back(g);
+  json_t *tail = encode_reports(g);
   if (g->sealed)
-    last = json_pack("[I,I,b,I,o]", (json_int_t)g->limit,
+    tail = json_pack("[I,I,b,I,o]", (json_int_t)g->limit,
                      (json_int_t)g->known_returned, (int)g->limit_is_exact,
-                     (json_int_t)g->changed_unix_s, last);
-  json_array_append_new(o, last);
+                     (json_int_t)g->changed_unix_s, tail);
+  json_array_append_new(o, tail);
   return o;
 }
 
-static json_t *encode_budget(Names *n, const ShardBudget *b) {
+static json_t *encode_budget(IdTable *n, const ShardBudget *b) {
   json_t *grants = json_array();
   for (guint i = 0; i < b->grants->len; i++)
     json_array_append_new(grants, encode_grant(n, b->grants->pdata[i]));
@@ -67,31 +67,31 @@
                    (json_int_t)b->written_off, grants);
 }
 
-static int by_name(gconstpointer a, gconstpointer b) {
+static int compare_names(gconstpointer a, gconstpointer b) {
   return strcmp(a, b);
 }
 
 char *shard_encode(const Shard *s) {
-  Names n = {json_array(),
-             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL)};
+  IdTable n = {json_array(),
+               g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL)};
   json_t *budgets = json_object();
-  /* In order, so that the same shard is always the same text. */
-  GList *names = g_list_sort(g_hash_table_get_keys(s->budgets), by_name);
+  /* Sorted, so that equal shards have the same text. */
+  GList *names = g_list_sort(g_hash_table_get_keys(s->budgets), compare_names);
   for (GList *i = names; i; i = i->next)
     json_object_set_new(
         budgets, i->data,
         encode_budget(&n, g_hash_table_lookup(s->budgets, i->data)));
   g_list_free(names);
-  g_hash_table_destroy(n.places);
+  g_hash_table_destroy(n.indexes);
   return text_json(json_pack("{s:o,s:o}", "ids", n.list, "budgets", budgets));
 }
 
-/* == decoding: anything unexpected makes it no shard == */
+/* == decoding: a text with anything unexpected is rejected == */
 
-static bool decode_back(ShardGrant *g, json_t *back, int64_t changed) {
+static bool decode_reports(ShardGrant *g, json_t *reports, int64_t changed) {
   const char *k;
   json_t *v;
-  json_object_foreach(back, k, v) {
+  json_object_foreach(reports, k, v) {
     json_int_t returned, spent;
     int final;
     if (json_unpack(v, "[I,I,b]", &returned, &spent, &final) != 0) return false;
@@ -100,27 +100,27 @@
   return true;
 }
 
-static bool decode_last(ShardGrant *g, json_t *last) {
+static bool decode_tail(ShardGrant *g, json_t *tail) {
   json_int_t limit, known, changed;
   int exact;
-  json_t *back;
-  if (!last) return true;
-  if (json_is_object(last)) return decode_back(g, last, 0);
-  if (json_unpack(last, "[I,I,b,I,o]", &limit, &known, &exact, &changed,
-                  &back) != 0)
+  json_t *reports;
+  if (!tail) return true;
+  if (json_is_object(tail)) return decode_reports(g, tail, 0);
+  if (json_unpack(tail, "[I,I,b,I,o]", &limit, &known, &exact, &changed,
+                  &reports) != 0)
     return false;
   shard_seal_grant(g, limit, known, exact != 0, changed);
-  return decode_back(g, back, changed);
+  return decode_reports(g, reports, changed);
 }
 
 static bool decode_grant(ShardBudget *b, json_t *ids, json_t *o) {
-  json_int_t id, places[3], granted, returned, spent;
+  json_int_t id, indexes[3], granted, returned, spent;
   const char *names[3];
-  if (json_unpack(o, "[I,I,I,I,I,I,I]", &id, &places[0], &places[1], &places[2],
-                  &granted, &returned, &spent) != 0)
+  if (json_unpack(o, "[I,I,I,I,I,I,I]", &id, &indexes[0], &indexes[1],
+                  &indexes[2], &granted, &returned, &spent) != 0)
     return false;
   for (int i = 0; i < 3; i++) {
-    json_t *name = json_array_get(ids, (size_t)places[i]);
+    json_t *name = json_array_get(ids, (size_t)indexes[i]);
     names[i] = json_string_value(name);
     if (!names[i]) return false;
   }
@@ -130,7 +130,7 @@
   g->granted = granted;
   g->returned = returned;
   g->spent = spent;
-  return decode_last(g, json_array_get(o, 7));
+  return decode_tail(g, json_array_get(o, 7));
 }
 
 static bool decode_budget(Shard *s, json_t *ids, const char *name, json_t *o) {
@@ -152,7 +152,7 @@
   return true;
 }
 
-static Shard *decode(json_t *all) {
+static Shard *decode_document(json_t *all) {
   json_t *ids, *budgets, *o;
   const char *name;
   if (json_unpack(all, "{s:o,s:o}", "ids", &ids, "budgets", &budgets) != 0 ||
@@ -169,7 +169,7 @@
 
 Shard *shard_decode(const char *text) {
   json_t *all = json_loads(text, 0, NULL);
-  Shard *s = all ? decode(all) : NULL;
+  Shard *s = all ? decode_document(all) : NULL;
   json_decref(all);
   return s;
 }
