--- a/packages/ledger/outage.c
+++ b/packages/ledger/layup.c
@@ -1,4 +1,4 @@
-/* outage.c: the outage reserve, which is the number of tokens that a home holds
+/* layup.c: the outage reserve, which is the number of tokens that a home holds
    to serve demand while the store is down. */
 #include "ledger/state.h"
 
--- a/packages/ledger/shard.c
+++ b/packages/ledger/shard.c
@@ -98,8 +98,8 @@
   if (!g->sealed) return open;
   /* `limit` bounds the tokens ever allotted, so all tokens ever returned may be
      subtracted. */
-  int64_t returned = sum_reports(g, false, NULL);
-  int64_t max_open = g->limit - MAX(returned, g->known_returned);
+  int64_t back = sum_reports(g, false, NULL);
+  int64_t max_open = g->limit - MAX(back, g->known_returned);
   return max_open < open ? max_open : open;
 }
 
--- a/packages/ledger/state.h
+++ b/packages/ledger/state.h
@@ -243,7 +243,7 @@
 /* Seals grants of the shard whose homes are gone. */
 void home_check_grants(Ledger *l, ShardState *s);
 
-/* == outage.c == */
+/* == layup.c == */
 
 /* Counts tokens that were allotted; below 0: that holders returned unused. */
 void outage_note_allotted(HomeBudget *h, int64_t tokens);
@@ -274,7 +274,7 @@
 void witness_on_seal_ack(Ledger *l, const char *from, const LedgerMsg *m);
 void witness_tick(Ledger *l, HomeBudget *h);
 
-/* == sync.c == */
+/* == stored.c == */
 
 ShardState *sync_shard(Ledger *l, int index);
 /* Queues the shard to be synchronised before the event ends. */
--- a/packages/ledger/sync.c
+++ b/packages/ledger/stored.c
@@ -1,4 +1,4 @@
-/* sync.c: synchronises the shards with the store, with one conditional update
+/* stored.c: synchronises the shards with the store, with one conditional update
    at a time per shard. All pending changes are applied to whatever version is
    found, so after a conflict or a lost answer the shard is just read again. */
 #include "ledger/state.h"
