--- a/bin/loftpathd.c
+++ b/bin/loftpathd.c
@@ -226,7 +226,7 @@
   sigaddset(&set, SIGINT);
   pthread_sigmask(SIG_BLOCK, &set, NULL); /* before any thread is made */
   signal(SIGPIPE, SIG_IGN);
-  atomic_store(&entry.store_heard, clock_unix());
+  atomic_store(&entry.store_last_contact, clock_unix());
   for (size_t i = 0; i < G_N_ELEMENTS(services); i++)
     ok = ok && service_add(&kernel, &services[i], &e);
   if (!ok || !service_start(&kernel, &e)) {
--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -282,7 +282,7 @@
   (void)r;
   json_t *list = json_array();
   pools_each(e->pools, add_target, list);
-  int64_t silent = clock_unix() - atomic_load(&e->store_heard);
+  int64_t silent = clock_unix() - atomic_load(&e->store_last_contact);
   LedgerSums n = fleet_sums(e->fleet);
   return reply(
       json_pack("{s:s,s:I,s:b,s:I,s:i,s:b,s:I,s:I,s:o,s:o}", "instance",
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -26,7 +26,7 @@
   HttpServer *server;
   atomic_bool draining;
   atomic_int open;                 /* requests in progress */
-  atomic_int_fast64_t store_heard; /* unix seconds of the last good answer */
+  atomic_int_fast64_t store_last_contact; /* unix seconds of the last good answer */
 } Entry;
 
 bool entry_open(Entry *e, Err *err);
--- a/packages/entry/watch.c
+++ b/packages/entry/watch.c
@@ -29,7 +29,7 @@
 }
 
 static void heard_store(Watch *w) {
-  atomic_store(&w->entry->store_heard, clock_unix());
+  atomic_store(&w->entry->store_last_contact, clock_unix());
 }
 
 /* == table == */
--- a/packages/fleet/cluster.c
+++ b/packages/fleet/cluster.c
@@ -81,7 +81,7 @@
   Cluster *c = call->cluster;
   StoreObject o = {0};
   char *text = NULL;
-  if (store_object(a, &o) && !call->put && o.content)
+  if (store_parse_object(a, &o) && !call->put && o.content)
     text = json_dumps(o.content, JSON_COMPACT);
   if (a->kind != ERR_NONE && a->kind != ERR_STORE_ABSENT)
     log_info("budget-call", "s:i,s:b,s:s", "shard", call->shard, "write",
--- a/packages/fleet/fleet.c
+++ b/packages/fleet/fleet.c
@@ -122,7 +122,7 @@
 
 static void spread_view(Fleet *f, const View *v) {
   log_info("view", "s:i", "members", v->n);
-  jobs_share(f->host.jobs, v->n);
+  jobs_set_instances(f->host.jobs, v->n);
   for (int i = 0; i < ALL_LANES; i++) {
     Lane *l = &f->lanes[i];
     pthread_mutex_lock(&l->lock);
--- a/packages/fleet/lane.c
+++ b/packages/fleet/lane.c
@@ -37,7 +37,7 @@
     Job j = {.urgent = true,
              .done = on_ledger_stored,
              .ctx = l,
-             .shard = a.shard,
+             .caller_shard = a.shard,
              .version = a.version,
              .text = a.text};
     switch (a.action) {
@@ -63,7 +63,7 @@
   OnceAction a;
   char addr[LIMIT_NAME];
   while (once_next(l->once, &a)) {
-    Job j = {.ctx = l, .shard = a.shard, .part = a.part, .version = a.version};
+    Job j = {.ctx = l, .caller_shard = a.shard, .caller_part = a.part, .version = a.version};
     g_strlcpy(j.name, a.name, sizeof j.name);
     switch (a.what) {
     case ONCE_DO_SEND:
@@ -111,7 +111,7 @@
 static void on_ledger_stored(void *ctx, const Job *j, PlatformAnswer *a) {
   Lane *l = ctx;
   pthread_mutex_lock(&l->lock);
-  ledger_store_result(l->ledger, clock_now(), j->shard, a->kind, a->version,
+  ledger_store_result(l->ledger, clock_now(), j->caller_shard, a->kind, a->version,
                 j->kind == JOB_GET ? a->text : NULL);
   do_ledger(l);
   pthread_mutex_unlock(&l->lock);
@@ -121,7 +121,7 @@
 static void on_once_stored(void *ctx, const Job *j, PlatformAnswer *a) {
   Lane *l = ctx;
   pthread_mutex_lock(&l->lock);
-  once_stored(l->once, clock_now(), j->shard, j->part, a->kind, a->version,
+  once_stored(l->once, clock_now(), j->caller_shard, j->caller_part, a->kind, a->version,
               j->kind == JOB_GET ? a->text : NULL);
   do_once(l);
   pthread_mutex_unlock(&l->lock);
--- a/packages/flow/trying.c
+++ b/packages/flow/trying.c
@@ -101,7 +101,7 @@
     return;
   }
   if (t->well) trials_gone(t->relay->trials, t->trial.digest);
-  if (a->kind == ERR_NONE && !t->well && store_object(a, &o)) {
+  if (a->kind == ERR_NONE && !t->well && store_parse_object(a, &o)) {
     Trial closed = trials_close(&t->trial, t->outcome);
     closed.revision = o.revision;
     trials_set(t->relay->trials, now_of(t->relay), &closed);
@@ -118,7 +118,7 @@
   t->calling = false;
   name_of(t, name);
   if (a->kind != ERR_NONE && a->kind != ERR_STORE_ABSENT) return;
-  bool ours = store_object(a, &o) &&
+  bool ours = store_parse_object(a, &o) &&
               trials_read(name, o.content, o.revision, &found) &&
               found.by == t->trial.by;
   if (!ours) {
@@ -200,14 +200,14 @@
   Trial found;
   char name[DIGEST_TEXT];
   name_of(t, name);
-  if (store_object(a, &o) && trials_read(name, o.content, o.revision, &found))
+  if (store_parse_object(a, &o) && trials_read(name, o.content, o.revision, &found))
     trials_set(t->relay->trials, now_of(t->relay), &found);
 }
 
 static void on_made(Try *t, const StoreAnswer *a) {
   StoreObject o;
   Run *x = t->run;
-  if (store_object(a, &o)) t->trial.revision = o.revision;
+  if (store_parse_object(a, &o)) t->trial.revision = o.revision;
   trials_set(t->relay->trials, now_of(t->relay), &t->trial);
   log_try(t, "begins");
   count_add(COUNT_TRIALS, 1);
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -360,7 +360,7 @@
 /* What the store was called for since the last such line. */
 static void log_calls(Node *n) {
   n->calls_at = loopclock_now(n->loop);
-  json_t *news = calls_news(store_calls(n->store));
+  json_t *news = calls_take_unreported(store_calls(n->store));
   if (news) log_info("store-calls", "s:O", "calls", news);
   json_decref(news);
 }
@@ -402,7 +402,7 @@
 
 static void print_metrics(Node *n, GString *out) {
   count_print(out);
-  calls_print(store_calls(n->store), out);
+  calls_print_metrics(store_calls(n->store), out);
 }
 
 static void on_question(void *ctx, Caller *c, const CallerReq *r,
--- a/packages/once/claim.c
+++ b/packages/once/claim.c
@@ -201,7 +201,7 @@
   }
   if (claimio_read_parts(o, s)) return;
   bool small = o->view->n <= MEMBER_SMALL;
-  pace_rate(&s->pace, small ? CLAIM_WRITES_SMALL : CLAIM_WRITES, o->now);
+  pace_set_rate(&s->pace, small ? CLAIM_WRITES_SMALL : CLAIM_WRITES, o->now);
   Pace before = s->pace;
   double wait = pace_take(&s->pace, o->now, true);
   if (wait > 0) {
--- a/packages/store/jobs.h
+++ b/packages/store/jobs.h
@@ -1,5 +1,5 @@
-/* jobs.h: threads that do the platform's calls, urgent ones first, within the
-   rates that this instance may use. */
+/* jobs.h: worker threads that make the blocking calls to the platform, urgent
+   ones first, within the call rates of this instance. */
 #ifndef STORE_JOBS_H
 #define STORE_JOBS_H
 
@@ -11,7 +11,7 @@
 
 typedef struct Job {
   JobKind kind;
-  bool urgent; /* draws and claims; others are housekeeping */
+  bool urgent; /* draws and claims; other jobs are housekeeping */
   char name[160];
   uint64_t version;
   char *text; /* PUT; owned by the job */
@@ -19,18 +19,20 @@
      callee. */
   void (*done)(void *ctx, const struct Job *j, PlatformAnswer *a);
   void *ctx;
-  int shard;     /* the owner's, */
-  uint64_t part; /* and this */
+  int caller_shard;     /* for the caller's use */
+  uint64_t caller_part; /* likewise */
 } Job;
 
 typedef struct Jobs Jobs;
 
-Jobs *jobs_open(const char *addr, int threads, int wait_s);
-/* How many instances share the platform's rates; 1 until told. */
-void jobs_share(Jobs *j, int instances);
-/* Copies the job, takes over its text. */
+/* `timeout_s` limits each call. */
+Jobs *jobs_open(const char *addr, int threads, int timeout_s);
+/* Sets the number of instances that share the platform's call rates. Until
+   then this instance may use the rates of one that is alone. */
+void jobs_set_instances(Jobs *j, int instances);
+/* Copies the job and takes over its text. */
 void jobs_add(Jobs *j, const Job *job);
-/* Waits for calls in progress; what is queued is dropped. */
+/* Waits for calls in progress; queued jobs are dropped. */
 void jobs_close(Jobs *j);
 
 #endif
--- a/tests/test_calls.c
+++ b/tests/test_calls.c
@@ -9,15 +9,15 @@
 
 Test(calls, are_told_as_counts_since_the_last_word) {
   Calls *c = calls_new();
-  calls_note(c, "servers", CALLS_READER, CALLS_WATCH, CALLS_EMPTY, false);
-  calls_note(c, "servers", CALLS_READER, CALLS_WATCH, CALLS_EMPTY, false);
-  calls_note(c, "budgets", CALLS_BUDGET, CALLS_PUT, CALLS_REFUSED, true);
-  json_t *news = calls_news(c);
+  calls_record(c, "servers", CALLS_READER, CALLS_WATCH, CALLS_EMPTY, false);
+  calls_record(c, "servers", CALLS_READER, CALLS_WATCH, CALLS_EMPTY, false);
+  calls_record(c, "budgets", CALLS_BUDGET, CALLS_PUT, CALLS_REFUSED, true);
+  json_t *news = calls_take_unreported(c);
   cr_assert_eq(json_array_size(news), 2);
   json_decref(news);
-  cr_assert_null(calls_news(c));
-  calls_note(c, "servers", CALLS_READER, CALLS_WATCH, CALLS_EMPTY, false);
-  news = calls_news(c);
+  cr_assert_null(calls_take_unreported(c));
+  calls_record(c, "servers", CALLS_READER, CALLS_WATCH, CALLS_EMPTY, false);
+  news = calls_take_unreported(c);
   char *text = json_dumps(news, JSON_COMPACT);
   cr_assert_str_eq(text,
                    "[[\"servers\",\"reader\",\"watch\",\"empty\",false,1]]");
@@ -29,8 +29,8 @@
 Test(calls, stand_in_the_metrics) {
   Calls *c = calls_new();
   GString *out = g_string_new(NULL);
-  calls_note(c, "budgets", CALLS_BUDGET, CALLS_PUT, CALLS_REFUSED, true);
-  calls_print(c, out);
+  calls_record(c, "budgets", CALLS_BUDGET, CALLS_PUT, CALLS_REFUSED, true);
+  calls_print_metrics(c, out);
   cr_assert_not_null(
       strstr(out->str, "loftpath_store_calls_total{kind=\"budgets\",purpose="
                        "\"budget\",op=\"put\",outcome=\"refused\",trouble="
--- a/tests/test_kernel.c
+++ b/tests/test_kernel.c
@@ -80,10 +80,10 @@
   Pace p;
   int calls = 0;
   pace_init(&p, 10, 0);
-  pace_rate(&p, 0.25, 0);
+  pace_set_rate(&p, 0.25, 0);
   for (int i = 0; i <= 1000; i++) calls += pace_take(&p, i * 0.01, true) <= 0;
   cr_assert_eq(calls, 4, "two at once and one each four seconds: %d", calls);
-  pace_rate(&p, 10, 10);
+  pace_set_rate(&p, 10, 10);
   calls = 0;
   for (int i = 0; i <= 1000; i++)
     calls += pace_take(&p, 10 + i * 0.01, true) <= 0;
