--- a/packages/store/jobs.c
+++ b/packages/store/jobs.c
@@ -1,4 +1,4 @@
-/* jobs.c: a small pool of blocking callers. */
+/* jobs.c: a small thread pool with two queues and two rate limits. */
 #include "store/jobs.h"
 
 #include <errno.h>
@@ -13,17 +13,18 @@
 
 struct Jobs {
   char *addr;
-  int wait_s, n;
+  int timeout_s, thread_count;
   bool stop;
   pthread_mutex_t lock;
-  pthread_cond_t more;
-  GQueue urgent, later; /* Job* */
+  pthread_cond_t job_added;
+  GQueue urgent, background; /* Job* */
   Pace reads, writes;
   pthread_t threads[MAX_THREADS];
 };
 
-/* Takes the first job that its rate allows; else sets *wait. */
-static Job *take(GQueue *q, Jobs *j, bool urgent, double *wait) {
+/* Takes the first job that its rate limit allows now; if there is none, lowers
+ *wait to the shortest time until one is allowed. */
+static Job *take_allowed(GQueue *q, Jobs *j, bool urgent, double *wait) {
   double now = clock_now();
   for (GList *i = q->head; i; i = i->next) {
     Job *job = i->data;
@@ -38,13 +39,13 @@
   return NULL;
 }
 
-static void wait_for(Jobs *j, double seconds) {
+static void wait_for_job(Jobs *j, double seconds) {
   struct timespec t;
   clock_gettime(CLOCK_MONOTONIC, &t);
   gint64 ns = t.tv_nsec + (gint64)(seconds * 1e9);
   t.tv_sec += ns / 1000000000;
   t.tv_nsec = ns % 1000000000;
-  pthread_cond_timedwait(&j->more, &j->lock, &t);
+  pthread_cond_timedwait(&j->job_added, &j->lock, &t);
 }
 
 static Job *next_job(Jobs *j) {
@@ -52,9 +53,9 @@
   pthread_mutex_lock(&j->lock);
   while (!j->stop && !job) {
     double wait = 1.0;
-    job = take(&j->urgent, j, true, &wait);
-    if (!job) job = take(&j->later, j, false, &wait);
-    if (!job) wait_for(j, wait);
+    job = take_allowed(&j->urgent, j, true, &wait);
+    if (!job) job = take_allowed(&j->background, j, false, &wait);
+    if (!job) wait_for_job(j, wait);
   }
   pthread_mutex_unlock(&j->lock);
   return job;
@@ -66,7 +67,7 @@
   g_free(job);
 }
 
-static PlatformAnswer call(Platform *p, const Job *job) {
+static PlatformAnswer execute_job(Platform *p, const Job *job) {
   switch (job->kind) {
   case JOB_GET: return platform_get(p, job->name);
   case JOB_PUT: return platform_put(p, job->name, job->version, job->text);
@@ -75,12 +76,12 @@
   g_assert_not_reached();
 }
 
-static void *work(void *arg) {
+static void *run_worker(void *arg) {
   Jobs *j = arg;
-  Platform *p = platform_open(j->addr, j->wait_s);
+  Platform *p = platform_open(j->addr, j->timeout_s);
   Job *job;
   while ((job = next_job(j))) {
-    PlatformAnswer a = call(p, job);
+    PlatformAnswer a = execute_job(p, job);
     if (job->done)
       job->done(job->ctx, job, &a);
     else
@@ -91,54 +92,60 @@
   return NULL;
 }
 
-Jobs *jobs_open(const char *addr, int threads, int wait_s) {
+Jobs *jobs_open(const char *addr, int threads, int timeout_s) {
   Jobs *j = g_new0(Jobs, 1);
   j->addr = g_strdup(addr);
-  j->wait_s = wait_s;
-  j->n = MIN(threads, MAX_THREADS);
+  j->timeout_s = timeout_s;
+  j->thread_count = MIN(threads, MAX_THREADS);
   pthread_condattr_t attr;
   pthread_condattr_init(&attr);
   pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
-  pthread_cond_init(&j->more, &attr);
+  pthread_cond_init(&j->job_added, &attr);
   pthread_condattr_destroy(&attr);
   pthread_mutex_init(&j->lock, NULL);
   pace_init(&j->reads, STORE_READS, clock_now());
   pace_init(&j->writes, STORE_WRITES, clock_now());
-  for (int i = 0; i < j->n; i++) pthread_create(&j->threads[i], NULL, work, j);
+  for (int i = 0; i < j->thread_count; i++)
+    pthread_create(&j->threads[i], NULL, run_worker, j);
   return j;
 }
 
-/* A small fleet need not divide: all together stay within the rates. */
-static double share(double most, double all, int instances) {
-  return MIN(most, all / MAX(instances, 1));
+/* The rate of one instance: in a small fleet the max, as all instances together
+   stay within the fleet's rate, else an equal part of that. */
+static double rate_of_instance(double max_rate, double fleet_rate,
+                               int instances) {
+  return MIN(max_rate, fleet_rate / MAX(instances, 1));
 }
 
-void jobs_share(Jobs *j, int instances) {
+void jobs_set_instances(Jobs *j, int instances) {
   double now = clock_now();
   pthread_mutex_lock(&j->lock);
-  pace_rate(&j->writes, share(STORE_WRITES, STORE_WRITES_ALL, instances), now);
-  pace_rate(&j->reads, share(STORE_READS, STORE_READS_ALL, instances), now);
+  pace_set_rate(&j->writes,
+                rate_of_instance(STORE_WRITES, STORE_WRITES_ALL, instances),
+                now);
+  pace_set_rate(&j->reads,
+                rate_of_instance(STORE_READS, STORE_READS_ALL, instances), now);
   pthread_mutex_unlock(&j->lock);
 }
 
 void jobs_add(Jobs *j, const Job *job) {
   Job *copy = g_memdup2(job, sizeof *job);
   pthread_mutex_lock(&j->lock);
-  g_queue_push_tail(job->urgent ? &j->urgent : &j->later, copy);
-  pthread_cond_signal(&j->more);
+  g_queue_push_tail(job->urgent ? &j->urgent : &j->background, copy);
+  pthread_cond_signal(&j->job_added);
   pthread_mutex_unlock(&j->lock);
 }
 
 void jobs_close(Jobs *j) {
   pthread_mutex_lock(&j->lock);
   j->stop = true;
-  pthread_cond_broadcast(&j->more);
+  pthread_cond_broadcast(&j->job_added);
   pthread_mutex_unlock(&j->lock);
-  for (int i = 0; i < j->n; i++) pthread_join(j->threads[i], NULL);
+  for (int i = 0; i < j->thread_count; i++) pthread_join(j->threads[i], NULL);
   g_queue_clear_full(&j->urgent, job_free);
-  g_queue_clear_full(&j->later, job_free);
+  g_queue_clear_full(&j->background, job_free);
   pthread_mutex_destroy(&j->lock);
-  pthread_cond_destroy(&j->more);
+  pthread_cond_destroy(&j->job_added);
   g_free(j->addr);
   g_free(j);
 }
--- a/packages/store/pace.c
+++ b/packages/store/pace.c
@@ -1,44 +1,46 @@
-/* pace.c: the bucket. */
+/* pace.c: the token bucket and the backoff of retries. */
 #include "store/pace.h"
 
 #include "kernel/limits.h"
 
-#define BURST_LEAST 2
+#define MIN_BURST_CALLS 2
 
 static void refill(Pace *p, double now) {
-  if (now > p->at) p->level += (now - p->at) * p->rate;
-  if (p->level > p->burst) p->level = p->burst;
-  p->at = now;
+  if (now > p->updated_at)
+    p->available_calls += (now - p->updated_at) * p->rate_per_s;
+  if (p->available_calls > p->burst_calls) p->available_calls = p->burst_calls;
+  p->updated_at = now;
 }
 
 static void set_rate(Pace *p, double rate) {
-  p->rate = rate;
-  p->burst = rate < BURST_LEAST ? BURST_LEAST : rate;
+  p->rate_per_s = rate;
+  p->burst_calls = rate < MIN_BURST_CALLS ? MIN_BURST_CALLS : rate;
 }
 
 void pace_init(Pace *p, double rate, double now) {
   set_rate(p, rate);
-  p->level = p->burst;
-  p->at = now;
+  p->available_calls = p->burst_calls;
+  p->updated_at = now;
 }
 
-void pace_rate(Pace *p, double rate, double now) {
-  refill(p, now); /* what was earned until now, at the old rate */
+void pace_set_rate(Pace *p, double rate, double now) {
+  refill(p, now); /* adds calls at the old rate up to now */
   set_rate(p, rate);
 }
 
 double pace_take(Pace *p, double now, bool urgent) {
   refill(p, now);
-  double floor = urgent ? 1 : 1 + p->burst / 2;
-  if (p->level < floor) return (floor - p->level) / p->rate;
-  p->level -= 1;
+  double min_calls = urgent ? 1 : 1 + p->burst_calls / 2;
+  if (p->available_calls < min_calls)
+    return (min_calls - p->available_calls) / p->rate_per_s;
+  p->available_calls -= 1;
   return 0;
 }
 
-double pace_backoff(double *wait, double chance) {
-  double next = *wait * 2;
-  if (next < STORE_BACKOFF_MIN) next = STORE_BACKOFF_MIN;
-  if (next > STORE_BACKOFF_MAX) next = STORE_BACKOFF_MAX;
-  *wait = next;
-  return next * (0.5 + chance);
+double pace_backoff(double *wait_s, double random) {
+  double next_s = *wait_s * 2;
+  if (next_s < STORE_BACKOFF_MIN) next_s = STORE_BACKOFF_MIN;
+  if (next_s > STORE_BACKOFF_MAX) next_s = STORE_BACKOFF_MAX;
+  *wait_s = next_s;
+  return next_s * (0.5 + random);
 }
--- a/packages/store/platform.c
+++ b/packages/store/platform.c
@@ -1,4 +1,4 @@
-/* platform.c: the one file that spells the platform's API. */
+/* platform.c: paths, headers and status codes of the platform's API. */
 #include "store/platform.h"
 
 #include <glib.h>
@@ -15,8 +15,8 @@
   HttpClient *http;
 };
 
-Platform *platform_open(const char *addr, int wait_s) {
-  HttpClient *c = http_client(addr, wait_s, wait_s);
+Platform *platform_open(const char *addr, int timeout_s) {
+  HttpClient *c = http_client(addr, timeout_s, timeout_s);
   if (!c) return NULL;
   Platform *p = g_new0(Platform, 1);
   p->http = c;
@@ -29,21 +29,22 @@
   g_free(p);
 }
 
-static ErrKind kind_of(const HttpAnswer *a) {
+static ErrKind answer_kind(const HttpAnswer *a) {
   if (a->status == 200 && a->whole) return ERR_NONE;
   if (a->status == 200) return ERR_STORE_UNKNOWN;
   if (a->status == 404) return ERR_STORE_ABSENT;
   if (a->status == 412) return ERR_STORE_CONFLICT;
   if (a->status == 429) return ERR_STORE_RATE;
   if (a->status == 0 && !a->sent) return ERR_STORE_DOWN;
-  /* Sent, but no clear answer: a write may have taken effect. */
+  /* The request was sent without a clear answer: a write may have taken effect.
+   */
   return ERR_STORE_UNKNOWN;
 }
 
-static PlatformAnswer call(Platform *p, const HttpCall *c) {
+static PlatformAnswer send_call(Platform *p, const HttpCall *c) {
   HttpAnswer a;
   http_call(p->http, c, LIMIT_VALUE * 2, &a);
-  PlatformAnswer r = {.kind = kind_of(&a)};
+  PlatformAnswer r = {.kind = answer_kind(&a)};
   if (r.kind == ERR_STORE_CONFLICT) count_add(COUNT_STORE_CONFLICTS, 1);
   if (r.kind >= ERR_STORE_DOWN && r.kind <= ERR_STORE_UNKNOWN)
     count_add(COUNT_STORE_FAILURES, 1);
@@ -59,7 +60,7 @@
 
 static PlatformAnswer read_path(Platform *p, const char *path) {
   count_add(COUNT_STORE_READS, 1);
-  return call(p, &(HttpCall){.method = "GET", .path = path});
+  return send_call(p, &(HttpCall){.method = "GET", .path = path});
 }
 
 PlatformAnswer platform_get(Platform *p, const char *name) {
@@ -77,18 +78,18 @@
                            version ? match : "*", "Content-Type",
                            "application/json", NULL};
   count_add(COUNT_STORE_WRITES, 1);
-  return call(p, &(HttpCall){.method = "PUT",
-                             .path = path,
-                             .headers = headers,
-                             .body = text,
-                             .len = strlen(text)});
+  return send_call(p, &(HttpCall){.method = "PUT",
+                                  .path = path,
+                                  .headers = headers,
+                                  .body = text,
+                                  .len = strlen(text)});
 }
 
 PlatformAnswer platform_delete(Platform *p, const char *name) {
   char path[256];
   snprintf(path, sizeof path, "/objects/%s", name);
   count_add(COUNT_STORE_WRITES, 1);
-  return call(p, &(HttpCall){.method = "DELETE", .path = path});
+  return send_call(p, &(HttpCall){.method = "DELETE", .path = path});
 }
 
 PlatformAnswer platform_list(Platform *p, const char *prefix) {
