--- a/packages/store/calls.h
+++ b/packages/store/calls.h
@@ -13,7 +13,7 @@
   CALLS_READER, /* reads on behalf of all instances of the region */
   CALLS_SELF,   /* reads for this instance alone */
   CALLS_BUDGET, /* budgets whose home this instance is */
-  CALLS_TRIAL,  /* trials of suspect requests, one at a time each */
+  CALLS_TRIAL,  /* records that one instance is trying a suspect request */
   CALLS_PURPOSE_COUNT
 } CallsPurpose;
 
