--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -1,5 +1,5 @@
-/* test_ledger.c: single steps of the ledger core, where the order of two events
-   is the whole point. */
+/* test_ledger.c: the order of single events in the ledger core, and its rate of
+   writes. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <stdio.h>
@@ -11,11 +11,11 @@
 #define BUDGET "c/any"
 
 static Ledger *ledger;
-static LedgerAction last; /* the last PUT; `text` is ours */
+static LedgerAction last; /* the last PUT; `text` is owned here */
 static int allots, raises;
 static char raised_to[LIMIT_ID];
 
-static View *view_of(const char *a, const char *b) {
+static View *new_view(const char *a, const char *b) {
   Member list[2] = {0};
   const char *ids[2] = {a, b};
   for (int i = 0; i < 2; i++) {
@@ -25,13 +25,13 @@
   return view_new(list, 2);
 }
 
-static void look(const char *a, const char *b) {
-  View *v = view_of(a, b);
+static void set_members(const char *a, const char *b) {
+  View *v = new_view(a, b);
   ledger_set_view(ledger, 1, v);
   view_free(v);
 }
 
-static void take_actions(void) {
+static void collect_actions(void) {
   LedgerAction a;
   while (ledger_next_action(ledger, &a)) {
     allots += a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_ALLOT &&
@@ -50,49 +50,50 @@
 static void start(void) {
   ledger = ledger_new("self.1", "r", 1);
   LedgerBudget row = {.name = BUDGET, .total = 100000, .version = 1};
-  look("self.1", "w1.1");
+  set_members("self.1", "w1.1");
   ledger_set_budgets(ledger, 1, &row, 1);
   LedgerMsg draw = {
       .kind = LEDGER_DRAW, .budget = BUDGET, .need = 100, .want = 100};
   ledger_receive(ledger, 1, "holder.1", &draw);
-  take_actions();
+  collect_actions();
 }
 
-/* The first update names the witness of that moment. Should it go while the
-   update is on its way, the document still names it: a successor would ask it,
-   so nothing may be given out under another one that the document does not
-   name. */
-Test(ledger, a_witness_that_goes_during_the_first_update) {
+/* The first update names the witness chosen at that time. If the witness leaves
+   while the update is in progress, the document still names it, and a successor
+   would query it. So nothing may be allotted under another witness before the
+   document names that one. */
+Test(ledger, a_witness_that_leaves_during_the_first_update) {
   start();
   ledger_store_result(ledger, 1, last.shard, ERR_STORE_ABSENT, 0, NULL);
-  take_actions();
+  collect_actions();
   cr_assert_not_null(last.text);
   cr_assert_not_null(strstr(last.text, "\"w1.1\""));
-  look("self.1", "w2.1");
+  set_members("self.1", "w2.1");
   ledger_tick(ledger, 1.1, 1000);
-  take_actions();
+  collect_actions();
   ledger_store_result(ledger, 1.2, last.shard, ERR_NONE, 1, NULL);
-  take_actions();
+  collect_actions();
   ledger_tick(ledger, 1.3, 1000);
-  take_actions();
-  /* Whoever was asked agrees to anything. */
+  collect_actions();
+  /* The new witness agrees to any limit. */
   cr_assert_str_eq(raised_to, "w2.1");
-  LedgerMsg yes = {.kind = LEDGER_RAISE_ACK, .budget = BUDGET, .limit = 1 << 20};
+  LedgerMsg agreed = {
+      .kind = LEDGER_RAISE_ACK, .budget = BUDGET, .limit = 1 << 20};
   Shard *doc = shard_decode(last.text);
   const ShardBudget *b = shard_find_budget(doc, BUDGET);
-  yes.grant = ((ShardGrant *)b->grants->pdata[0])->id;
+  agreed.grant = ((ShardGrant *)b->grants->pdata[0])->id;
   shard_free(doc);
-  ledger_receive(ledger, 1.4, "w2.1", &yes);
-  take_actions();
-  cr_assert_eq(allots, 0, "given out before the document names w2");
+  ledger_receive(ledger, 1.4, "w2.1", &agreed);
+  collect_actions();
+  cr_assert_eq(allots, 0, "allotted before the document names w2");
   cr_assert_not_null(strstr(last.text, "\"w2.1\""), "%s", last.text);
   ledger_store_result(ledger, 1.5, last.shard, ERR_NONE, 2, NULL);
-  take_actions();
+  collect_actions();
   ledger_tick(ledger, 1.9, 1000);
-  take_actions();
-  ledger_receive(ledger, 2.0, "w2.1", &yes);
-  take_actions();
-  cr_assert_eq(allots, 1, "and after that it is");
+  collect_actions();
+  ledger_receive(ledger, 2.0, "w2.1", &agreed);
+  collect_actions();
+  cr_assert_eq(allots, 1, "allotted once the document names w2");
   ledger_free(ledger);
 }
 
@@ -106,7 +107,7 @@
 static char *texts[LIMIT_SHARDS];
 static char names[BUDGETS][LIMIT_NAME];
 
-/* The store answers at once; the holder keeps the grants it was given. */
+/* The store answers at once; records the grant of each ALLOT. */
 static int serve_store(double now) {
   LedgerAction a;
   int puts = 0;
@@ -116,18 +117,19 @@
         if (strcmp(names[i], a.msg.budget) == 0) grants[i] = a.msg.grant;
     if (a.action == LEDGER_ACTION_GET)
       ledger_store_result(ledger, now, a.shard,
-                    texts[a.shard] ? ERR_NONE : ERR_STORE_ABSENT,
-                    versions[a.shard], texts[a.shard]);
+                          texts[a.shard] ? ERR_NONE : ERR_STORE_ABSENT,
+                          versions[a.shard], texts[a.shard]);
     if (a.action != LEDGER_ACTION_PUT) continue;
     puts++;
     g_free(texts[a.shard]);
     texts[a.shard] = a.text;
-    ledger_store_result(ledger, now, a.shard, ERR_NONE, ++versions[a.shard], NULL);
+    ledger_store_result(ledger, now, a.shard, ERR_NONE, ++versions[a.shard],
+                        NULL);
   }
   return puts;
 }
 
-/* Budgets of this lane, a name for each of its shards. */
+/* Finds a budget name for each shard of this lane. */
 static void name_budgets(LedgerBudget *rows) {
   bool taken[LIMIT_SHARDS] = {false};
   for (int n = 0, i = 0; n < BUDGETS; i++) {
@@ -143,7 +145,7 @@
   }
 }
 
-static void look_at_regions(void) {
+static void set_regions(void) {
   Member list[REGIONS] = {0};
   for (int i = 0; i < REGIONS; i++) {
     snprintf(list[i].id, LIMIT_ID, i ? "i%d.1" : "self.1", i);
@@ -154,14 +156,14 @@
   view_free(v);
 }
 
-/* An instance runs a core for each of its lanes; the fleet's rate holds for all
-   of them together. */
-Test(ledger, spend_reports_of_all_lanes_keep_the_fleets_rate) {
+/* An instance runs one core per lane; the fleet's write rate applies to all of
+   them together. */
+Test(ledger, spend_reports_of_all_lanes_stay_within_the_fleet_rate) {
   LedgerBudget rows[BUDGETS] = {0};
   int64_t spent = 0;
   ledger = ledger_new("self.1", "r0", 1);
   ledger_set_lanes(ledger, LANES);
-  look_at_regions();
+  set_regions();
   name_budgets(rows);
   ledger_set_budgets(ledger, 1, rows, BUDGETS);
   for (int i = 0; i < BUDGETS; i++) {
@@ -184,7 +186,7 @@
     ledger_tick(ledger, s, 1000 + s);
     puts += serve_store(s);
   }
-  /* 256 shards in seven regions, 15 writes a second: each 119 s. */
+  /* 256 shards in seven regions at 15 writes a second: one write per 119 s. */
   cr_assert(puts >= BUDGETS, "%d writes", puts);
   cr_assert(puts <= BUDGETS * 3, "%d writes", puts);
   ledger_free(ledger);
