--- a/tests/test_holder.c
+++ b/tests/test_holder.c
@@ -1,4 +1,5 @@
-/* test_holder.c: whom an instance asks for tokens, and how long it waits. */
+/* test_holder.c: which home an instance requests tokens from, how long it waits
+   for an answer, and when it returns unused tokens. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <stdio.h>
@@ -12,15 +13,15 @@
 #define MEMBERS 5
 
 static Ledger *ledger;
-static char asked[LIMIT_ID]; /* whom the last draw went to */
+static char draw_recipient[LIMIT_ID]; /* the recipient of the last draw */
 static int draws;
 static ErrKind answer; /* of the last reservation; ERR_COUNT: none yet */
 
-static void take_actions(void) {
+static void collect_actions(void) {
   LedgerAction a;
   while (ledger_next_action(ledger, &a)) {
     if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_DRAW) {
-      g_strlcpy(asked, a.to, sizeof asked);
+      g_strlcpy(draw_recipient, a.to, sizeof draw_recipient);
       draws++;
     }
     if (a.action == LEDGER_ACTION_ANSWER) answer = a.cause;
@@ -28,7 +29,7 @@
   }
 }
 
-/* An instance that is no home: it is not in the view itself. */
+/* The instance is not in the view, so it is never a home itself. */
 static void start_among(int members) {
   Member *list = g_new0(Member, (gsize)members);
   for (int i = 0; i < members; i++) {
@@ -44,7 +45,7 @@
   view_free(v);
   answer = ERR_COUNT;
   draws = 0;
-  take_actions();
+  collect_actions();
 }
 
 static void start(void) {
@@ -53,67 +54,68 @@
 
 static void reserve(double now, uint64_t handle) {
   ledger_reserve(ledger, now, handle, BUDGET, 100);
-  take_actions();
+  collect_actions();
 }
 
-static void say(double now, const char *from, ErrKind cause) {
+static void receive_allot(double now, const char *from, ErrKind cause) {
   LedgerMsg m = {.kind = LEDGER_ALLOT, .budget = BUDGET, .cause = cause};
   ledger_receive(ledger, now, from, &m);
-  take_actions();
+  collect_actions();
 }
 
-/* All of a budget was refused at an instance that reached the store, while its
-   home did not. */
-Test(holder, a_home_without_the_store_is_passed_by) {
+/* Guards against refusing all requests of a budget at an instance that could
+   reach the store, because the budget's home could not. */
+Test(holder, a_home_without_the_store_is_skipped) {
   char first[LIMIT_ID];
   start();
   reserve(1, 1);
-  g_strlcpy(first, asked, sizeof first);
-  say(1.01, first, ERR_BUDGET_STORE);
-  cr_assert_str_neq(asked, first);
+  g_strlcpy(first, draw_recipient, sizeof first);
+  receive_allot(1.01, first, ERR_BUDGET_STORE);
+  cr_assert_str_neq(draw_recipient, first);
   cr_assert_eq(answer, ERR_COUNT, "not refused yet");
   for (int i = 0; i < 4 && answer == ERR_COUNT; i++)
-    say(1.02, asked, ERR_BUDGET_STORE);
-  cr_assert_eq(answer, ERR_BUDGET_STORE, "nobody reaches it");
+    receive_allot(1.02, draw_recipient, ERR_BUDGET_STORE);
+  cr_assert_eq(answer, ERR_BUDGET_STORE, "no home reaches the store");
   ledger_free(ledger);
 }
 
-/* Requests wait for 0.1 s; nobody may be waiting when the next tick comes. */
-Test(holder, a_silent_home_is_passed_by_while_requests_come_and_go) {
+/* Requests wait for 0.1 s, so there may be none waiting at the next tick; the
+   missing answer must be noticed all the same. */
+Test(holder, an_unresponsive_home_is_skipped_while_requests_come_and_go) {
   char first[LIMIT_ID];
   start();
   reserve(1, 1);
-  g_strlcpy(first, asked, sizeof first);
+  g_strlcpy(first, draw_recipient, sizeof first);
   for (int i = 0; i < 4; i++) {
     ledger_settle(ledger, 1.07 + i * 0.07, (uint64_t)i + 1, 0);
     reserve(1.08 + i * 0.07, (uint64_t)i + 2);
   }
-  cr_assert_str_neq(asked, first);
+  cr_assert_str_neq(draw_recipient, first);
   ledger_free(ledger);
 }
 
-/* A home that is busy is not raced for by others. */
-Test(holder, a_home_that_spoke_just_now_is_waited_for) {
+/* Another home in place of a busy one would compete with it for the store. */
+Test(holder, a_home_that_answered_recently_is_waited_for) {
   char first[LIMIT_ID];
   start();
   reserve(1, 1);
-  g_strlcpy(first, asked, sizeof first);
-  say(1.01, first, ERR_BUDGET_HELD);
+  g_strlcpy(first, draw_recipient, sizeof first);
+  receive_allot(1.01, first, ERR_BUDGET_HELD);
   reserve(1.02, 2);
   for (int i = 1; i < 5; i++) {
     ledger_tick(ledger, 1.02 + i * 0.06, 0);
-    take_actions();
+    collect_actions();
   }
-  cr_assert_str_eq(asked, first);
+  cr_assert_str_eq(draw_recipient, first);
   cr_assert_leq(draws, 3);
   ledger_free(ledger);
 }
 
-/* Requests that waited behind a refused one were told that nobody could be
-   reached, though the home had just answered. */
-Test(holder, who_is_late_behind_a_refusal_hears_what_the_home_said) {
+/* Guards against a wrong cause: requests that waited behind a refused one were
+   refused with ERR_BUDGET_CUT, though the home had just answered. */
+Test(holder, a_timed_out_request_gets_the_cause_that_the_home_sent) {
   const struct {
-    ErrKind said, late;
+    ErrKind sent, expected;
     int64_t amount;
   } rows[] = {{ERR_BUDGET_HELD, ERR_BUDGET_HELD, 50},
               {ERR_BUDGET_EMPTY, ERR_BUDGET_EMPTY, 200},
@@ -124,36 +126,37 @@
     start();
     reserve(1, 1);
     ledger_reserve(ledger, 1, 2, BUDGET, rows[i].amount);
-    say(1.01, asked, rows[i].said);
+    receive_allot(1.01, draw_recipient, rows[i].sent);
     answer = ERR_COUNT;
     ledger_tick(ledger, 1.02 + LEDGER_DRAW_WAIT, 0);
-    take_actions();
-    cr_assert_eq(answer, rows[i].late, "row %d: %d", (int)i, (int)answer);
+    collect_actions();
+    cr_assert_eq(answer, rows[i].expected, "row %d: %d", (int)i, (int)answer);
     ledger_free(ledger);
   }
 }
 
-/* The same with nobody that answers. */
-Test(holder, who_is_late_with_no_answer_hears_that_nobody_is_reached) {
+/* The same without an answer from any home. */
+Test(holder, a_timed_out_request_without_an_answer_is_refused_as_cut) {
   start();
   reserve(1, 1);
   ledger_tick(ledger, 1.02 + LEDGER_DRAW_WAIT, 0);
-  take_actions();
+  collect_actions();
   cr_assert_eq(answer, ERR_BUDGET_CUT);
   ledger_free(ledger);
 }
 
-/* A home was away for 4 s after a cut had ended. */
-Test(holder, the_store_is_asked_again_within_a_second_and_a_half) {
+/* Guards against a long backoff: a home did not call the store for 4 s after a
+   partition had ended. */
+Test(holder, the_store_is_retried_within_a_second_and_a_half) {
   double wait = 0;
   for (int i = 0; i < 20; i++) cr_assert_leq(pace_backoff(&wait, 1.0), 1.5);
 }
 
 /* == a customer of a large fleet == */
 
-/* 295 instances of which each serves a customer every 15 s: what a request left
-   free stayed at its instance, and was lost with it. */
-Test(holder, a_request_now_and_then_leaves_nothing_at_its_instance) {
+/* Each of 295 instances serves a customer once in 15 s. Tokens that a request
+   left unused must not stay at the instance, where they are lost if it dies. */
+Test(holder, an_occasional_request_leaves_no_tokens_at_its_instance) {
   start_among(295);
   for (int i = 0; i < 4; i++) {
     double now = 2 + i * 15;
@@ -161,13 +164,13 @@
     LedgerMsg m = {.kind = LEDGER_ALLOT, .budget = BUDGET, .grant = grant};
     m.granted = 100;
     reserve(now, grant);
-    ledger_receive(ledger, now + 0.01, asked, &m);
-    take_actions();
+    ledger_receive(ledger, now + 0.01, draw_recipient, &m);
+    collect_actions();
     cr_assert_eq(answer, ERR_NONE);
     ledger_settle(ledger, now + 1, grant, 40);
     for (int k = 1; k <= 4; k++) {
       ledger_tick(ledger, now + 1 + k * 0.05, 0);
-      take_actions();
+      collect_actions();
     }
     LedgerSums sums = ledger_sums(ledger);
     cr_assert_eq(sums.free, 0, "request %d left %d", i, (int)sums.free);
@@ -175,27 +178,28 @@
   ledger_free(ledger);
 }
 
-/* == while the store is away == */
+/* == while the store is down == */
 
-/* Nobody reaches it: the next choices would be asked in vain, one by one. */
-Test(holder, no_other_home_is_asked_while_the_store_answers_nobody) {
+/* No instance reaches the store, so draws to the next choices would be in
+   vain. */
+Test(holder, no_other_home_is_tried_while_the_store_is_down) {
   char first[LIMIT_ID];
   start();
   ledger_set_store_down(ledger, 1, true);
   reserve(1, 1);
-  g_strlcpy(first, asked, sizeof first);
-  say(1.01, first, ERR_BUDGET_STORE);
+  g_strlcpy(first, draw_recipient, sizeof first);
+  receive_allot(1.01, first, ERR_BUDGET_STORE);
   cr_assert_eq(answer, ERR_BUDGET_STORE, "refused at once");
-  cr_assert_str_eq(asked, first);
+  cr_assert_str_eq(draw_recipient, first);
   ledger_free(ledger);
 }
 
-/* == a caller that goes to another instance == */
+/* == a caller that moves to another instance == */
 
 static int64_t granted, returned;
 
-/* A home that gives what is asked for, and takes back what comes. */
-static void serve_draws(double now) {
+/* A home that allots what a draw wants and records returned tokens. */
+static void answer_draws(double now) {
   LedgerAction a;
   while (ledger_next_action(ledger, &a)) {
     LedgerMsg m = {.kind = LEDGER_ALLOT, .budget = BUDGET, .grant = 7};
@@ -209,31 +213,32 @@
 }
 
 /* The largest customer of a fleet sends 90 requests a second to one instance
-   after the other. What was laid out for it at those that it has left, two
-   seconds of its demand each, was lost with all instances: 0.08 of the worth of
-   a day that ends so. */
-Test(holder, what_lies_where_a_caller_has_gone_goes_back_in_two_seconds) {
+   after the other. Tokens kept for it at the instances that it had left, two
+   seconds of its demand at each, were lost when all instances were killed: 0.08
+   of the value that the fleet had served that day. */
+Test(holder, tokens_of_a_caller_that_moved_are_returned_in_two_seconds) {
   double now = 1;
-  int64_t least = INT64_MAX;
+  int64_t min_free = INT64_MAX;
   start_among(74);
   granted = returned = 0;
   for (uint64_t i = 1; i < 900; i++) {
     now += 1 / 90.0;
     ledger_reserve(ledger, now, i, BUDGET, 100);
-    serve_draws(now);
+    answer_draws(now);
     ledger_settle(ledger, now, i, 100);
     ledger_tick(ledger, now, 0);
-    serve_draws(now);
-    if (now > 4) least = MIN(least, ledger_sums(ledger).free);
+    answer_draws(now);
+    if (now > 4) min_free = MIN(min_free, ledger_sums(ledger).free);
   }
-  int64_t there = ledger_sums(ledger).free;
-  cr_assert_gt(least, 1000, "no request waits for a home while it is there");
+  int64_t kept = ledger_sums(ledger).free;
+  cr_assert_gt(min_free, 1000,
+               "no request waits for a home while the caller is here");
   returned = 0;
   for (double end = now + 2; now < end; now += 0.05) {
     ledger_tick(ledger, now, 0);
-    serve_draws(now);
+    answer_draws(now);
   }
   cr_assert_eq(ledger_sums(ledger).free, 0);
-  cr_assert_geq(returned, there);
+  cr_assert_geq(returned, kept);
   ledger_free(ledger);
 }
