--- a/tests/test_home.c
+++ b/tests/test_home.c
@@ -1,5 +1,5 @@
-/* test_home.c: what a home gives to whom, and how often it calls the store, in
-   a fleet of many instances. */
+/* test_home.c: how many tokens a home allots to a holder, and how often it
+   calls the store, in a fleet of many instances. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <stdio.h>
@@ -16,12 +16,12 @@
 static uint64_t version;
 static char *stored; /* the document, NULL: none */
 static int calls;
-static bool silent;    /* the store does not answer */
-static int64_t given;  /* to the holder, in all */
-static uint64_t grant; /* that it came from */
-static ErrKind cause;  /* of the last allotment */
+static bool store_down;  /* the store does not answer */
+static int64_t allotted; /* to the holder, in all */
+static uint64_t grant;   /* that it came from */
+static ErrKind cause;    /* of the last allotment */
 
-static View *members(void) {
+static View *new_view(void) {
   Member list[MEMBERS] = {0};
   for (int i = 0; i < MEMBERS; i++) {
     snprintf(list[i].id, LIMIT_ID, "n%d.1", i);
@@ -31,55 +31,58 @@
 }
 
 /* The store answers at once, the witness agrees to everything. */
-static void take_actions(double now) {
+static void execute_actions(double now) {
   LedgerAction a;
   while (ledger_next_action(ledger, &a)) {
-    bool put = a.action == LEDGER_ACTION_PUT, get = a.action == LEDGER_ACTION_GET;
+    bool put = a.action == LEDGER_ACTION_PUT,
+         get = a.action == LEDGER_ACTION_GET;
     calls += put || get;
-    if (put && !silent) {
+    if (put && !store_down) {
       g_free(stored);
       stored = g_strdup(a.text);
       ledger_store_result(ledger, now, a.shard, ERR_NONE, ++version, NULL);
     }
-    if (get && !silent)
-      ledger_store_result(ledger, now, a.shard, stored ? ERR_NONE : ERR_STORE_ABSENT,
-                    version, stored);
+    if (get && !store_down)
+      ledger_store_result(ledger, now, a.shard,
+                          stored ? ERR_NONE : ERR_STORE_ABSENT, version,
+                          stored);
     if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_ALLOT) {
-      given = MAX(given, a.msg.granted);
+      allotted = MAX(allotted, a.msg.granted);
       grant = a.msg.grant;
       cause = a.msg.cause;
     }
     if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_RAISE) {
-      LedgerMsg yes = a.msg;
-      yes.kind = LEDGER_RAISE_ACK;
-      ledger_receive(ledger, now, a.to, &yes);
+      LedgerMsg agreed = a.msg;
+      agreed.kind = LEDGER_RAISE_ACK;
+      ledger_receive(ledger, now, a.to, &agreed);
     }
     g_free(a.text);
   }
 }
 
-/* Whom an instance that is not in the view asks. */
+/* Finds the budget's home: the recipient of a draw from an instance that is not
+   in the view. */
 static void find_home(const View *v, const LedgerBudget *row) {
-  Ledger *asker = ledger_new("asker.1", "r", 1);
+  Ledger *probe = ledger_new("asker.1", "r", 1);
   LedgerAction a;
-  ledger_set_view(asker, 1, v);
-  ledger_set_budgets(asker, 1, row, 1);
-  ledger_reserve(asker, 1, 1, BUDGET, 1);
-  while (ledger_next_action(asker, &a))
+  ledger_set_view(probe, 1, v);
+  ledger_set_budgets(probe, 1, row, 1);
+  ledger_reserve(probe, 1, 1, BUDGET, 1);
+  while (ledger_next_action(probe, &a))
     if (a.action == LEDGER_ACTION_SEND) g_strlcpy(self, a.to, sizeof self);
-  ledger_free(asker);
+  ledger_free(probe);
 }
 
 static void start(int64_t total) {
   LedgerBudget row = {
       .name = BUDGET, .total = total, .version = 1, .outage_reserve_s = 9};
-  View *v = members();
+  View *v = new_view();
   find_home(v, &row);
   ledger = ledger_new(self, "r", 1);
   version = 0;
   calls = 0;
-  silent = false;
-  given = 0;
+  store_down = false;
+  allotted = 0;
   grant = 0;
   g_clear_pointer(&stored, g_free);
   ledger_set_view(ledger, 1, v);
@@ -91,40 +94,41 @@
   LedgerMsg m = {.kind = LEDGER_DRAW,
                  .budget = BUDGET,
                  .grant = grant,
-                 .granted = given,
-                 .spent = given,
+                 .granted = allotted,
+                 .spent = allotted,
                  .need = need,
                  .want = want};
   ledger_receive(ledger, now, holder, &m);
-  take_actions(now);
+  execute_actions(now);
 }
 
-/* A request each tenth of a second; the time when it ended. */
+/* Sends a request each tenth of a second; returns the time of the end. */
 static double demand(double from, double seconds) {
   double now = from;
   for (; now < from + seconds; now += 0.1) {
     draw(now, "holder.1", REQUEST, REQUEST);
     ledger_tick(ledger, now, 1000);
-    take_actions(now);
+    execute_actions(now);
   }
   return now;
 }
 
-/* The only caller of a customer is at one instance of 86; it asks for the two
-   seconds that it uses, of nine that its home holds. */
-Test(home, whoever_does_all_the_work_gets_what_it_asks_for) {
+/* The only caller of a customer is at one of 86 instances. That instance wants
+   two seconds of its demand, of the nine that its home holds. */
+Test(home, the_only_user_of_a_budget_gets_what_it_wants) {
   start(100 * 1000 * 1000);
   double now = demand(1, 30);
-  int64_t before = given;
+  int64_t before = allotted;
   draw(now, "holder.1", REQUEST, 20 * REQUEST);
-  cr_assert_geq(given - before, 6 * REQUEST, "%d requests",
-                (int)((given - before) / REQUEST));
+  cr_assert_geq(allotted - before, 6 * REQUEST, "%d requests",
+                (int)((allotted - before) / REQUEST));
   ledger_free(ledger);
 }
 
-/* A recall for each request and a write for each token: three budgets of 40
-   made 949 of 2,236 writes of 295 instances. */
-Test(home, the_last_tokens_are_written_once_a_second) {
+/* Guards against a recall for each request and a write for each token near the
+   end of a budget: 3 of 40 budgets caused 949 of the 2,236 writes of 295
+   instances. */
+Test(home, the_last_tokens_are_written_at_most_once_a_second) {
   start(400 * REQUEST);
   double now = demand(1, 45);
   calls = 0;
@@ -133,24 +137,24 @@
   ledger_free(ledger);
 }
 
-Test(home, a_store_that_answers_nobody_is_not_called) {
+Test(home, a_store_that_is_down_is_not_called) {
   start(100 * 1000 * 1000);
   double now = demand(1, 10);
   ledger_set_store_down(ledger, now, true);
-  silent = true;
+  store_down = true;
   calls = 0;
   now = demand(now, 8);
   draw(now, "other.1", 50 * 1000 * 1000, 50 * 1000 * 1000);
   for (int i = 1; i <= 12; i++) {
     ledger_tick(ledger, now + i * 0.05, 1000);
-    take_actions(now + i * 0.05);
+    execute_actions(now + i * 0.05);
   }
   cr_assert_eq(cause, ERR_BUDGET_STORE);
   cr_assert_eq(calls, 0, "%d calls", calls);
-  silent = false;
+  store_down = false;
   ledger_set_store_down(ledger, now + 1, false);
   ledger_tick(ledger, now + 1.3, 1000);
-  take_actions(now + 1.3);
-  cr_assert_gt(calls, 0, "it is back");
+  execute_actions(now + 1.3);
+  cr_assert_gt(calls, 0, "the store is called again");
   ledger_free(ledger);
 }
