--- a/tests/test_outage.c
+++ b/tests/test_outage.c
@@ -1,4 +1,4 @@
-/* test_layup.c: how much a home holds ready for when the store is away. */
+/* test_outage.c: the size of the outage reserve that a home holds. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <jansson.h>
@@ -8,23 +8,23 @@
 
 #define BUDGET "c"
 #define HOLDER "holder.1"
-#define DRAW 1000  /* tokens of one request */
-#define EVERY 0.1  /* seconds between two requests */
-#define LAY_UP 9.0 /* seconds of demand that the row asks for */
+#define REQUEST_TOKENS 1000    /* tokens of one request */
+#define REQUEST_INTERVAL_S 0.1 /* seconds between two requests */
+#define RESERVE_S 9.0          /* of demand, in the table's row */
 
 static Ledger *ledger;
 static uint64_t version;
-static char *stored;   /* the document, NULL: none */
-static int64_t given;  /* to the holder, in all */
-static uint64_t grant; /* that it came from */
-static bool away;      /* the store does not answer */
+static char *stored;     /* the document, NULL: none */
+static int64_t allotted; /* to the holder, in all */
+static uint64_t grant;   /* that it came from */
+static bool store_down;  /* the store does not answer */
 
 /* The store answers at once, the witness agrees to everything. */
-static void take_actions(double now) {
+static void execute_actions(double now) {
   LedgerAction a;
   while (ledger_next_action(ledger, &a)) {
     bool call = a.action == LEDGER_ACTION_GET || a.action == LEDGER_ACTION_PUT;
-    if (call && away) {
+    if (call && store_down) {
       g_free(a.text);
       ledger_store_result(ledger, now, a.shard, ERR_STORE_DOWN, 0, NULL);
       continue;
@@ -39,13 +39,13 @@
       ledger_store_result(ledger, now, a.shard, ERR_NONE, ++version, NULL);
     }
     if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_ALLOT) {
-      given = MAX(given, a.msg.granted);
+      allotted = MAX(allotted, a.msg.granted);
       grant = a.msg.grant;
     }
     if (a.action == LEDGER_ACTION_SEND && a.msg.kind == LEDGER_RAISE) {
-      LedgerMsg yes = a.msg;
-      yes.kind = LEDGER_RAISE_ACK;
-      ledger_receive(ledger, now, a.to, &yes);
+      LedgerMsg agreed = a.msg;
+      agreed.kind = LEDGER_RAISE_ACK;
+      ledger_receive(ledger, now, a.to, &agreed);
     }
     g_free(a.text);
   }
@@ -54,13 +54,15 @@
 static void start(int64_t total) {
   Member list[2] = {{.id = "self.1", .region = "r"},
                     {.id = "w.1", .region = "r"}};
-  LedgerBudget row = {
-      .name = BUDGET, .total = total, .version = 1, .outage_reserve_s = LAY_UP};
+  LedgerBudget row = {.name = BUDGET,
+                      .total = total,
+                      .version = 1,
+                      .outage_reserve_s = RESERVE_S};
   ledger = ledger_new("self.1", "r", 1);
   version = 0;
   g_clear_pointer(&stored, g_free);
-  away = false;
-  given = 0;
+  store_down = false;
+  allotted = 0;
   grant = 0;
   View *v = view_new(list, 2);
   ledger_set_view(ledger, 1, v);
@@ -68,31 +70,33 @@
   view_free(v);
 }
 
-/* One request after the other; the time when it ended. */
+/* Sends one request after the other; returns the time of the end. */
 static double demand(double from, double seconds) {
   double now = from;
-  for (; now < from + seconds; now += EVERY) {
+  for (; now < from + seconds; now += REQUEST_INTERVAL_S) {
     LedgerMsg m = {.kind = LEDGER_DRAW,
                    .budget = BUDGET,
                    .grant = grant,
-                   .granted = given,
-                   .need = DRAW,
-                   .want = DRAW};
+                   .granted = allotted,
+                   .need = REQUEST_TOKENS,
+                   .want = REQUEST_TOKENS};
     ledger_receive(ledger, now, HOLDER, &m);
-    take_actions(now);
+    execute_actions(now);
     ledger_tick(ledger, now, 1000);
-    take_actions(now);
+    execute_actions(now);
   }
   return now;
 }
 
 static double held_s(void) {
-  return (double)ledger_sums(ledger).home_free_tokens / (DRAW / EVERY);
+  return (double)ledger_sums(ledger).home_free_tokens /
+         (REQUEST_TOKENS / REQUEST_INTERVAL_S);
 }
 
-/* In the first seconds of a budget a mean over minutes was taken for a tenth of
-   the demand: a cut at 6 s found nothing laid up. */
-Test(layup, a_cut_in_the_first_seconds_is_covered) {
+/* Guards against a reserve that is too small at first: in a budget's first
+   seconds the average over minutes was a tenth of the demand, and an outage
+   after 6 s found no reserve. */
+Test(outage, an_outage_in_the_first_seconds_is_covered) {
   start(10000000);
   demand(1, 5);
   cr_assert_gt(held_s(), 6.0, "%.1f s are held", held_s());
@@ -100,28 +104,29 @@
   ledger_free(ledger);
 }
 
-/* What is laid up is lost when all are killed; 97 in 100 have to be usable. */
-Test(layup, near_the_end_of_a_budget_little_is_held) {
-  const int64_t total = 440000; /* 44 s of demand, as on the users' days */
+/* The reserve is lost when all instances are killed, and 97 in 100 tokens have
+   to be usable. */
+Test(outage, near_the_end_of_a_budget_the_reserve_is_small) {
+  const int64_t total = 440000; /* 44 s of demand */
   start(total);
   demand(1, 36);
   LedgerSums s = ledger_sums(ledger);
-  cr_assert_gt(given, total * 8 / 10, "%ld were given out", (long)given);
+  cr_assert_gt(allotted, total * 8 / 10, "%ld were allotted", (long)allotted);
   cr_assert_leq(s.home_free_tokens, total * 4 / 100, "%ld are held",
                 (long)s.home_free_tokens);
   ledger_free(ledger);
 }
 
-/* What was used up in an outage is laid up again over seconds, not at once: a
-   loss of power soon after it then costs little, and the store that has just
-   come back is not asked for all of it at the same moment. */
-Test(layup, after_an_outage_it_is_built_up_again_slowly) {
+/* After an outage the reserve is rebuilt over seconds, not at once: a power
+   failure soon afterwards then costs little, and the store that has just come
+   back does not get requests for all of it at the same time. */
+Test(outage, after_an_outage_the_reserve_is_rebuilt_slowly) {
   start(10000000);
   double now = demand(1, 10);
-  away = true;
+  store_down = true;
   now = demand(now, 7);
   cr_assert_lt(held_s(), 5.0, "%.1f s are left", held_s());
-  away = false;
+  store_down = false;
   now = demand(now, 2);
   cr_assert_gt(held_s(), 0.5, "%.1f s are held", held_s());
   cr_assert_lt(held_s(), 7.0, "%.1f s are held", held_s());
