--- a/tests/test_calls.c
+++ b/tests/test_calls.c
@@ -1,5 +1,5 @@
-/* test_calls.c: calls to the store are counted by what they were for, told
-   once, and summed by the report. */
+/* test_calls.c: calls to the store are counted by purpose, every count is
+   returned once, and the report sums them. */
 #include <criterion/criterion.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,26 +7,26 @@
 #include "report/account.h"
 #include "store/calls.h"
 
-Test(calls, are_told_as_counts_since_the_last_word) {
+Test(calls, are_returned_as_counts_since_the_previous_call) {
   Calls *c = calls_new();
   calls_record(c, "servers", CALLS_READER, CALLS_WATCH, CALLS_EMPTY, false);
   calls_record(c, "servers", CALLS_READER, CALLS_WATCH, CALLS_EMPTY, false);
   calls_record(c, "budgets", CALLS_BUDGET, CALLS_PUT, CALLS_REFUSED, true);
-  json_t *news = calls_take_unreported(c);
-  cr_assert_eq(json_array_size(news), 2);
-  json_decref(news);
+  json_t *unreported = calls_take_unreported(c);
+  cr_assert_eq(json_array_size(unreported), 2);
+  json_decref(unreported);
   cr_assert_null(calls_take_unreported(c));
   calls_record(c, "servers", CALLS_READER, CALLS_WATCH, CALLS_EMPTY, false);
-  news = calls_take_unreported(c);
-  char *text = json_dumps(news, JSON_COMPACT);
+  unreported = calls_take_unreported(c);
+  char *text = json_dumps(unreported, JSON_COMPACT);
   cr_assert_str_eq(text,
                    "[[\"servers\",\"reader\",\"watch\",\"empty\",false,1]]");
   free(text);
-  json_decref(news);
+  json_decref(unreported);
   calls_free(c);
 }
 
-Test(calls, stand_in_the_metrics) {
+Test(calls, are_printed_as_metrics) {
   Calls *c = calls_new();
   GString *out = g_string_new(NULL);
   calls_record(c, "budgets", CALLS_BUDGET, CALLS_PUT, CALLS_REFUSED, true);
@@ -39,7 +39,7 @@
   calls_free(c);
 }
 
-Test(calls, are_summed_over_instances_the_most_first) {
+Test(calls, are_summed_over_instances_the_largest_first) {
   static const char *const lines[] = {
       "{\"t\":1,\"event\":\"store-calls\",\"calls\":[[\"config\",\"self\","
       "\"get\",\"served\",false,3],[\"servers\",\"reader\",\"watch\",\"empty\","
