--- a/packages/ledger/holder.c
+++ b/packages/ledger/holder.c
@@ -371,7 +371,7 @@
     int64_t max_free =
         keep ? b->typical_tokens + (int64_t)(b->demand_per_s * LEDGER_IDLE) : 0;
     /* For a budget that is seldom used, one report covers both the spent and
-   the returned tokens. */
+       the returned tokens. */
     bool will_report_soon = b->demand_per_s < 1 && a->reserved > 0;
     if (!a->closing && !will_report_soon && b->waiters.length == 0 &&
         free_tokens(a) > max_free)
@@ -397,7 +397,7 @@
     return;
   }
   /* Requests tokens in advance, so that a reservation need not wait for a
-   message. */
+     message. */
   const Account *a = account_with_most_free(b);
   int64_t low = (int64_t)(b->demand_per_s * l->account_cover_s / 2);
   if (l->draining || !tokens_to_keep(l, b) || (a && free_tokens(a) >= low))
--- a/packages/ledger/home.c
+++ b/packages/ledger/home.c
@@ -27,11 +27,11 @@
 #define UNUSED_GRANT_S 5.0
 /* Beyond its present need, one holder gets at most the free tokens divided by
    this. A holder requests seconds of its own demand, so that shares follow
-   demand. Equal shares do not work: some customers send all requests to one
-   instance. With equal shares for 86 instances it had tokens for 0.1 s at a
-   time, and half of that customer's requests were refused while the instance's
+   demand. Equal shares do not work for customers that send all requests to one
+   instance: with equal shares for 86 instances that one had tokens for 0.1 s at
+   a time, and half of the customer's requests were refused while the instance's
    link was full. */
-#define MAX_ALLOT_DIVISOR 4
+#define ALLOT_DIVISOR 4
 #define REPORT_WRITES_PER_S 15.0 /* of spend reports, for the whole fleet */
 /* A home decides a draw this long before the holder's wait ends. */
 #define DRAW_GRACE_S 0.2
@@ -182,20 +182,21 @@
 }
 
 /* The cause for refusing a draw, or ERR_NONE while it may still be served. */
-static ErrKind draw_refusal(Ledger *l, HomeBudget *h, const Draw *d) {
+static ErrKind find_refusal_cause(Ledger *l, HomeBudget *h, const Draw *d) {
   ShardState *s = shard_of(l, h);
   bool is_late = l->now >= d->deadline;
-  bool slow = s->call_pending && l->now - s->call_started_at > STORE_SLOW_S;
-  bool down = l->store_down || s->down_since > 0 || slow;
-  ErrKind cause = down                   ? ERR_BUDGET_STORE
+  bool is_slow = s->call_pending && l->now - s->call_started_at > STORE_SLOW_S;
+  bool is_down = l->store_down || s->down_since > 0 || is_slow;
+  ErrKind cause = is_down                ? ERR_BUDGET_STORE
                   : h->unspent < d->need ? ERR_BUDGET_EMPTY
                                          : ERR_BUDGET_HELD;
   if (is_late)
-    return s->confirmed_at < d->received_at && !down ? ERR_BUDGET_STORE : cause;
-  if (!down && h->remaining > 0 &&
+    return s->confirmed_at < d->received_at && !is_down ? ERR_BUDGET_STORE
+                                                        : cause;
+  if (!is_down && h->remaining > 0 &&
       home_free_tokens(h->home_grant) + h->remaining >= d->need)
     return ERR_NONE; /* the next update of the store provides it */
-  if (!down && s->confirmed_at < d->received_at - FRESH_READ_S) {
+  if (!is_down && s->confirmed_at < d->received_at - FRESH_READ_S) {
     if (!s->call_pending) s->must_reread = true;
     return ERR_NONE;
   }
@@ -205,7 +206,7 @@
     return ERR_NONE;
   }
   if (l->now - h->recalled_at < RECALL_WAIT_S) return ERR_NONE;
-  if (!down && s->confirmed_at < h->recalled_at + RECALL_WAIT_S) {
+  if (!is_down && s->confirmed_at < h->recalled_at + RECALL_WAIT_S) {
     if (!s->call_pending)
       s->must_reread = true; /* check once more for returned tokens */
     return ERR_NONE;
@@ -218,8 +219,8 @@
   HomeGrant *g = h->home_grant;
   int64_t have = home_free_tokens(g);
   if (d->need <= have && d->need <= witness_headroom(g)) {
-    int64_t fair = have / MAX_ALLOT_DIVISOR;
-    int64_t n = CLAMP(d->want, d->need, MAX(d->need, fair));
+    int64_t max_share = have / ALLOT_DIVISOR;
+    int64_t n = CLAMP(d->want, d->need, MAX(d->need, max_share));
     n = MIN(n, witness_headroom(g));
     if (n > 0)
       allot(l, h, d, n);
@@ -233,7 +234,7 @@
     return l->now >= d->deadline ? (deny_draw(l, h, d, ERR_BUDGET_CUT), true)
                                  : false;
   }
-  ErrKind cause = draw_refusal(l, h, d);
+  ErrKind cause = find_refusal_cause(l, h, d);
   if (cause == ERR_NONE) return false;
   deny_draw(l, h, d, cause);
   return true;
@@ -407,7 +408,7 @@
   s->sent_at = l->now;
   if (!g->witness[0]) {
     /* Without a witness the home could allot all of the grant, so all of it
-   counts as outstanding until it is written off. */
+       counts as outstanding until it is written off. */
     s->is_answered = true;
     s->limit = INT64_MAX / 4;
     shard_of(l, h)->dirty = true;
@@ -466,8 +467,8 @@
      for a stop. */
   bool other_is_home = ledger_home(l, shard, 0) && !ledger_is_home(l, shard) &&
                        l->now - g->drawn_at >= UNUSED_GRANT_S;
-  bool leaving = l->draining && holder_has_released(l, h->name, g->id);
-  if (!g->frozen && ((other_is_home && !l->draining) || leaving))
+  bool may_leave = l->draining && holder_has_released(l, h->name, g->id);
+  if (!g->frozen && ((other_is_home && !l->draining) || may_leave))
     home_freeze_grant(l, h);
   if (g->frozen) {
     touch_shard(l, h);
@@ -485,8 +486,8 @@
       h->draws->len == 0)
     return_to_store(l, h, keep);
   int64_t plan = home_plan_draw(l, h, h->remaining);
-  bool low = have < (int64_t)(reserve * REFILL_BELOW_RATIO);
-  if (low && plan > (int64_t)(reserve * MIN_REFILL_RATIO)) touch_shard(l, h);
+  bool is_low = have < (int64_t)(reserve * REFILL_BELOW_RATIO);
+  if (is_low && plan > (int64_t)(reserve * MIN_REFILL_RATIO)) touch_shard(l, h);
 }
 
 /* The interval between writes of spend reports. It grows with the number of
--- a/tests/test_outage.c
+++ b/tests/test_layup.c
@@ -1,4 +1,4 @@
-/* test_outage.c: the size of the outage reserve that a home holds. */
+/* test_layup.c: the size of the outage reserve that a home holds. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <jansson.h>
