--- a/packages/ledger/home.c
+++ b/packages/ledger/home.c
@@ -508,7 +508,7 @@
 static bool is_at_rest(const Ledger *l, const HomeBudget *h) {
   const HomeGrant *g = h->home_grant;
   if (l->draining || h->draws->len > 0 || !g) return false;
-  return !g->frozen && !g->is_moving && g->limit_requested <= g->limit;
+  return !g->frozen && !g->replacing_witness && g->limit_requested <= g->limit;
 }
 
 void home_tick(Ledger *l) {
--- a/packages/ledger/layup.c
+++ b/packages/ledger/layup.c
@@ -6,9 +6,7 @@
 
 #define DEMAND_AVERAGE_S 30.0 /* over which a region's demand is averaged */
 #define SLOW_AVERAGE_S 300.0  /* the same, for the outage reserve */
-#define RESERVE_DIVISOR                                                        \
-  2.0 /* regions together hold the rest divided by this                        \
-       */
+#define RESERVE_DIVISOR 2.0   /* regions share the rest divided by this */
 #define NEAR_END_RATIO                                                         \
   0.3 /* of the total: a budget with less left is near its end */
 /* Max reserve near the end, as a part of the total for all regions. The reserve
@@ -33,15 +31,15 @@
 
 /* Corrects a decaying average that started `age` seconds ago, less than its
    full time, for its start at 0. */
-static double correct_average(double mean, double age, double tau) {
+static double correct_for_start(double mean, double age, double tau) {
   return mean / (1 - exp(-age / tau));
 }
 
 /* Tokens a second that this region uses. */
-static double measured_demand(const Ledger *l, const HomeBudget *h) {
+static double measured_demand_per_s(const Ledger *l, const HomeBudget *h) {
   double age = MAX(l->now - h->started_at, MIN_AVERAGE_S);
-  return MAX(correct_average(h->slow_demand_per_s, age, SLOW_AVERAGE_S),
-             correct_average(h->demand_per_s, age, DEMAND_AVERAGE_S));
+  return MAX(correct_for_start(h->slow_demand_per_s, age, SLOW_AVERAGE_S),
+             correct_for_start(h->demand_per_s, age, DEMAND_AVERAGE_S));
 }
 
 /* Demand counts tokens that were used, not the max that was reserved, so
@@ -67,7 +65,7 @@
 }
 
 double outage_reserve_tokens(const Ledger *l, const HomeBudget *h) {
-  return measured_demand(l, h) * RESERVE_RATIO *
+  return measured_demand_per_s(l, h) * RESERVE_RATIO *
          MIN(configured_reserve_s(l, h), h->reserve_cap_s);
 }
 
@@ -87,7 +85,7 @@
 /* Lowers the cap as an outage consumes the reserve, and raises it again slowly
    afterwards. */
 static void update_reserve_cap(Ledger *l, HomeBudget *h, double dt) {
-  double rate = measured_demand(l, h) * RESERVE_RATIO;
+  double rate = measured_demand_per_s(l, h) * RESERVE_RATIO;
   if (!l->store_down && sync_shard(l, shard_index(h->name))->down_since == 0) {
     h->reserve_cap_s = MIN(h->reserve_cap_s + dt * REBUILD_S_PER_S,
                            configured_reserve_s(l, h));
--- a/packages/ledger/state.h
+++ b/packages/ledger/state.h
@@ -73,10 +73,10 @@
 typedef struct HomeGrant {
   uint64_t id;
   char witness[LIMIT_ID];
-  char next_witness[LIMIT_ID];     /* "": none */
-  bool is_moving, next_has_agreed; /* to `next_witness` */
-  double drawn_at;                 /* when the last DRAW arrived */
-  bool stored;                     /* the document contains this grant */
+  char next_witness[LIMIT_ID];                 /* "": none */
+  bool replacing_witness, next_witness_agreed; /* by `next_witness` */
+  double drawn_at;                             /* when the last DRAW arrived */
+  bool stored; /* the document contains this grant */
   bool frozen; /* allots nothing more: is being handed over */
   int64_t granted, returned;
   int64_t allotted, returned_by_holders, spent; /* sums over `shares` */
--- a/packages/ledger/stored.c
+++ b/packages/ledger/stored.c
@@ -136,7 +136,7 @@
     changed = sg->returned != g->returned || (is_due && sg->spent != g->spent);
     sg->returned = g->returned;
     if (changed) sg->spent = g->spent;
-    if (g->next_has_agreed && strcmp(sg->witness, g->next_witness) != 0) {
+    if (g->next_witness_agreed && strcmp(sg->witness, g->next_witness) != 0) {
       g_strlcpy(sg->witness, g->next_witness, sizeof sg->witness);
       changed = true;
     }
@@ -209,10 +209,10 @@
   g->granted = sg->granted;
   g->stored_spent = sg->spent;
   g->stored_returned = sg->returned;
-  if (g->is_moving && g->next_has_agreed &&
+  if (g->replacing_witness && g->next_witness_agreed &&
       strcmp(sg->witness, g->next_witness) == 0) {
     g_strlcpy(g->witness, sg->witness, sizeof g->witness);
-    g->is_moving = g->next_has_agreed = false;
+    g->replacing_witness = g->next_witness_agreed = false;
   }
 }
 
--- a/packages/ledger/witness.c
+++ b/packages/ledger/witness.c
@@ -52,7 +52,7 @@
 }
 
 int64_t witness_headroom(const HomeGrant *g) {
-  if (!g->witness[0] && !g->is_moving) return INT64_MAX;
+  if (!g->witness[0] && !g->replacing_witness) return INT64_MAX;
   return g->limit - g->allotted;
 }
 
@@ -99,7 +99,7 @@
 
 void witness_request_headroom(Ledger *l, HomeBudget *h, int64_t n) {
   HomeGrant *g = h->home_grant;
-  if (g->is_moving || !g->witness[0]) return;
+  if (g->replacing_witness || !g->witness[0]) return;
   int64_t ahead = (int64_t)(h->demand_per_s * l->witness_ahead_s);
   /* The headroom agreed in advance is written off if this home dies. So it is
      little for a small budget, and for a large one enough that not every
@@ -136,8 +136,8 @@
   if (!g->witness[0]) g->limit = g->allotted;
   g->limit = MAX(g->limit, g->allotted);
   g->limit_requested = g->limit;
-  g->is_moving = true;
-  g->next_has_agreed = false;
+  g->replacing_witness = true;
+  g->next_witness_agreed = false;
   g_strlcpy(g->next_witness, next, sizeof g->next_witness);
   send_raise(l, h, next);
 }
@@ -147,18 +147,17 @@
   HomeGrant *g = h ? h->home_grant : NULL;
   if (!g || g->id != m->grant) return;
   bool is_expected =
-      strcmp(from, g->is_moving ? g->next_witness : g->witness) == 0;
+      strcmp(from, g->replacing_witness ? g->next_witness : g->witness) == 0;
   if (!is_expected) return;
   g->unanswered_since = 0;
-  if (m->sealed) { /* a successor took this home for gone: the grant has ended
-                    */
+  if (m->sealed) { /* a successor sealed the grant, so it has ended */
     shard_of(l, h)->must_reread = true;
     home_freeze_grant(l, h);
     return;
   }
-  if (g->is_moving) {
+  if (g->replacing_witness) {
     if (m->limit < g->limit) return;
-    g->next_has_agreed = true;
+    g->next_witness_agreed = true;
     touch_shard(l, h);
     return;
   }
@@ -182,14 +181,14 @@
 
 void witness_tick(Ledger *l, HomeBudget *h) {
   HomeGrant *g = h->home_grant;
-  if (g->is_moving) {
+  if (g->replacing_witness) {
     const Member *m = view_find(l->view, g->next_witness);
-    bool is_lost =
-        !g->next_has_agreed && (!m || note_unresponsive(l, g, g->next_witness));
+    bool is_lost = !g->next_witness_agreed &&
+                   (!m || note_unresponsive(l, g, g->next_witness));
     if (is_lost) {
-      g->is_moving = false;
+      g->replacing_witness = false;
       replace_witness(l, h);
-    } else if (!g->next_has_agreed &&
+    } else if (!g->next_witness_agreed &&
                l->now - g->raise_sent_at >= LEDGER_RESEND) {
       send_raise(l, h, g->next_witness);
     }
@@ -198,15 +197,14 @@
   const Member *m = g->witness[0] ? view_find(l->view, g->witness) : NULL;
   bool is_unresponsive = m && note_unresponsive(l, g, g->witness);
   if (!g->stored && g->limit == 0 && (!m || is_unresponsive)) {
-    /* No document names the witness yet, so any other one may take its place.
-     */
+    /* No document names the witness yet, so another one may replace it. */
     witness_choose(l, g->id, g->unresponsive, g->witness);
     g->limit_requested = 0; /* the next draw sends a RAISE to the new one */
     return;
   }
   if (g->stored && (!m || m->leaving || is_unresponsive)) {
     replace_witness(l, h);
-    if (g->is_moving) return;
+    if (g->replacing_witness) return;
   }
   if (!g->witness[0]) return;
   bool is_open = g->limit_requested > g->limit;
--- a/packages/store/calls.c
+++ b/packages/store/calls.c
@@ -9,7 +9,7 @@
 } KindCounts;
 
 struct Calls {
-  GHashTable *kinds; /* name -> Kind */
+  GHashTable *kinds; /* name -> KindCounts */
 };
 
 static const char *const purposes[CALLS_PURPOSE_COUNT] = {"reader", "self",
--- a/packages/store/jobs.c
+++ b/packages/store/jobs.c
@@ -22,9 +22,9 @@
   pthread_t threads[MAX_THREADS];
 };
 
-/* Takes the first job that its rate limit allows now; if there is none, lowers
- *wait to the shortest time until one is allowed. */
-static Job *take_allowed(GQueue *q, Jobs *j, bool urgent, double *wait) {
+/* Takes the first job that its rate limit allows now. If there is none, lowers
+   `wait_s` to the shortest time until one is allowed. */
+static Job *take_allowed(GQueue *q, Jobs *j, bool urgent, double *wait_s) {
   double now = clock_now();
   for (GList *i = q->head; i; i = i->next) {
     Job *job = i->data;
@@ -34,7 +34,7 @@
       g_queue_delete_link(q, i);
       return job;
     }
-    if (w < *wait) *wait = w;
+    if (w < *wait_s) *wait_s = w;
   }
   return NULL;
 }
@@ -52,10 +52,10 @@
   Job *job = NULL;
   pthread_mutex_lock(&j->lock);
   while (!j->stop && !job) {
-    double wait = 1.0;
-    job = take_allowed(&j->urgent, j, true, &wait);
-    if (!job) job = take_allowed(&j->background, j, false, &wait);
-    if (!job) wait_for_job(j, wait);
+    double wait_s = 1.0;
+    job = take_allowed(&j->urgent, j, true, &wait_s);
+    if (!job) job = take_allowed(&j->background, j, false, &wait_s);
+    if (!job) wait_for_job(j, wait_s);
   }
   pthread_mutex_unlock(&j->lock);
   return job;
--- a/packages/store/pace.h
+++ b/packages/store/pace.h
@@ -6,7 +6,7 @@
 #include <stdbool.h>
 
 typedef struct Pace {
-  double rate_per_s, burst_calls; /* of calls */
+  double rate_per_s, burst_calls;
   double available_calls, updated_at;
 } Pace;
 
