--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -25,8 +25,9 @@
   Pools *pools;
   HttpServer *server;
   atomic_bool draining;
-  atomic_int open;                 /* requests in progress */
-  atomic_int_fast64_t store_heard; /* unix seconds of the last good answer */
+  atomic_int open; /* requests in progress */
+  atomic_int_fast64_t
+      store_last_contact; /* unix seconds of the last good answer */
 } Entry;
 
 bool entry_open(Entry *e, Err *err);
--- a/packages/entry/watch.c
+++ b/packages/entry/watch.c
@@ -29,7 +29,7 @@
 }
 
 static void heard_store(Watch *w) {
-  atomic_store(&w->entry->store_heard, clock_unix());
+  atomic_store(&w->entry->store_last_contact, clock_unix());
 }
 
 /* == table == */
@@ -45,7 +45,7 @@
     if (r->kind != TABLE_BUDGET) continue;
     LedgerBudget b = {.total = r->numbers[TABLE_TOKENS],
                       .version = r->version,
-                      .reserve_s = (double)r->numbers[TABLE_RESERVE]};
+                      .outage_reserve_s = (double)r->numbers[TABLE_RESERVE]};
     g_strlcpy(b.name, r->name, sizeof b.name);
     g_array_append_val(list, b);
   }
