--- a/bench/claims.c
+++ b/bench/claims.c
@@ -40,14 +40,14 @@
   o->text = g_strdup(a->text);
   s->puts++;
   s->put_bytes += (double)strlen(a->text);
-  once_stored(s->home, s->now, a->shard, a->part, ERR_NONE, ++o->version, NULL);
+  once_claim_stored(s->home, s->now, a->shard, a->part, ERR_NONE, ++o->version, NULL);
 }
 
 static void get(Shop *s, const OnceAction *a) {
   const Object *o = g_hash_table_lookup(s->objects, a->name);
   s->gets++;
   if (o) s->get_bytes += (double)strlen(o->text);
-  once_stored(s->home, s->now, a->shard, a->part,
+  once_claim_stored(s->home, s->now, a->shard, a->part,
               o ? ERR_NONE : ERR_STORE_ABSENT, o ? o->version : 0,
               o ? o->text : NULL);
 }
@@ -65,15 +65,15 @@
 
 static void act(Shop *s) {
   OnceAction a;
-  while (once_next(s->home, &a)) {
-    switch (a.what) {
+  while (once_next_action(s->home, &a)) {
+    switch (a.action) {
     case ONCE_DO_PUT: put(s, &a); break;
     case ONCE_DO_GET: get(s, &a); break;
     case ONCE_DO_DELETE:
       s->deletes++;
       g_hash_table_remove(s->objects, a.name);
       break;
-    case ONCE_DO_BILL: once_billed(s->home, s->now, ERR_NONE); break;
+    case ONCE_DO_BILL: once_bill_stored(s->home, s->now, ERR_NONE); break;
     case ONCE_DO_ANSWER: finish(s, &a); break;
     default: break;
     }
@@ -84,7 +84,7 @@
 static OnceKey key_of(int i) {
   char text[32];
   snprintf(text, sizeof text, "key-%d", i);
-  OnceKey k = once_key("c", text);
+  OnceKey k = once_make_key("c", text);
   k.lo = k.lo / LIMIT_CLAIM_SHARDS * LIMIT_CLAIM_SHARDS; /* of one shard */
   return k;
 }
@@ -96,7 +96,7 @@
   s->home = once_new(v->list[0].id, v->list[0].region, 1);
   /* We are asked as if we were the home: nobody else is there to answer. */
   for (int i = 0; i < v->n; i++) v->list[i].leaving = i > 0;
-  once_view(s->home, s->now, v);
+  once_set_view(s->home, s->now, v);
   view_free(v);
   s->objects =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, object_free);
@@ -124,7 +124,7 @@
   View *v = slopes_view(1);
   once_free(s->home);
   s->home = once_new(v->list[0].id, v->list[0].region, 2);
-  once_view(s->home, s->now, v);
+  once_set_view(s->home, s->now, v);
   view_free(v);
   s->gets = 0;
   s->get_bytes = 0;
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -353,13 +353,13 @@
 
 static void drop_once(Once *o) {
   OnceAction a;
-  while (once_next(o, &a)) once_action_clear(&a);
+  while (once_next_action(o, &a)) once_action_clear(&a);
 }
 
 static void once_slopes(int n) {
   View *v = slopes_view(1);
   Once *o = once_new("instance-000.0123abcd", "region-0", 1);
-  once_view(o, 1, v);
+  once_set_view(o, 1, v);
   OnceBill bill = {
       .customer = "customer-0001", .budget = "customer-0001/x", .tokens = 100};
   OnceAnswer none = {.status = 200};
@@ -368,7 +368,7 @@
     char key[32];
     snprintf(key, sizeof key, "key-%d", i);
     uint64_t handle = (uint64_t)i + 1;
-    once_begin(o, 1, handle, once_key("c", key), 1, true, true);
+    once_begin(o, 1, handle, once_make_key("c", key), 1, true, true);
     once_finish(o, 1, handle, &bill, &none);
     drop_once(o);
   }
@@ -448,7 +448,7 @@
                         .tokens = 500}};
   codec_put_once(&b, &o);
   size_of("finish bytes", &b);
-  o.kind = ONCE_FINISHED;
+  o.kind = ONCE_FINISH_ACK;
   o.digest = 0;
   codec_put_once(&b, &o);
   size_of("other record message bytes", &b);
@@ -473,7 +473,7 @@
     items[i] = (BillItem){"0123456789abcdef0123456789abcdef", "customer-0001",
                           names[i], 500, 1700000000 + i % 87};
   }
-  char *text = bill_text(items, n);
+  char *text = bill_encode_batch(items, n);
   slopes_out("bill line bytes", n, (double)strlen(text) / n);
   g_free(text);
   g_free(names);
--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -225,7 +225,7 @@
   json_array_foreach(list, i, o) {
     const char *name = json_string_value(json_object_get(o, "name"));
     PlatformAnswer a = platform_get(p, name);
-    if (a.text) bill_each(a.text, add_bill, &b);
+    if (a.text) bill_decode_batch(a.text, add_bill, &b);
     g_free(a.text);
   }
   platform_close(p);
--- a/packages/entry/exchange.c
+++ b/packages/entry/exchange.c
@@ -18,7 +18,7 @@
 static void name_request(Exchange *x, const HttpReq *r) {
   const char *key = http_header(r, "Idempotency-Key");
   if (key && key[0] && strlen(key) <= 256) {
-    OnceKey k = once_key(x->customer.name, key);
+    OnceKey k = once_make_key(x->customer.name, key);
     snprintf(x->id, sizeof x->id, "key-%016" PRIx64 "%016" PRIx64, k.hi, k.lo);
     x->run.key = k;
     return;
@@ -26,7 +26,7 @@
   uint64_t n[2];
   if (getrandom(n, sizeof n, 0) != sizeof n) n[0] = (uint64_t)(uintptr_t)r;
   snprintf(x->id, sizeof x->id, "req-%016" PRIx64 "%016" PRIx64, n[0], n[1]);
-  x->run.key = once_key(x->customer.name, x->id);
+  x->run.key = once_make_key(x->customer.name, x->id);
 }
 
 bool exchange_who(Exchange *x, Entry *e, HttpReq *r, const char *service,
@@ -60,7 +60,7 @@
     err_retry(err, ERR_IN_PROGRESS, 1000, "this request is running now");
     err->ran = RAN_MAYBE;
     break;
-  case ONCE_MAYBE:
+  case ONCE_OUTCOME_UNKNOWN:
     err_set(err, ERR_MAY_HAVE_RUN,
             "this request was sent before and its outcome is not known");
     err->ran = RAN_MAYBE;
--- a/packages/fleet/fleet.c
+++ b/packages/fleet/fleet.c
@@ -127,7 +127,7 @@
     Lane *l = &f->lanes[i];
     pthread_mutex_lock(&l->lock);
     if (l->ledger) ledger_view(l->ledger, clock_now(), v);
-    if (l->once) once_view(l->once, clock_now(), v);
+    if (l->once) once_set_view(l->once, clock_now(), v);
     lane_act(l);
     pthread_mutex_unlock(&l->lock);
   }
@@ -364,7 +364,7 @@
 void fleet_at(Fleet *f, FleetRun *run, const char *target) {
   Lane *l = records(f);
   pthread_mutex_lock(&l->lock);
-  once_at(l->once, clock_now(), run->handle, target);
+  once_dispatched(l->once, clock_now(), run->handle, target);
   lane_act(l);
   pthread_mutex_unlock(&l->lock);
 }
@@ -385,7 +385,7 @@
 void fleet_unknown(Fleet *f, FleetRun *run) {
   Lane *l = records(f);
   pthread_mutex_lock(&l->lock);
-  once_unknown(l->once, clock_now(), run->handle);
+  once_finish_unknown(l->once, clock_now(), run->handle);
   lane_act(l);
   pthread_mutex_unlock(&l->lock);
 }
@@ -441,7 +441,7 @@
     Lane *l = &f->lanes[i];
     pthread_mutex_lock(&l->lock);
     *budgets += l->ledger && !ledger_drained(l->ledger);
-    *records += l->once && !once_drained(l->once);
+    *records += l->once && !once_is_drained(l->once);
     pthread_mutex_unlock(&l->lock);
   }
 }
--- a/packages/fleet/lane.c
+++ b/packages/fleet/lane.c
@@ -62,17 +62,17 @@
 static void do_once(Lane *l) {
   OnceAction a;
   char addr[LIMIT_NAME];
-  while (once_next(l->once, &a)) {
+  while (once_next_action(l->once, &a)) {
     Job j = {.ctx = l, .shard = a.shard, .part = a.part, .version = a.version};
     g_strlcpy(j.name, a.name, sizeof j.name);
-    switch (a.what) {
+    switch (a.action) {
     case ONCE_DO_SEND:
       if (l->host->address(l->host->ctx, a.to, addr))
         peer_once(l->host->peer, addr, a.to, &a.msg);
       break;
     case ONCE_DO_GET:
     case ONCE_DO_PUT:
-      j.kind = a.what == ONCE_DO_PUT ? JOB_PUT : JOB_GET;
+      j.kind = a.action == ONCE_DO_PUT ? JOB_PUT : JOB_GET;
       j.urgent = true;
       j.done = on_once_stored;
       j.text = g_steal_pointer(&a.text);
@@ -96,7 +96,7 @@
       break;
     }
     case ONCE_DO_DONE:
-      wake_wait(l, a.handle, &(LaneWait){.doubled = a.doubled});
+      wake_wait(l, a.handle, &(LaneWait){.doubled = a.duplicate});
       break;
     }
     once_action_clear(&a);
@@ -121,7 +121,7 @@
 static void on_once_stored(void *ctx, const Job *j, PlatformAnswer *a) {
   Lane *l = ctx;
   pthread_mutex_lock(&l->lock);
-  once_stored(l->once, clock_now(), j->shard, j->part, a->kind, a->version,
+  once_claim_stored(l->once, clock_now(), j->shard, j->part, a->kind, a->version,
               j->kind == JOB_GET ? a->text : NULL);
   do_once(l);
   pthread_mutex_unlock(&l->lock);
@@ -132,7 +132,7 @@
   Lane *l = ctx;
   (void)j;
   pthread_mutex_lock(&l->lock);
-  once_billed(l->once, clock_now(), a->kind);
+  once_bill_stored(l->once, clock_now(), a->kind);
   do_once(l);
   pthread_mutex_unlock(&l->lock);
   if (a->kind == ERR_NONE) count_add(COUNT_BILLS, 1);
--- a/packages/once/bill.c
+++ b/packages/once/bill.c
@@ -35,7 +35,7 @@
   return group;
 }
 
-char *bill_text(const BillItem *list, int n) {
+char *bill_encode_batch(const BillItem *list, int n) {
   GHashTable *groups =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   json_t *budgets = json_array();
@@ -74,8 +74,8 @@
   g_free(within);
 }
 
-bool bill_each(const char *text, void (*fn)(void *ctx, const BillItem *item),
-               void *ctx) {
+bool bill_decode_batch(const char *text,
+                       void (*fn)(void *ctx, const BillItem *item), void *ctx) {
   json_t *o = json_loads(text, 0, NULL), *group;
   json_t *budgets = json_object_get(o, "budgets");
   bool ok = json_is_array(budgets);
--- a/packages/once/bill.h
+++ b/packages/once/bill.h
@@ -1,6 +1,7 @@
-/* bill.h: a batch of bill lines as an object of the platform's store: grouped
-   by budget, since names would be most of it. A request that stands in two
-   batches is one request: readers take the union by key. */
+/* bill.h: encodes and decodes a batch of bills, stored as one object. The bills
+   are grouped by budget, because repeated names would make up most of the
+   object. The same request may appear in two batches: readers deduplicate by
+   key. */
 #ifndef ONCE_BILL_H
 #define ONCE_BILL_H
 
@@ -8,16 +9,16 @@
 #include <stdint.h>
 
 typedef struct BillItem {
-  const char *key; /* 32 hex digits, names the request */
+  const char *key; /* request key, 32 hex digits */
   const char *customer, *budget;
   int64_t tokens;
-  int64_t unix_s; /* when it was finished */
+  int64_t unix_s; /* completion time */
 } BillItem;
 
-/* JSON, g_free. */
-char *bill_text(const BillItem *list, int n);
-/* Calls `fn` for each line; false when the text is no batch. */
-bool bill_each(const char *text, void (*fn)(void *ctx, const BillItem *item),
-               void *ctx);
+/* Returns JSON; the caller frees it with g_free. */
+char *bill_encode_batch(const BillItem *list, int n);
+/* Calls `fn` for each bill. Returns false if the text is not a batch. */
+bool bill_decode_batch(const char *text,
+                       void (*fn)(void *ctx, const BillItem *item), void *ctx);
 
 #endif
--- a/packages/once/claim.c
+++ b/packages/once/claim.c
@@ -6,33 +6,34 @@
 
 #include <string.h>
 
-#define FAILING_S 1.0 /* a store that fails for so long refuses at once */
+#define REFUSE_AFTER_FAILING_S                                                 \
+  1.0 /* a store that fails for so long refuses at once */
 
 /* == shards == */
 
-int claim_shard(OnceKey key) {
+int claim_shard_index(OnceKey key) {
   return (int)(key.lo % LIMIT_CLAIM_SHARDS);
 }
 
-static void claim_free(gpointer p) {
-  Claim *c = p;
+static void free_claim(gpointer p) {
+  QueuedClaim *c = p;
   if (!c) return;
-  claim_free(c->next);
+  free_claim(c->follow_up);
   once_answer_clear(&c->answer);
   g_free(c);
 }
 
-static ClaimShard *shard_of(Once *o, OnceKey key) {
-  int i = claim_shard(key);
+static ClaimShard *get_shard(Once *o, OnceKey key) {
+  int i = claim_shard_index(key);
   ClaimShard *s = o->shards[i];
   if (!s) {
     s = o->shards[i] = g_new0(ClaimShard, 1);
     s->index = i;
-    s->claims = g_ptr_array_new_with_free_func(claim_free);
-    s->loose = g_array_new(FALSE, FALSE, sizeof(Loose));
+    s->claims = g_ptr_array_new_with_free_func(free_claim);
+    s->unlisted = g_array_new(FALSE, FALSE, sizeof(UnlistedPart));
     pace_init(&s->pace, CLAIM_WRITES, o->now);
   }
-  s->used = o->now;
+  s->used_at = o->now;
   return s;
 }
 
@@ -40,13 +41,13 @@
   if (!s) return;
   claimdoc_free(s->doc);
   g_ptr_array_free(s->claims, TRUE);
-  g_array_free(s->loose, TRUE);
+  g_array_free(s->unlisted, TRUE);
   g_free(s);
 }
 
-static Claim *find_claim(const ClaimShard *s, uint64_t nonce) {
+static QueuedClaim *find_claim(const ClaimShard *s, uint64_t nonce) {
   for (guint i = 0; i < s->claims->len; i++) {
-    Claim *c = s->claims->pdata[i];
+    QueuedClaim *c = s->claims->pdata[i];
     if (c->nonce == nonce) return c;
   }
   return NULL;
@@ -56,11 +57,12 @@
 
 static const ClaimEntry *find_entry(const Once *o, const ClaimShard *s,
                                     OnceKey key) {
-  if (o->faults.no_parts) return g_hash_table_lookup(s->doc->entries, &key);
+  if (o->faults.ignore_parts) return g_hash_table_lookup(s->doc->entries, &key);
   return claimdoc_find(s->doc, key);
 }
 
-static OnceVerdict judge(const Once *o, Claim *c, const ClaimEntry *e) {
+static OnceVerdict judge_entry(const Once *o, QueuedClaim *c,
+                               const ClaimEntry *e) {
   if (e->digest != c->digest) return ONCE_MISMATCH;
   switch (e->state) {
   case CLAIM_RAN:
@@ -69,14 +71,15 @@
                              .len = e->body ? strlen(e->body) : 0};
     g_strlcpy(c->answer.type, e->type, sizeof c->answer.type);
     return ONCE_REPLAY;
-  case CLAIM_OPEN: return view_find(o->view, e->by) ? ONCE_PENDING : ONCE_MAYBE;
-  default: return ONCE_MAYBE;
+  case CLAIM_OPEN:
+    return view_find(o->view, e->runner) ? ONCE_PENDING : ONCE_OUTCOME_UNKNOWN;
+  default: return ONCE_OUTCOME_UNKNOWN;
   }
 }
 
 /* Each returns true when the document was changed. */
 
-static bool take(Once *o, ClaimShard *s, Claim *c) {
+static bool apply_claim(Once *o, ClaimShard *s, QueuedClaim *c) {
   const ClaimEntry *e = find_entry(o, s, c->key);
   bool ours = e && e->nonce == c->nonce;
   once_answer_clear(&c->answer);
@@ -85,71 +88,71 @@
     return false;
   }
   if (e && e->state != CLAIM_RELEASED) {
-    c->verdict = judge(o, c, e);
+    c->verdict = judge_entry(o, c, e);
     return false;
   }
-  ClaimEntry *new = claimdoc_touch(s->doc, c->key);
+  ClaimEntry *new = claimdoc_edit_entry(s->doc, c->key);
   new->nonce = c->nonce;
   new->digest = c->digest;
   new->unix_s = o->unix_s;
   new->state = CLAIM_OPEN;
-  new->by = g_intern_string(c->from);
+  new->runner = g_intern_string(c->from);
   c->verdict = ONCE_RUN;
   return true;
 }
 
-static bool outcome(Once *o, ClaimShard *s, const Claim *c) {
+static bool apply_outcome(Once *o, ClaimShard *s, const QueuedClaim *c) {
   const ClaimEntry *e = find_entry(o, s, c->key);
   if (!e || e->nonce != c->nonce || e->state != CLAIM_OPEN) return false;
-  ClaimEntry *new = claimdoc_touch(s->doc, c->key);
+  ClaimEntry *new = claimdoc_edit_entry(s->doc, c->key);
   const OnceAnswer *a = &c->answer;
   new->state = a->status ? CLAIM_RAN : CLAIM_UNKNOWN;
   new->status = a->status;
   new->type = g_intern_string(a->type);
-  if (a->body) claimdoc_keep(s->doc, new, a->body, a->len);
+  if (a->body) claimdoc_keep_body(s->doc, new, a->body, a->len);
   return true;
 }
 
 /* What was given up is remembered: a claim of it that comes late must not
    stand, since nobody would ever run it. */
-static bool give_up(Once *o, ClaimShard *s, const Claim *c) {
+static bool apply_release(Once *o, ClaimShard *s, const QueuedClaim *c) {
   const ClaimEntry *e = find_entry(o, s, c->key);
   bool ours = e && e->nonce == c->nonce;
   if (e && !ours && e->state != CLAIM_RELEASED) return false;
   if (ours && e->state != CLAIM_OPEN) return false;
-  ClaimEntry *new = claimdoc_touch(s->doc, c->key);
+  ClaimEntry *new = claimdoc_edit_entry(s->doc, c->key);
   new->nonce = c->nonce;
   new->digest = c->digest;
   new->unix_s = o->unix_s;
   new->state = CLAIM_RELEASED;
-  new->by = "";
+  new->runner = "";
   return true;
 }
 
-static bool apply(Once *o, ClaimShard *s) {
+static bool apply_claims(Once *o, ClaimShard *s) {
   bool changed = false;
   for (guint i = 0; i < s->claims->len; i++) {
-    Claim *c = s->claims->pdata[i];
+    QueuedClaim *c = s->claims->pdata[i];
     c->decided = true;
     switch (c->kind) {
-    case ONCE_CLAIM: changed |= take(o, s, c); break;
-    case ONCE_OUTCOME: changed |= outcome(o, s, c); break;
-    default: changed |= give_up(o, s, c); break;
+    case ONCE_CLAIM: changed |= apply_claim(o, s, c); break;
+    case ONCE_OUTCOME: changed |= apply_outcome(o, s, c); break;
+    default: changed |= apply_release(o, s, c); break;
     }
   }
   return changed;
 }
 
-static void undecide(ClaimShard *s) {
+static void clear_decisions(ClaimShard *s) {
   for (guint i = 0; i < s->claims->len; i++)
-    ((Claim *)s->claims->pdata[i])->decided = false;
+    ((QueuedClaim *)s->claims->pdata[i])->decided = false;
 }
 
 /* == answers == */
 
-static void reply(Once *o, const Claim *c) {
+static void send_verdict(Once *o, const QueuedClaim *c) {
   bool claim = c->kind == ONCE_CLAIM;
-  OnceMsg m = {.kind = claim ? ONCE_CLAIMED : ONCE_KEPT,
+  OnceMsg m = {.kind = claim ? ONCE_CLAIM_REPLY : ONCE_OUTCOME_STORED,
                .key = c->key,
                .nonce = c->nonce,
                .verdict = c->verdict};
@@ -159,44 +162,46 @@
 }
 
 /* The document is the store's: what was decided in it is true. */
-static void confirm(Once *o, ClaimShard *s) {
-  s->backoff = s->failing = 0;
+static void reply_to_decided(Once *o, ClaimShard *s) {
+  s->backoff = s->failing_since = 0;
   for (guint i = 0; i < s->claims->len;) {
-    Claim *c = s->claims->pdata[i];
+    QueuedClaim *c = s->claims->pdata[i];
     if (!c->decided) {
       i++;
       continue;
     }
     g_ptr_array_steal_index(s->claims, i);
-    reply(o, c);
-    if (c->next) g_ptr_array_add(s->claims, g_steal_pointer(&c->next));
-    claim_free(c);
+    send_verdict(o, c);
+    if (c->follow_up)
+      g_ptr_array_add(s->claims, g_steal_pointer(&c->follow_up));
+    free_claim(c);
   }
 }
 
 /* == the way of a shard == */
 
-static void fail(Once *o, ClaimShard *s) {
+static void record_failure(Once *o, ClaimShard *s) {
   s->stale = true;
-  undecide(s);
-  if (s->failing == 0) s->failing = o->now;
+  clear_decisions(s);
+  if (s->failing_since == 0) s->failing_since = o->now;
   s->retry_at = o->now + pace_backoff(&s->backoff, g_rand_double(o->rng));
 }
 
 /* A claim is waited for; outcomes wait for company. */
-static bool due(const Once *o, const ClaimShard *s) {
+static bool is_write_due(const Once *o, const ClaimShard *s) {
   for (guint i = 0; i < s->claims->len; i++) {
-    const Claim *c = s->claims->pdata[i];
+    const QueuedClaim *c = s->claims->pdata[i];
     bool urgent = c->kind == ONCE_CLAIM || o->draining;
-    if (urgent || o->now - c->came >= CLAIM_LINGER) return true;
+    if (urgent || o->now - c->received_at >= CLAIM_LINGER) return true;
   }
   return false;
 }
 
-static void pump(Once *o, ClaimShard *s) {
-  if (s->phase != SHARD_IDLE || o->now < s->retry_at || !due(o, s)) return;
+static void advance_shard(Once *o, ClaimShard *s) {
+  if (s->phase != SHARD_IDLE || o->now < s->retry_at || !is_write_due(o, s))
+    return;
   if (!s->doc || s->stale) {
-    claimio_read(o, s);
+    claimio_read_head(o, s);
     return;
   }
   if (claimio_read_parts(o, s)) return;
@@ -208,37 +213,37 @@
     s->retry_at = o->now + wait;
     return;
   }
-  if (apply(o, s)) {
+  if (apply_claims(o, s)) {
     claimio_write(o, s);
     return;
   }
   s->pace = before; /* nothing is written */
-  if (s->checked) {
-    confirm(o, s);
+  if (s->read_since_claim) {
+    reply_to_decided(o, s);
     return;
   }
   /* A kept document may be old: what it says is only taken after a read. */
-  undecide(s);
-  claimio_read(o, s);
+  clear_decisions(s);
+  claimio_read_head(o, s);
 }
 
-static void on_head(Once *o, ClaimShard *s, uint64_t version,
-                    const char *text) {
-  ClaimDoc *d = version < s->seen ? NULL /* a stale read */
-                : text            ? claimdoc_read(text)
-                                  : claimdoc_new();
+static void receive_head(Once *o, ClaimShard *s, uint64_t version,
+                         const char *text) {
+  ClaimDoc *d = version < s->newest_version ? NULL /* a stale read */
+                : text                      ? claimdoc_decode_head(text)
+                                            : claimdoc_new();
   if (!d) {
-    fail(o, s);
+    record_failure(o, s);
     return;
   }
-  if (s->doc) claimdoc_adopt(d, s->doc);
+  if (s->doc) claimdoc_adopt_parts(d, s->doc);
   claimdoc_free(s->doc);
   s->doc = d;
-  s->version = s->seen = version;
+  s->version = s->newest_version = version;
   s->stale = false;
-  s->checked = true;
-  undecide(s);
-  claimio_sweep(o, s);
+  s->read_since_claim = true;
+  clear_decisions(s);
+  claimio_delete_unlisted(o, s);
 }
 
 static ClaimPart *find_part(const ClaimShard *s, uint64_t id) {
@@ -249,108 +254,114 @@
   return NULL;
 }
 
-static void on_part(Once *o, ClaimShard *s, uint64_t id, const char *text) {
+static void receive_part(Once *o, ClaimShard *s, uint64_t id,
+                         const char *text) {
   ClaimPart *p = find_part(s, id);
-  bool ok = p && text && claimdoc_read_part(p, text);
-  if (ok) p->seen = o->now;
-  s->broken |= !ok;
-  if (--s->reading > 0) {
-    s->phase = SHARD_PARTS;
+  bool ok = p && text && claimdoc_decode_part(p, text);
+  if (ok) p->first_seen = o->now;
+  s->part_failed |= !ok;
+  if (--s->parts_reading > 0) {
+    s->phase = SHARD_READING_PARTS;
     return;
   }
-  if (s->broken) fail(o, s); /* perhaps the head was old: read it again */
+  if (s->part_failed)
+    record_failure(o, s); /* perhaps the head was old: read it again */
 }
 
-static void on_written(Once *o, ClaimShard *s, uint64_t version) {
-  s->version = s->seen = version;
-  s->checked = false;
-  claimio_sweep(o, s);
-  confirm(o, s);
+static void complete_write(Once *o, ClaimShard *s, uint64_t version) {
+  s->version = s->newest_version = version;
+  s->read_since_claim = false;
+  claimio_delete_unlisted(o, s);
+  reply_to_decided(o, s);
 }
 
-void claim_stored(Once *o, int shard, uint64_t part, ErrKind kind,
-                  uint64_t version, const char *text) {
+void claim_store_answered(Once *o, int shard, uint64_t part, ErrKind kind,
+                          uint64_t version, const char *text) {
   ClaimShard *s = o->shards[shard];
   if (!s || s->phase == SHARD_IDLE) return;
   ShardPhase phase = s->phase;
   s->phase = SHARD_IDLE;
   bool ok = kind == ERR_NONE, absent = kind == ERR_STORE_ABSENT;
-  if (phase == SHARD_PARTS)
-    on_part(o, s, part, ok ? text : NULL);
-  else if (phase == SHARD_READING && (ok || absent))
-    on_head(o, s, absent ? 0 : version, absent ? NULL : text);
-  else if (phase == SHARD_SEALING && ok)
+  if (phase == SHARD_READING_PARTS)
+    receive_part(o, s, part, ok ? text : NULL);
+  else if (phase == SHARD_READING_HEAD && (ok || absent))
+    receive_head(o, s, absent ? 0 : version, absent ? NULL : text);
+  else if (phase == SHARD_WRITING_PART && ok)
     claimio_write_head(o, s);
-  else if (phase == SHARD_WRITING && ok)
-    on_written(o, s, version);
-  else if (phase == SHARD_WRITING && kind == ERR_STORE_CONFLICT) {
+  else if (phase == SHARD_WRITING_HEAD && ok)
+    complete_write(o, s, version);
+  else if (phase == SHARD_WRITING_HEAD && kind == ERR_STORE_CONFLICT) {
     s->stale = true;
-    undecide(s);
+    clear_decisions(s);
   } else
-    fail(o, s);
-  pump(o, s);
+    record_failure(o, s);
+  advance_shard(o, s);
 }
 
 /* == wishes of runners == */
 
-static void refuse(Once *o, const char *to, const OnceMsg *m) {
-  OnceMsg r = {.kind = ONCE_CLAIMED,
+static void send_refusal(Once *o, const char *to, const OnceMsg *m) {
+  OnceMsg r = {.kind = ONCE_CLAIM_REPLY,
                .key = m->key,
                .nonce = m->nonce,
                .verdict = ONCE_NO_CLAIM};
   once_send(o, to, &r);
 }
 
-static Claim *claim_new(const Once *o, const char *from, const OnceMsg *m) {
-  Claim *c = g_new0(Claim, 1);
-  *c = (Claim){.kind = m->kind,
-               .key = m->key,
-               .nonce = m->nonce,
-               .digest = m->digest,
-               .came = o->now,
-               .answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER)};
+static QueuedClaim *new_claim(const Once *o, const char *from,
+                              const OnceMsg *m) {
+  QueuedClaim *c = g_new0(QueuedClaim, 1);
+  *c =
+      (QueuedClaim){.kind = m->kind,
+                    .key = m->key,
+                    .nonce = m->nonce,
+                    .digest = m->digest,
+                    .received_at = o->now,
+                    .answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER)};
   g_strlcpy(c->from, from, sizeof c->from);
   return c;
 }
 
 /* Told again, or something else of a run whose last wish is still here. */
-static void ask_again(Once *o, Claim *c, const char *from, const OnceMsg *m) {
-  OnceMsg held = {.kind = ONCE_HELD, .key = m->key, .nonce = m->nonce};
+static void handle_repeat(Once *o, QueuedClaim *c, const char *from,
+                          const OnceMsg *m) {
+  OnceMsg held = {.kind = ONCE_CLAIM_QUEUED, .key = m->key, .nonce = m->nonce};
   if (m->kind != c->kind && m->kind != ONCE_CLAIM) {
     if (!c->decided) {
       c->kind = m->kind; /* never made it to the store */
       once_answer_clear(&c->answer);
       c->answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER);
-    } else if (!c->next)
-      c->next = claim_new(o, from, m);
+    } else if (!c->follow_up)
+      c->follow_up = new_claim(o, from, m);
   }
   once_send(o, from, &held);
 }
 
-void claim_ask(Once *o, const char *from, const OnceMsg *m) {
-  ClaimShard *s = shard_of(o, m->key);
-  Claim *c = find_claim(s, m->nonce);
+void claim_receive(Once *o, const char *from, const OnceMsg *m) {
+  ClaimShard *s = get_shard(o, m->key);
+  QueuedClaim *c = find_claim(s, m->nonce);
   if (c) {
-    ask_again(o, c, from, m);
+    handle_repeat(o, c, from, m);
     return;
   }
-  bool failing = s->failing > 0 && o->now - s->failing >= FAILING_S;
+  bool failing = s->failing_since > 0 &&
+                 o->now - s->failing_since >= REFUSE_AFTER_FAILING_S;
   if (failing && m->kind == ONCE_CLAIM && o->now < s->retry_at) {
-    refuse(o, from, m);
+    send_refusal(o, from, m);
     return;
   }
-  g_ptr_array_add(s->claims, claim_new(o, from, m));
-  s->checked = false;
-  pump(o, s);
+  g_ptr_array_add(s->claims, new_claim(o, from, m));
+  s->read_since_claim = false;
+  advance_shard(o, s);
 }
 
 /* == time == */
 
 /* Their runners gave up. */
-static void drop_late(Once *o, ClaimShard *s) {
+static void drop_expired_claims(Once *o, ClaimShard *s) {
   for (guint i = s->claims->len; i > 0; i--) {
-    const Claim *c = s->claims->pdata[i - 1];
-    bool late = c->kind == ONCE_CLAIM && o->now - c->came >= ONCE_WAIT;
+    const QueuedClaim *c = s->claims->pdata[i - 1];
+    bool late = c->kind == ONCE_CLAIM && o->now - c->received_at >= ONCE_WAIT;
     if (late && !c->decided) g_ptr_array_remove_index(s->claims, i - 1);
   }
 }
@@ -359,16 +370,16 @@
   for (int i = 0; i < LIMIT_CLAIM_SHARDS; i++) {
     ClaimShard *s = o->shards[i];
     if (!s) continue;
-    drop_late(o, s);
-    pump(o, s);
+    drop_expired_claims(o, s);
+    advance_shard(o, s);
     bool idle = s->phase == SHARD_IDLE && s->claims->len == 0;
-    if (!idle || o->now - s->used < CLAIM_IDLE) continue;
+    if (!idle || o->now - s->used_at < CLAIM_IDLE) continue;
     claim_shard_free(s);
     o->shards[i] = NULL;
   }
 }
 
-bool claim_drained(const Once *o) {
+bool claim_is_drained(const Once *o) {
   for (int i = 0; i < LIMIT_CLAIM_SHARDS; i++)
     if (o->shards[i] && o->shards[i]->claims->len > 0) return false;
   return true;
--- a/packages/once/claimdoc.c
+++ b/packages/once/claimdoc.c
@@ -19,10 +19,10 @@
 }
 
 static GHashTable *entries_new(void) {
-  return g_hash_table_new_full(once_hash, once_equal, NULL, entry_free);
+  return g_hash_table_new_full(once_key_hash, once_key_equal, NULL, entry_free);
 }
 
-static void add(GHashTable *entries, ClaimEntry *e) {
+static void add_entry(GHashTable *entries, ClaimEntry *e) {
   g_hash_table_replace(entries, &e->key, e);
 }
 
@@ -32,24 +32,25 @@
   return c;
 }
 
-static json_t *hex(uint64_t n) {
+static json_t *json_from_hex(uint64_t n) {
   char s[20];
   snprintf(s, sizeof s, "%" PRIx64, n);
   return json_string(s);
 }
 
-static uint64_t unhex(json_t *s) {
+static uint64_t hex_value(json_t *s) {
   const char *t = json_string_value(s);
   return t ? strtoull(t, NULL, 16) : 0;
 }
 
 /* [key, nonce, digest, taken at, state, by] and of an answer [.., status, type,
    body or null]. */
-static json_t *entry_json(const ClaimEntry *e) {
+static json_t *encode_entry(const ClaimEntry *e) {
   char key[33];
-  once_key_text(e->key, key);
-  json_t *a = json_pack("[s,o,o,I,i,s]", key, hex(e->nonce), hex(e->digest),
-                        (json_int_t)e->unix_s, (int)e->state, e->by);
+  once_key_to_hex(e->key, key);
+  json_t *a = json_pack("[s,o,o,I,i,s]", key, json_from_hex(e->nonce),
+                        json_from_hex(e->digest), (json_int_t)e->unix_s,
+                        (int)e->state, e->runner);
   if (e->state != CLAIM_RAN) return a;
   json_array_append_new(a, json_integer(e->status));
   json_array_append_new(a, json_string(e->type));
@@ -57,56 +58,57 @@
   return a;
 }
 
-static bool read_key(const char *text, OnceKey *k) {
+static bool parse_key(const char *text, OnceKey *k) {
   if (!text || strlen(text) != 32) return false;
   return sscanf(text, "%16" SCNx64 "%16" SCNx64, &k->hi, &k->lo) == 2;
 }
 
-static ClaimEntry *entry_read(json_t *a) {
+static ClaimEntry *decode_entry(json_t *a) {
   OnceKey key;
   json_int_t state = json_integer_value(json_array_get(a, 4));
   const char *by = json_string_value(json_array_get(a, 5));
   const char *type = json_string_value(json_array_get(a, 7));
-  bool ok = read_key(json_string_value(json_array_get(a, 0)), &key) && by &&
-            state >= 0 && state < CLAIM_STATES && (state != CLAIM_RAN || type);
+  bool ok = parse_key(json_string_value(json_array_get(a, 0)), &key) && by &&
+            state >= 0 && state < CLAIM_STATE_COUNT &&
+            (state != CLAIM_RAN || type);
   if (!ok) return NULL;
   ClaimEntry *e = g_new0(ClaimEntry, 1);
   e->key = key;
-  e->nonce = unhex(json_array_get(a, 1));
-  e->digest = unhex(json_array_get(a, 2));
+  e->nonce = hex_value(json_array_get(a, 1));
+  e->digest = hex_value(json_array_get(a, 2));
   e->unix_s = json_integer_value(json_array_get(a, 3));
   e->state = (ClaimState)state;
-  e->by = g_intern_string(by);
+  e->runner = g_intern_string(by);
   e->status = (int)json_integer_value(json_array_get(a, 6));
   e->type = type ? g_intern_string(type) : NULL;
   e->body = g_strdup(json_string_value(json_array_get(a, 8)));
   return e;
 }
 
-static json_t *entries_json(GHashTable *entries) {
+static json_t *encode_entries(GHashTable *entries) {
   json_t *a = json_array();
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init(&it, entries);
   while (g_hash_table_iter_next(&it, NULL, &v))
-    json_array_append_new(a, entry_json(v));
+    json_array_append_new(a, encode_entry(v));
   return a;
 }
 
 /* NULL when one of them is damaged: half of a shard is no basis for a verdict.
  */
-static GHashTable *entries_read(json_t *a) {
+static GHashTable *decode_entries(json_t *a) {
   if (!json_is_array(a)) return NULL;
   GHashTable *entries = entries_new();
   size_t i;
   json_t *x;
   json_array_foreach(a, i, x) {
-    ClaimEntry *e = entry_read(x);
+    ClaimEntry *e = decode_entry(x);
     if (!e) {
       g_hash_table_destroy(entries);
       return NULL;
     }
-    add(entries, e);
+    add_entry(entries, e);
   }
   return entries;
 }
@@ -119,13 +121,13 @@
   g_free(part);
 }
 
-char *claimdoc_part(const ClaimPart *p) {
-  return text_json(json_pack("{s:o}", "entries", entries_json(p->entries)));
+char *claimdoc_encode_part(const ClaimPart *p) {
+  return text_json(json_pack("{s:o}", "entries", encode_entries(p->entries)));
 }
 
-bool claimdoc_read_part(ClaimPart *p, const char *text) {
+bool claimdoc_decode_part(ClaimPart *p, const char *text) {
   json_t *o = json_loads(text, 0, NULL);
-  GHashTable *entries = entries_read(json_object_get(o, "entries"));
+  GHashTable *entries = decode_entries(json_object_get(o, "entries"));
   json_decref(o);
   bool ok = entries && g_hash_table_size(entries) == p->count;
   if (ok)
@@ -135,9 +137,9 @@
   return ok;
 }
 
-static ClaimPart *part_read(json_t *a) {
+static ClaimPart *decode_part_ref(json_t *a) {
   ClaimPart *p = g_new0(ClaimPart, 1);
-  p->id = unhex(json_array_get(a, 0));
+  p->id = hex_value(json_array_get(a, 0));
   p->count = (guint)json_integer_value(json_array_get(a, 1));
   p->unix_s = json_integer_value(json_array_get(a, 2));
   return p;
@@ -163,20 +165,21 @@
   g_free(d);
 }
 
-char *claimdoc_head(const ClaimDoc *d) {
+char *claimdoc_encode_head(const ClaimDoc *d) {
   json_t *parts = json_array();
   for (guint i = 0; i < d->parts->len; i++) {
     const ClaimPart *p = d->parts->pdata[i];
-    json_array_append_new(parts, json_pack("[o,i,I]", hex(p->id), (int)p->count,
-                                           (json_int_t)p->unix_s));
+    json_array_append_new(parts,
+                          json_pack("[o,i,I]", json_from_hex(p->id),
+                                    (int)p->count, (json_int_t)p->unix_s));
   }
   return text_json(json_pack("{s:o,s:o}", "parts", parts, "entries",
-                             entries_json(d->entries)));
+                             encode_entries(d->entries)));
 }
 
-ClaimDoc *claimdoc_read(const char *text) {
+ClaimDoc *claimdoc_decode_head(const char *text) {
   json_t *o = json_loads(text, 0, NULL), *parts = json_object_get(o, "parts");
-  GHashTable *entries = entries_read(json_object_get(o, "entries"));
+  GHashTable *entries = decode_entries(json_object_get(o, "entries"));
   if (!entries || !json_is_array(parts)) {
     if (entries) g_hash_table_destroy(entries);
     json_decref(o);
@@ -185,14 +188,14 @@
   ClaimDoc *d = doc_new(entries);
   size_t i;
   json_t *a;
-  json_array_foreach(parts, i, a) g_ptr_array_add(d->parts, part_read(a));
+  json_array_foreach(parts, i, a) g_ptr_array_add(d->parts, decode_part_ref(a));
   json_decref(o);
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init(&it, d->entries);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     const ClaimEntry *e = v;
-    if (e->body) d->bodies += strlen(e->body);
+    if (e->body) d->body_bytes += strlen(e->body);
   }
   return d;
 }
@@ -208,17 +211,17 @@
   return e;
 }
 
-ClaimEntry *claimdoc_touch(ClaimDoc *d, OnceKey key) {
+ClaimEntry *claimdoc_edit_entry(ClaimDoc *d, OnceKey key) {
   ClaimEntry *e = g_hash_table_lookup(d->entries, &key);
   if (e) return e;
   const ClaimEntry *old = claimdoc_find(d, key);
   e = old ? entry_copy(old) : g_new0(ClaimEntry, 1);
   e->key = key;
-  add(d->entries, e);
+  add_entry(d->entries, e);
   return e;
 }
 
-static ClaimEntry *oldest_body(const ClaimDoc *d) {
+static ClaimEntry *entry_of_oldest_body(const ClaimDoc *d) {
   ClaimEntry *oldest = NULL;
   GHashTableIter it;
   gpointer v;
@@ -230,29 +233,31 @@
   return oldest;
 }
 
-void claimdoc_keep(ClaimDoc *d, ClaimEntry *e, const char *body, size_t len) {
+void claimdoc_keep_body(ClaimDoc *d, ClaimEntry *e, const char *body,
+                        size_t len) {
   ClaimEntry *old;
-  while (d->bodies + len > CLAIM_BODIES && (old = oldest_body(d))) {
-    d->bodies -= strlen(old->body);
+  while (d->body_bytes + len > CLAIM_BODIES &&
+         (old = entry_of_oldest_body(d))) {
+    d->body_bytes -= strlen(old->body);
     g_clear_pointer(&old->body, g_free);
   }
   e->body = g_strndup(body, len);
-  d->bodies += strlen(e->body);
+  d->body_bytes += strlen(e->body);
 }
 
-void claimdoc_adopt(ClaimDoc *d, ClaimDoc *old) {
+void claimdoc_adopt_parts(ClaimDoc *d, ClaimDoc *old) {
   for (guint i = 0; i < d->parts->len; i++) {
     ClaimPart *p = d->parts->pdata[i];
     for (guint k = 0; k < old->parts->len; k++) {
       ClaimPart *q = old->parts->pdata[k];
       if (q->id != p->id) continue;
       p->entries = g_steal_pointer(&q->entries);
-      p->seen = q->seen;
+      p->first_seen = q->first_seen;
     }
   }
 }
 
-static void dated(ClaimPart *p) {
+static void set_part_summary(ClaimPart *p) {
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init(&it, p->entries);
@@ -261,19 +266,19 @@
   p->count = g_hash_table_size(p->entries);
 }
 
-ClaimPart *claimdoc_seal(ClaimDoc *d, uint64_t id, double now) {
+ClaimPart *claimdoc_seal_head(ClaimDoc *d, uint64_t id, double now) {
   ClaimPart *p = g_new0(ClaimPart, 1);
   p->id = id;
-  p->seen = now;
+  p->first_seen = now;
   p->entries = d->entries;
-  dated(p);
+  set_part_summary(p);
   d->entries = entries_new();
-  d->bodies = 0;
+  d->body_bytes = 0;
   g_ptr_array_add(d->parts, p);
   return p;
 }
 
-ClaimPart *claimdoc_merge(ClaimDoc *d, guint n, uint64_t id) {
+ClaimPart *claimdoc_merge_parts(ClaimDoc *d, guint n, uint64_t id) {
   ClaimPart *all = g_new0(ClaimPart, 1);
   guint first = d->parts->len - n;
   all->id = id;
@@ -284,10 +289,10 @@
     gpointer v;
     g_hash_table_iter_init(&it, p->entries);
     while (g_hash_table_iter_next(&it, NULL, &v))
-      add(all->entries, entry_copy(v));
-    all->seen = MAX(all->seen, p->seen);
+      add_entry(all->entries, entry_copy(v));
+    all->first_seen = MAX(all->first_seen, p->first_seen);
   }
-  dated(all);
+  set_part_summary(all);
   g_ptr_array_remove_range(d->parts, first, n);
   g_ptr_array_add(d->parts, all);
   return all;
--- a/packages/once/keeper.c
+++ b/packages/once/keeper.c
@@ -6,11 +6,11 @@
 #include <stdio.h>
 #include <string.h>
 
-#define BATCH_LINES 4000 /* a quarter of a megabyte or so */
-#define BATCH_WRITES 4.0 /* batches a second of the whole fleet */
+#define BATCH_MAX_BILLS 4000    /* a quarter of a megabyte or so */
+#define FLEET_BATCHES_PER_S 4.0 /* batches a second of the whole fleet */
 
 void keeper_record_free(gpointer p) {
-  Record *r = p;
+  KeeperRecord *r = p;
   once_answer_clear(&r->answer);
   g_free(r);
 }
@@ -25,50 +25,51 @@
   return m || rank > 0 ? m : view_find(o->view, o->self);
 }
 
-static void forget_oldest(Once *o) {
-  OnceKey *k = g_queue_pop_head(&o->ages);
-  const Record *r = g_hash_table_lookup(o->records, k);
+static void drop_oldest_record(Once *o) {
+  OnceKey *k = g_queue_pop_head(&o->records_by_age);
+  const KeeperRecord *r = g_hash_table_lookup(o->records, k);
   if (r) {
-    o->kept -= r->answer.len;
+    o->kept_bytes -= r->answer.len;
     g_hash_table_remove(o->records, k);
   }
   g_free(k);
 }
 
-static Record *add_record(Once *o, OnceKey key) {
-  Record *r = g_new0(Record, 1);
+static KeeperRecord *add_record(Once *o, OnceKey key) {
+  KeeperRecord *r = g_new0(KeeperRecord, 1);
   r->key = key;
   g_hash_table_insert(o->records, &r->key, r);
-  g_queue_push_tail(&o->ages, g_memdup2(&key, sizeof key));
+  g_queue_push_tail(&o->records_by_age, g_memdup2(&key, sizeof key));
   return r;
 }
 
-static bool gone(const Once *o, const char *id) {
+static bool is_gone(const Once *o, const char *id) {
   return !view_find(o->view, id);
 }
 
-static OnceVerdict judge(const Once *o, const Record *r, const OnceMsg *m) {
+static OnceVerdict judge_record(const Once *o, const KeeperRecord *r,
+                                const OnceMsg *m) {
   if (r->nonce == m->nonce) return ONCE_RUN; /* asked again */
   if (r->digest != m->digest) return ONCE_MISMATCH;
   /* A finished run whose answer was not kept may run again if it may be
      repeated (else its claim refuses it); it is not billed again. */
   if (r->finished) return r->answer.body ? ONCE_REPLAY : ONCE_RUN;
-  if (r->unknown || gone(o, r->runner)) return ONCE_RUN;
+  if (r->unknown || is_gone(o, r->runner)) return ONCE_RUN;
   return ONCE_PENDING;
 }
 
 void keeper_begin(Once *o, const char *from, const OnceMsg *m) {
-  Record *r = g_hash_table_lookup(o->records, &m->key);
-  OnceVerdict v = r ? judge(o, r, m) : ONCE_RUN;
+  KeeperRecord *r = g_hash_table_lookup(o->records, &m->key);
+  OnceVerdict v = r ? judge_record(o, r, m) : ONCE_RUN;
   if (!r) r = add_record(o, m->key);
   OnceMsg a = {
-      .kind = ONCE_BEGUN, .key = m->key, .nonce = m->nonce, .verdict = v};
+      .kind = ONCE_BEGIN_REPLY, .key = m->key, .nonce = m->nonce, .verdict = v};
   if (v == ONCE_RUN && !r->finished) {
     g_strlcpy(a.target, r->target, sizeof a.target); /* of an earlier run */
     r->nonce = m->nonce;
     r->digest = m->digest;
     r->unknown = false;
-    r->changed = o->now;
+    r->changed_at = o->now;
     g_strlcpy(r->runner, from, sizeof r->runner);
   }
   if (v == ONCE_REPLAY) a.answer = once_answer_copy(&r->answer, LIMIT_ANSWER);
@@ -78,10 +79,10 @@
 /* == copies: a bill is never in one instance only == */
 
 static void finished(Once *o, const char *to, const OnceMsg *m, bool doubled) {
-  OnceMsg a = {.kind = ONCE_FINISHED,
+  OnceMsg a = {.kind = ONCE_FINISH_ACK,
                .key = m->key,
                .nonce = m->nonce,
-               .doubled = doubled};
+               .duplicate = doubled};
   once_send(o, to, &a);
 }
 
@@ -100,109 +101,111 @@
 }
 
 /* Has a second holder take the line in. True while there is none yet. */
-static bool copy_line(Once *o, BillLine *b) {
+static bool ensure_second_holder(Once *o, PendingBill *b) {
   /* The runner is the second holder, unless it is us or gone. */
-  bool runner = strcmp(b->runner, o->self) != 0 && !gone(o, b->runner);
-  bool backup = b->backup && !gone(o, b->backup);
-  if (runner || (backup && b->copied)) return false;
-  if (backup && (float)o->now - b->asked < (float)ONCE_RESEND) return true;
+  bool runner = strcmp(b->runner, o->self) != 0 && !is_gone(o, b->runner);
+  bool backup = b->backup && !is_gone(o, b->backup);
+  if (runner || (backup && b->backup_confirmed)) return false;
+  if (backup && (float)o->now - b->copy_sent_at < (float)ONCE_RESEND)
+    return true;
   if (!backup) {
     const Member *m = pick_backup(o, b->line.key);
-    b->copied = false;
+    b->backup_confirmed = false;
     b->backup = m ? g_intern_string(m->id) : NULL;
   }
-  OnceMsg m = once_line_msg(&b->line, ONCE_COPY);
+  OnceMsg m = once_msg_from_bill(&b->line, ONCE_COPY_BILL);
   if (!b->backup) { /* alone: there is nobody to wait for */
-    if (b->tell) finished(o, b->runner, &m, false);
-    b->tell = false;
+    if (b->runner_waits) finished(o, b->runner, &m, false);
+    b->runner_waits = false;
     return false; /* looked at again when the view changes */
   }
-  b->asked = (float)o->now;
+  b->copy_sent_at = (float)o->now;
   once_send(o, b->backup, &m);
   return true;
 }
 
-static void copy_lines(Once *o) {
+static void copy_bills(Once *o) {
   if (!o->uncopied) return;
   o->uncopied = false;
-  for (guint i = 0; i < o->lines->len; i++)
-    if (copy_line(o, o->lines->pdata[i])) o->uncopied = true;
+  for (guint i = 0; i < o->pending_bills->len; i++)
+    if (ensure_second_holder(o, o->pending_bills->pdata[i])) o->uncopied = true;
 }
 
-void keeper_copied(Once *o, const char *from, const OnceMsg *m) {
-  BillLine *b = g_hash_table_lookup(o->by_key, &m->key);
+void keeper_copy_acked(Once *o, const char *from, const OnceMsg *m) {
+  PendingBill *b = g_hash_table_lookup(o->bills_by_key, &m->key);
   bool ours = b && b->line.nonce == m->nonce && b->backup;
   if (!ours || strcmp(b->backup, from) != 0) return;
-  b->copied = true;
-  if (b->tell) finished(o, b->runner, m, false);
-  b->tell = false;
+  b->backup_confirmed = true;
+  if (b->runner_waits) finished(o, b->runner, m, false);
+  b->runner_waits = false;
 }
 
-static void add_line(Once *o, const char *from, const OnceMsg *m) {
-  BillLine *b = g_hash_table_lookup(o->by_key, &m->key);
+static void add_bill(Once *o, const char *from, const OnceMsg *m) {
+  PendingBill *b = g_hash_table_lookup(o->bills_by_key, &m->key);
   if (b) { /* the record was forgotten sooner than its bill */
     finished(o, from, m, b->line.nonce != m->nonce);
     return;
   }
-  b = g_new0(BillLine, 1);
-  b->line = once_line(o, m);
+  b = g_new0(PendingBill, 1);
+  b->line = once_bill_from_msg(o, m);
   b->runner = g_intern_string(from);
-  b->tell = strcmp(from, o->self) == 0;
-  g_ptr_array_add(o->lines, b);
-  g_hash_table_insert(o->by_key, &b->line.key, b);
-  if (!b->tell) finished(o, from, m, false);
-  if (copy_line(o, b)) o->uncopied = true;
+  b->runner_waits = strcmp(from, o->self) == 0;
+  g_ptr_array_add(o->pending_bills, b);
+  g_hash_table_insert(o->bills_by_key, &b->line.key, b);
+  if (!b->runner_waits) finished(o, from, m, false);
+  if (ensure_second_holder(o, b)) o->uncopied = true;
 }
 
 /* The first finish of a key is its bill; a second run of the same key was
    consumed, but is not billed. */
 void keeper_finish(Once *o, const char *from, const OnceMsg *m) {
-  Record *r = g_hash_table_lookup(o->records, &m->key);
+  KeeperRecord *r = g_hash_table_lookup(o->records, &m->key);
   if (!r) r = add_record(o, m->key);
   bool again = r->finished && r->nonce == m->nonce;
-  bool doubled = r->finished && !again && !o->faults.bill_each;
-  if (!r->finished || o->faults.bill_each) {
+  bool doubled = r->finished && !again && !o->faults.bill_duplicates;
+  if (!r->finished || o->faults.bill_duplicates) {
     r->finished = true;
     r->unknown = false;
     r->nonce = m->nonce;
     r->digest = m->digest;
-    r->changed = o->now;
+    r->changed_at = o->now;
     g_strlcpy(r->runner, from, sizeof r->runner);
     r->bill = m->bill;
     once_answer_clear(&r->answer);
     r->answer = once_answer_copy(&m->answer, LIMIT_ANSWER);
-    o->kept += r->answer.len;
+    o->kept_bytes += r->answer.len;
   }
   if (again || doubled) {
     finished(o, from, m, doubled);
     /* Told again after its bill went to the store: our word was lost. */
-    OnceMsg d = {.kind = ONCE_DURABLE, .key = m->key, .nonce = m->nonce};
-    bool stored = !g_hash_table_contains(o->by_key, &m->key);
+    OnceMsg d = {.kind = ONCE_BILL_DURABLE, .key = m->key, .nonce = m->nonce};
+    bool stored = !g_hash_table_contains(o->bills_by_key, &m->key);
     if (again && stored) once_send(o, from, &d);
   } else
-    add_line(o, from, m);
-  while (o->kept > LIMIT_KEPT && o->ages.length > 0) forget_oldest(o);
+    add_bill(o, from, m);
+  while (o->kept_bytes > LIMIT_KEPT && o->records_by_age.length > 0)
+    drop_oldest_record(o);
 }
 
 /* `from` runs it at a target. Its keeper knew of the run; the second keeper
    learns of it here. Another run that goes on is not written over. */
-void keeper_at(Once *o, const char *from, const OnceMsg *m) {
-  Record *r = g_hash_table_lookup(o->records, &m->key);
+void keeper_dispatched(Once *o, const char *from, const OnceMsg *m) {
+  KeeperRecord *r = g_hash_table_lookup(o->records, &m->key);
   if (!r) r = add_record(o, m->key);
   bool other = r->runner[0] && r->nonce != m->nonce;
-  bool runs = other && !r->unknown && !gone(o, r->runner);
+  bool runs = other && !r->unknown && !is_gone(o, r->runner);
   if (r->finished || runs) return;
   r->nonce = m->nonce;
   r->digest = m->digest;
   r->unknown = false;
-  r->changed = o->now;
+  r->changed_at = o->now;
   g_strlcpy(r->runner, from, sizeof r->runner);
   g_strlcpy(r->target, m->target, sizeof r->target);
 }
 
 void keeper_abort(Once *o, const char *from, const OnceMsg *m) {
   (void)from;
-  Record *r = g_hash_table_lookup(o->records, &m->key);
+  KeeperRecord *r = g_hash_table_lookup(o->records, &m->key);
   if (!r || r->nonce != m->nonce || r->finished) return;
   r->unknown = true; /* whoever asks next may run it */
 }
@@ -212,62 +215,67 @@
 /* The first lines, at most BATCH_LINES. A batch without a clear answer goes out
    again under its name with the same lines: if the name exists, it is this. */
 static void write_batch(Once *o) {
-  if (o->batch == 0) o->batch = MIN(o->lines->len, BATCH_LINES);
-  BillItem *items = g_new0(BillItem, o->batch);
-  char(*keys)[33] = g_malloc((gsize)o->batch * 33);
-  for (guint i = 0; i < o->batch; i++) {
-    const Line *l = &((BillLine *)o->lines->pdata[i])->line;
-    once_key_text(l->key, keys[i]);
+  if (o->batch_bills == 0)
+    o->batch_bills = MIN(o->pending_bills->len, BATCH_MAX_BILLS);
+  BillItem *items = g_new0(BillItem, o->batch_bills);
+  char(*keys)[33] = g_malloc((gsize)o->batch_bills * 33);
+  for (guint i = 0; i < o->batch_bills; i++) {
+    const BillSummary *l = &((PendingBill *)o->pending_bills->pdata[i])->line;
+    once_key_to_hex(l->key, keys[i]);
     items[i] =
         (BillItem){keys[i], l->customer, l->budget, l->tokens, l->unix_s};
   }
-  OnceAction *a = once_act(o, ONCE_DO_BILL);
+  OnceAction *a = once_add_action(o, ONCE_DO_BILL);
   snprintf(a->name, sizeof a->name, "bills/%s/%08" PRIu64, o->self,
            o->bill_seq);
-  a->text = bill_text(items, (int)o->batch);
+  a->text = bill_encode_batch(items, (int)o->batch_bills);
   g_free(items);
   g_free(keys);
-  o->billing = true;
+  o->batch_in_flight = true;
 }
 
-static void tell_durable(Once *o, const BillLine *b) {
+static void send_durable(Once *o, const PendingBill *b) {
   OnceMsg m = {
-      .kind = ONCE_DURABLE, .key = b->line.key, .nonce = b->line.nonce};
+      .kind = ONCE_BILL_DURABLE, .key = b->line.key, .nonce = b->line.nonce};
   once_send(o, b->runner, &m);
   if (b->backup) once_send(o, b->backup, &m);
 }
 
 /* The whole fleet's batches stay within a few writes a second. */
-static double batch_every(const Once *o) {
-  return MAX(ONCE_BATCH, o->view->n / BATCH_WRITES);
+static double batch_interval_s(const Once *o) {
+  return MAX(ONCE_BATCH, o->view->n / FLEET_BATCHES_PER_S);
 }
 
-void keeper_billed(Once *o, ErrKind kind) {
-  o->billing = false;
+void keeper_batch_stored(Once *o, ErrKind kind) {
+  o->batch_in_flight = false;
   if (kind != ERR_NONE && kind != ERR_STORE_CONFLICT) {
-    o->bill_at = o->now + pace_backoff(&o->bill_backoff, g_rand_double(o->rng));
+    o->next_batch_at =
+        o->now + pace_backoff(&o->bill_backoff, g_rand_double(o->rng));
     return;
   }
   o->bill_backoff = 0;
   o->bill_seq++;
-  o->bill_at = o->now + (o->batch == BATCH_LINES ? 1.0 : batch_every(o));
-  for (guint i = 0; i < o->batch; i++) {
-    const BillLine *b = o->lines->pdata[i];
-    tell_durable(o, b);
-    g_hash_table_remove(o->by_key, &b->line.key);
+  o->next_batch_at =
+      o->now + (o->batch_bills == BATCH_MAX_BILLS ? 1.0 : batch_interval_s(o));
+  for (guint i = 0; i < o->batch_bills; i++) {
+    const PendingBill *b = o->pending_bills->pdata[i];
+    send_durable(o, b);
+    g_hash_table_remove(o->bills_by_key, &b->line.key);
   }
-  g_ptr_array_remove_range(o->lines, 0, o->batch);
-  o->batch = 0;
+  g_ptr_array_remove_range(o->pending_bills, 0, o->batch_bills);
+  o->batch_bills = 0;
 }
 
 void keeper_tick(Once *o) {
-  copy_lines(o);
-  bool due = o->now >= o->bill_at || (o->draining && o->bill_backoff == 0);
-  if (!o->billing && o->lines->len > 0 && due) write_batch(o);
-  while (o->ages.length > 0) {
-    const Record *r = g_hash_table_lookup(o->records, o->ages.head->data);
-    if (r && o->now - r->changed < ONCE_KEEP) break;
-    if (r && !r->finished && !r->unknown && !gone(o, r->runner)) break;
-    forget_oldest(o);
+  copy_bills(o);
+  bool due =
+      o->now >= o->next_batch_at || (o->draining && o->bill_backoff == 0);
+  if (!o->batch_in_flight && o->pending_bills->len > 0 && due) write_batch(o);
+  while (o->records_by_age.length > 0) {
+    const KeeperRecord *r =
+        g_hash_table_lookup(o->records, o->records_by_age.head->data);
+    if (r && o->now - r->changed_at < ONCE_KEEP) break;
+    if (r && !r->finished && !r->unknown && !is_gone(o, r->runner)) break;
+    drop_oldest_record(o);
   }
 }
--- a/packages/once/once.h
+++ b/packages/once/once.h
@@ -1,9 +1,12 @@
-/* once.h: records of requests; the pure core of one instance.
-
-   A keeper (chosen by rendezvous on the request's key within the region)
-   remembers runs and answers for a while and makes bills durable. A request
-   that may not be repeated has its claim in the platform's store before it is
-   dispatched; the first claim wins for ever. docs/ONCE.md. */
+/* once.h: deduplication of requests: the state machine of one instance, without
+   I/O. It returns actions for the caller to perform.
+
+   The runner is the instance that runs a request. A keeper, an instance chosen
+   by rendezvous hashing of the request's key within the region, remembers runs
+   and answers for a while and makes bills durable. A request that must not run
+   twice also needs a claim in the platform's store before it is dispatched; the
+   first claim of a key wins permanently. The home of a claim is the instance
+   that writes the claim's shard. docs/ONCE.md. */
 #ifndef ONCE_ONCE_H
 #define ONCE_ONCE_H
 
@@ -17,22 +20,22 @@
 #include "member/view.h"
 
 typedef struct OnceKey {
-  uint64_t hi, lo; /* hash of customer and the caller's key */
+  uint64_t hi, lo; /* hash of the customer and the caller's key */
 } OnceKey;
 
-OnceKey once_key(const char *customer, const char *key);
-/* 32 hex digits and a NUL. */
-void once_key_text(OnceKey k, char out[33]);
+OnceKey once_make_key(const char *customer, const char *key);
+/* Writes 32 hex digits and a NUL. */
+void once_key_to_hex(OnceKey k, char out[33]);
 
-/* An answer as it is kept for a retry. */
+/* An answer, kept to be replayed on a retry. */
 typedef struct OnceAnswer {
   int status;
   char type[64]; /* content type */
-  char *body;    /* g_malloc; NULL: too large to be kept */
+  char *body;    /* allocated with g_malloc; NULL: over the size limit */
   size_t len;
 } OnceAnswer;
 
-/* One line of the bill. */
+/* What one request costs. */
 typedef struct OnceBill {
   char customer[LIMIT_NAME];
   char budget[LIMIT_NAME];
@@ -40,111 +43,120 @@
 } OnceBill;
 
 typedef enum {
-  ONCE_BEGIN,    /* runner -> keeper: may this key run? */
-  ONCE_BEGUN,    /* keeper -> runner: verdict */
-  ONCE_FINISH,   /* runner -> keeper: bill and answer */
-  ONCE_FINISHED, /* keeper -> runner: held; `doubled`: billed before */
-  ONCE_DURABLE,  /* keeper -> runner: the bill is in the store */
-  ONCE_ABORT,    /* runner -> keeper: it did not run */
-  ONCE_COPY,     /* keeper -> another: hold this bill too */
-  ONCE_COPIED,   /* the other -> keeper */
-  ONCE_AT,       /* runner -> keeper: the target that has it */
-  ONCE_CLAIM,    /* runner -> home of the claim: keep it */
-  ONCE_CLAIMED,  /* home -> runner: verdict */
-  ONCE_HELD,     /* home -> runner: it waits for its turn here */
-  ONCE_OUTCOME,  /* runner -> home: how the claimed run ended */
-  ONCE_GIVE_UP,  /* runner -> home: it did not run and will not */
-  ONCE_KEPT,     /* home -> runner: OUTCOME or GIVE_UP is in the store */
-  ONCE_KINDS
-} OnceKind;
+  ONCE_BEGIN,        /* runner -> keeper: may this key run? */
+  ONCE_BEGIN_REPLY,  /* keeper -> runner: verdict */
+  ONCE_FINISH,       /* runner -> keeper: bill and answer */
+  ONCE_FINISH_ACK,   /* keeper -> runner: bill accepted; `duplicate`: the
+                     key was billed before */
+  ONCE_BILL_DURABLE, /* keeper -> runner: the bill is in the store */
+  ONCE_ABORT,        /* runner -> keeper: the request did not run */
+  ONCE_COPY_BILL,    /* keeper -> another instance: hold a copy of the bill */
+  ONCE_COPY_ACK,     /* that instance -> keeper: copy held */
+  ONCE_DISPATCHED,   /* runner -> keeper: the target it was sent to */
+  ONCE_CLAIM,        /* runner -> home: store this claim */
+  ONCE_CLAIM_REPLY,  /* home -> runner: verdict */
+  ONCE_CLAIM_QUEUED, /* home -> runner: queued for a write of the shard */
+  ONCE_OUTCOME,      /* runner -> home: result of the claimed run */
+  ONCE_RELEASE, /* runner -> home: the run was not dispatched and will not be */
+  ONCE_OUTCOME_STORED, /* home -> runner: OUTCOME or RELEASE is stored */
+  ONCE_MSG_KIND_COUNT
+} OnceMsgKind;
 
 typedef enum {
-  ONCE_RUN,      /* go on */
-  ONCE_REPLAY,   /* ran before: here is the answer */
-  ONCE_PENDING,  /* runs elsewhere now */
-  ONCE_MAYBE,    /* was dispatched, its outcome is not known */
-  ONCE_MISMATCH, /* same key, another request */
-  ONCE_NO_CLAIM  /* the claim could not be kept: not run */
+  ONCE_RUN,             /* may run */
+  ONCE_REPLAY,          /* ran before: use the kept answer */
+  ONCE_PENDING,         /* another run is in progress */
+  ONCE_OUTCOME_UNKNOWN, /* was dispatched; whether it ran is not known */
+  ONCE_MISMATCH,        /* same key, but a different request */
+  ONCE_NO_CLAIM         /* the claim could not be stored; must not run */
 } OnceVerdict;
 
 typedef struct OnceMsg {
-  OnceKind kind;
+  OnceMsgKind kind;
   OnceKey key;
-  uint64_t nonce; /* names this run */
+  uint64_t nonce; /* identifies this run */
   uint64_t digest;
   OnceVerdict verdict;
-  bool doubled;
+  bool duplicate;
   OnceBill bill;
   OnceAnswer answer;
-  char target[LIMIT_NAME]; /* AT; BEGUN: where a lost run may still go on */
+  char target[LIMIT_NAME]; /* DISPATCHED: target of the run; BEGIN_REPLY:
+                              target where a lost run may still be running */
 } OnceMsg;
 
 typedef enum {
-  ONCE_DO_SEND,
-  ONCE_DO_GET,    /* the object `name` of a claim shard */
-  ONCE_DO_PUT,    /* the same, conditional on `version` */
-  ONCE_DO_DELETE, /* the same; nobody waits for it */
-  ONCE_DO_BILL,   /* create the object `name` with text */
-  ONCE_DO_ANSWER, /* decision on a begin */
-  ONCE_DO_DONE    /* a finish is held by the keeper (or nobody else is there) */
-} OnceDo;
+  ONCE_DO_SEND,   /* send `msg` to `to` */
+  ONCE_DO_GET,    /* read the object `name` of a claim shard */
+  ONCE_DO_PUT,    /* write it, conditional on `version` */
+  ONCE_DO_DELETE, /* delete it; no result is reported back */
+  ONCE_DO_BILL,   /* create the object `name` with `text` */
+  ONCE_DO_ANSWER, /* verdict on once_begin */
+  ONCE_DO_DONE    /* the keeper holds the finish, or did not reply in time */
+} OnceActionKind;
 
 typedef struct OnceAction {
-  OnceDo what;
+  OnceActionKind action;
   char to[LIMIT_ID];
-  OnceMsg msg; /* SEND: answer.body is owned by the receiver of the action */
+  OnceMsg msg; /* SEND: the caller owns msg.answer.body */
   int shard;
-  uint64_t part; /* GET, PUT: 0 is the shard's head */
+  uint64_t part; /* GET, PUT, DELETE: part id; 0 is the shard's head */
   uint64_t version;
-  char *text; /* g_free */
+  char *text; /* free with g_free */
   char name[LIMIT_NAME + LIMIT_ID];
   uint64_t handle;
   OnceVerdict verdict;
-  OnceAnswer answer;       /* REPLAY; owned by the receiver */
-  char target[LIMIT_NAME]; /* RUN: a lost run of it may go on there */
-  bool doubled;
+  OnceAnswer answer;       /* REPLAY: the kept answer, owned by the caller */
+  char target[LIMIT_NAME]; /* RUN: target where a lost run may still be running
+                            */
+  bool duplicate;
 } OnceAction;
 
+/* Faults that tests inject. */
 typedef struct OnceFaults {
-  bool no_claim;  /* dispatch without a claim */
-  bool no_parts;  /* claims that were sealed are not looked at */
-  bool bill_each; /* a doubled bill is not recognised */
+  bool skip_claims;     /* dispatch without a claim */
+  bool ignore_parts;    /* look up claims in the head only */
+  bool bill_duplicates; /* do not detect duplicate bills */
 } OnceFaults;
 
 typedef struct Once Once;
 
 Once *once_new(const char *self, const char *region, uint32_t seed);
 void once_free(Once *o);
-void once_faults(Once *o, OnceFaults f);
-/* Entries of a head that are sealed, small parts that are joined; for tests. */
-void once_claim_sizes(Once *o, guint seal, guint merge);
-void once_view(Once *o, double now, const View *v);
-
-/* Asks whether `handle` may run. `ask`: a caller could know the key, so the
-   keeper is asked; else it runs at once. `repeat` false: a claim is needed. */
+void once_set_faults(Once *o, OnceFaults f);
+/* Sets the number of head entries that are sealed into a part, and the number
+   of small parts that are merged into one. For tests. */
+void once_set_claim_sizes(Once *o, guint seal, guint merge);
+void once_set_view(Once *o, double now, const View *v);
+
+/* Requests a verdict on whether `handle` may run. `has_caller_key`: a caller
+   may retry with this key, so the keeper is queried; otherwise that step is
+   skipped. `repeatable`: the request may run twice and needs no claim. */
 void once_begin(Once *o, double now, uint64_t handle, OnceKey key,
-                uint64_t digest, bool ask, bool repeat);
-/* It was dispatched to `target`; should we be lost, a retry may go on there. */
-void once_at(Once *o, double now, uint64_t handle, const char *target);
-/* It ran: bill and answer. The core copies the answer. */
+                uint64_t digest, bool has_caller_key, bool repeatable);
+/* Reports that the request was dispatched to `target`. If this instance fails,
+   a retry may continue there. */
+void once_dispatched(Once *o, double now, uint64_t handle, const char *target);
+/* Reports that the request ran, with its bill and answer. Copies the answer. */
 void once_finish(Once *o, double now, uint64_t handle, const OnceBill *bill,
                  const OnceAnswer *answer);
-/* It was dispatched, and nobody knows whether it ran, or its answer was cut:
-   what it consumed is settled in the ledger, but not billed. */
-void once_unknown(Once *o, double now, uint64_t handle);
-/* It did not run: the key is free again. */
+/* Reports that the request was dispatched but its outcome is not known, or that
+   its answer was cut off. The ledger accounts for its tokens; it is not billed.
+ */
+void once_finish_unknown(Once *o, double now, uint64_t handle);
+/* Reports that the request did not run: the key is free again. */
 void once_abort(Once *o, double now, uint64_t handle);
 
 void once_receive(Once *o, double now, const char *from, const OnceMsg *m);
-/* Result of GET or PUT of a claim shard's head or part, as ledger_stored. */
-void once_stored(Once *o, double now, int shard, uint64_t part, ErrKind kind,
-                 uint64_t version, const char *text);
-/* Result of the bill object that was asked for last. */
-void once_billed(Once *o, double now, ErrKind kind);
+/* Reports the result of a GET or PUT of a claim shard's head or part, like
+   ledger_stored. */
+void once_claim_stored(Once *o, double now, int shard, uint64_t part,
+                       ErrKind kind, uint64_t version, const char *text);
+/* Reports the result of the last ONCE_DO_BILL. */
+void once_bill_stored(Once *o, double now, ErrKind kind);
 void once_tick(Once *o, double now, int64_t unix_s);
 void once_drain(Once *o, double now);
-bool once_drained(const Once *o);
-bool once_next(Once *o, OnceAction *a);
+bool once_is_drained(const Once *o);
+bool once_next_action(Once *o, OnceAction *a);
 void once_action_clear(OnceAction *a);
 /* Releases what a message owns. */
 void once_message_clear(OnceMsg *m);
--- a/packages/once/state.h
+++ b/packages/once/state.h
@@ -1,4 +1,4 @@
-/* state.h: the insides of the record core, shared by its own files only. */
+/* state.h: internal state of package once, shared by its own files only. */
 #ifndef ONCE_STATE_H
 #define ONCE_STATE_H
 
@@ -9,125 +9,133 @@
 #include "once/once.h"
 #include "store/pace.h"
 
-/* What a keeper remembers of one key. */
-typedef struct Record {
+/* What a keeper remembers about one key. */
+typedef struct KeeperRecord {
   OnceKey key;
   uint64_t nonce, digest;
   char runner[LIMIT_ID], target[LIMIT_NAME];
   bool finished, unknown;
   OnceBill bill;
   OnceAnswer answer;
-  double changed;
-} Record;
+  double changed_at;
+} KeeperRecord;
 
 typedef enum {
-  RUN_ASKING,   /* the keeper is asked */
-  RUN_CLAIMING, /* the claim is on its way to the store */
+  RUN_QUERYING_KEEPER, /* waits for the keeper's verdict */
+  RUN_CLAIMING,        /* waits for the claim to be stored */
   RUN_RUNNING,
-  RUN_FINISHING /* the keeper is told */
+  RUN_FINISHING /* waits for the keeper to accept the finish */
 } RunState;
 
-/* A request of this instance. */
+/* A request that this instance runs. */
 typedef struct Run {
   uint64_t handle, nonce, digest;
   OnceKey key;
   RunState state;
-  bool ask, repeat, claimed;
+  bool has_caller_key, repeatable, claimed;
   bool unknown;
-  double deadline, sent;
-  char keeper[LIMIT_ID];   /* that is asked */
-  bool second;             /* the first one said nothing */
-  int tries;               /* how often the finish was told */
-  char target[LIMIT_NAME]; /* where a lost run of it may go on */
+  double deadline, sent_at;
+  char keeper[LIMIT_ID];   /* keeper that was queried */
+  bool second_keeper;      /* the first keeper did not reply */
+  int finish_tries;        /* how often the finish was sent */
+  char target[LIMIT_NAME]; /* target where a lost run may still be running */
   OnceBill bill;
   OnceAnswer answer;
 } Run;
 
-/* A bill in short: an outage of hours leaves many. Names are interned. */
-typedef struct Line {
+/* A bill without the answer. Compact, because an outage of hours leaves many.
+   Names are interned. */
+typedef struct BillSummary {
   OnceKey key;
   uint64_t nonce, digest;
   const char *customer, *budget;
   int64_t tokens, unix_s;
-} Line;
-
-/* A finished bill that is not yet known to be in the store. */
-typedef struct Owed {
-  Line line;          /* of the FINISH, to be sent again to another keeper */
-  const char *keeper; /* interned */
-  bool held;          /* the keeper has it; it is not yet in the store */
-  double sent;
-} Owed;
-
-/* A wish of a runner for the home of its claim: CLAIM, OUTCOME or GIVE_UP. */
-typedef struct Wish {
-  OnceKind kind;
+} BillSummary;
+
+/* A bill that is not yet known to be in the store. */
+typedef struct OwedBill {
+  BillSummary line;    /* from the FINISH; can be sent to another keeper */
+  const char *keeper;  /* interned */
+  bool held_by_keeper; /* the keeper has it, but it is not yet stored */
+  double sent_at;
+} OwedBill;
+
+/* A runner's query to the home of its claim: CLAIM, OUTCOME or RELEASE. */
+typedef struct ClaimQuery {
+  OnceMsgKind kind;
   OnceKey key;
   uint64_t nonce, digest, handle;
-  OnceAnswer answer; /* OUTCOME; status 0: unknown */
+  OnceAnswer answer; /* OUTCOME; status 0: not known */
   char to[LIMIT_ID];
-  bool many, held;    /* told to several; the home says that it has it */
-  double asked, sent; /* `to` for the first time, and last */
-  double every;       /* and it is told again this often */
-} Wish;
-
-/* Who did not answer for a claim shard; it is passed over for a while. */
-typedef struct Quiet {
+  bool sent_to_several, queued; /* queued: the home reported that it has it */
+  double assigned_at, sent_at;  /* first and last message to `to` */
+  double resend_s;              /* time between resends to `to` */
+} ClaimQuery;
+
+/* An instance that did not reply as home of a claim shard. It is skipped until
+   this time. */
+typedef struct UnresponsiveHome {
   char id[LIMIT_ID];
   double until;
-} Quiet;
+} UnresponsiveHome;
 
-/* A wish at its home. */
-typedef struct Claim {
-  OnceKind kind;
+/* A runner's query at the home of its claim. */
+typedef struct QueuedClaim {
+  OnceMsgKind kind;
   OnceKey key;
   uint64_t nonce, digest;
   char from[LIMIT_ID];
-  double came;
-  bool decided; /* applied, waits for the confirmation */
+  double received_at;
+  bool decided; /* applied to the document, which is not yet confirmed as stored
+                 */
   OnceVerdict verdict;
-  OnceAnswer answer;  /* OUTCOME: of the run; CLAIM: for a replay */
-  struct Claim *next; /* came while this one was on its way */
-} Claim;
+  OnceAnswer answer; /* OUTCOME: answer of the run; CLAIM: answer to replay */
+  struct QueuedClaim *follow_up; /* received while this one was being stored */
+} QueuedClaim;
 
 typedef enum {
   SHARD_IDLE,
-  SHARD_READING, /* the head */
-  SHARD_PARTS,   /* parts that the head lists and we do not have */
-  SHARD_SEALING, /* a new part is written */
-  SHARD_WRITING  /* the head */
+  SHARD_READING_HEAD,  /* the head */
+  SHARD_READING_PARTS, /* reads parts that the head lists and that are not
+                          loaded */
+  SHARD_WRITING_PART,  /* a new part is written */
+  SHARD_WRITING_HEAD   /* the head */
 } ShardPhase;
 
-/* A part that we made or took out, by a head write on top of `base`. */
-typedef struct Loose {
+/* A part that this instance created or removed by a head write on version
+   `base`, and that the head may not list. */
+typedef struct UnlistedPart {
   uint64_t id, base;
-} Loose;
+} UnlistedPart;
 
 typedef struct ClaimShard {
   int index;
   ShardPhase phase;
-  int reading;      /* parts that are on their way */
-  ClaimDoc *doc;    /* NULL: never read */
-  uint64_t version; /* of the head that `doc` is */
-  uint64_t seen;    /* the newest that we heard of */
-  bool stale;       /* `doc` is not what the store has: read first */
-  bool checked;     /* read since the last claim came */
-  bool broken;      /* a part could not be read */
-  Pace pace;        /* of writes */
-  double retry_at, backoff, failing; /* failing: since when; 0: it is not */
-  double used;
-  GPtrArray *claims; /* Claim*, in order of arrival */
-  GArray *loose;     /* Loose */
+  int parts_reading;       /* number of parts being read */
+  ClaimDoc *doc;           /* NULL: never read */
+  uint64_t version;        /* version of the head in `doc` */
+  uint64_t newest_version; /* newest version of the head known here */
+  bool stale;            /* `doc` differs from the stored head: read it first */
+  bool read_since_claim; /* the head was read after the last claim arrived */
+  bool part_failed;      /* a part could not be read */
+  Pace pace;             /* rate limit of writes */
+  double retry_at, backoff,
+      failing_since; /* failing_since 0: the store works */
+  double used_at;
+  GPtrArray *claims; /* QueuedClaim*, in order of arrival */
+  GArray *unlisted;  /* UnlistedPart */
 } ClaimShard;
 
-typedef struct BillLine {
-  Line line;
-  const char *runner; /* interned, as backup */
-  const char *backup; /* who else holds it; NULL: the runner does */
-  bool copied;        /* the backup said so */
-  bool tell;          /* the runner, ourselves, waits for the copy */
-  float asked;
-} BillLine;
+/* A bill that this instance holds as keeper until a batch with it is stored. */
+typedef struct PendingBill {
+  BillSummary line;
+  const char *runner;    /* interned, like `backup` */
+  const char *backup;    /* instance with a copy; NULL: the runner has it */
+  bool backup_confirmed; /* the backup acknowledged the copy */
+  bool runner_waits; /* this instance is the runner; its FINISH is acknowledged
+                    once the copy is held */
+  float copy_sent_at;
+} PendingBill;
 
 struct Once {
   char self[LIMIT_ID], region[LIMIT_NAME];
@@ -137,100 +145,101 @@
   double now;
   int64_t unix_s;
   bool draining;
-  GHashTable *records;                    /* OnceKey -> Record */
-  size_t kept;                            /* bytes of kept answers */
-  GQueue ages;                            /* OnceKey*, oldest first */
-  GHashTable *runs;                       /* handle -> Run */
-  GHashTable *owed;                       /* OnceKey -> Owed */
-  ClaimShard *shards[LIMIT_CLAIM_SHARDS]; /* that we are asked for */
-  guint seal, merge;
-  GHashTable *wishes; /* nonce -> Wish */
-  Quiet quiet[LIMIT_CLAIM_SHARDS];
-  GPtrArray *lines;   /* BillLine*; the first `batch` are on their way */
-  GHashTable *by_key; /* OnceKey -> BillLine of the same */
-  guint batch;
-  bool uncopied; /* some line may need another holder */
-  bool lost;     /* the view changed: keepers of owed bills may be gone */
-  double owed_at;
-  bool billing;
-  double bill_at, bill_backoff;
+  GHashTable *records;   /* OnceKey -> KeeperRecord */
+  size_t kept_bytes;     /* total size of the answers in `records` */
+  GQueue records_by_age; /* OnceKey*, oldest first */
+  GHashTable *runs;      /* handle -> Run */
+  GHashTable *owed;      /* OnceKey -> OwedBill */
+  ClaimShard *shards[LIMIT_CLAIM_SHARDS]; /* NULL: not in use here */
+  guint seal_entries, merge_parts;
+  GHashTable *queries; /* nonce -> ClaimQuery */
+  UnresponsiveHome unresponsive[LIMIT_CLAIM_SHARDS];
+  GPtrArray *pending_bills; /* PendingBill*; the first `batch_bills` are being
+                               written */
+  GHashTable *bills_by_key; /* OnceKey -> the same PendingBill */
+  guint batch_bills;
+  bool uncopied;     /* some pending bill may need a second holder */
+  bool view_changed; /* keepers of owed bills may be gone */
+  double owed_checked_at;
+  bool batch_in_flight;
+  double next_batch_at, bill_backoff;
   uint64_t bill_seq;
-  GQueue actions, loop;
+  GQueue actions, local_messages;
 };
 
-guint once_hash(gconstpointer k);
-gboolean once_equal(gconstpointer a, gconstpointer b);
-OnceAction *once_act(Once *o, OnceDo what);
+guint once_key_hash(gconstpointer k);
+gboolean once_key_equal(gconstpointer a, gconstpointer b);
+OnceAction *once_add_action(Once *o, OnceActionKind what);
 void once_send(Once *o, const char *to, OnceMsg *m);
 OnceAnswer once_answer_copy(const OnceAnswer *a, size_t limit);
 void once_answer_clear(OnceAnswer *a);
-Line once_line(const Once *o, const OnceMsg *m);
-OnceMsg once_line_msg(const Line *l, OnceKind kind);
+BillSummary once_bill_from_msg(const Once *o, const OnceMsg *m);
+OnceMsg once_msg_from_bill(const BillSummary *l, OnceMsgKind kind);
 
-/* Delivers what was sent to ourselves. */
-void once_settle(Once *o);
+/* Delivers the messages that this instance sent to itself. */
+void once_deliver_local(Once *o);
 
 /* == run.c == */
 
-void run_begun(Once *o, const OnceMsg *m);
-void run_finished(Once *o, const OnceMsg *m);
+void run_keeper_replied(Once *o, const OnceMsg *m);
+void run_finish_acked(Once *o, const OnceMsg *m);
 void run_tick(Once *o);
-/* Called back when the claim of a run is decided. */
-void run_claimed(Once *o, uint64_t handle, uint64_t nonce, OnceVerdict v,
-                 const OnceAnswer *answer);
+/* Called when the claim of a run is decided. */
+void run_claim_decided(Once *o, uint64_t handle, uint64_t nonce, OnceVerdict v,
+                       const OnceAnswer *answer);
 void run_free(gpointer p);
 
 /* == owed.c == */
 
-void owed_durable(Once *o, const OnceMsg *m);
-void owed_copy(Once *o, const char *from, const OnceMsg *m);
+void owed_settle(Once *o, const OnceMsg *m);
+void owed_hold_copy(Once *o, const char *from, const OnceMsg *m);
 void owed_tick(Once *o);
 
 /* == keeper.c == */
 
-/* The keeper of a key by rank, 0 first; NULL when there is none. */
+/* Returns the keeper of a key by rank, starting at 0, or NULL. */
 const Member *keeper_of(const Once *o, OnceKey key, int rank);
 void keeper_begin(Once *o, const char *from, const OnceMsg *m);
 void keeper_finish(Once *o, const char *from, const OnceMsg *m);
-void keeper_at(Once *o, const char *from, const OnceMsg *m);
+void keeper_dispatched(Once *o, const char *from, const OnceMsg *m);
 void keeper_abort(Once *o, const char *from, const OnceMsg *m);
-void keeper_copied(Once *o, const char *from, const OnceMsg *m);
+void keeper_copy_acked(Once *o, const char *from, const OnceMsg *m);
 void keeper_tick(Once *o);
-void keeper_billed(Once *o, ErrKind kind);
+void keeper_batch_stored(Once *o, ErrKind kind);
 void keeper_record_free(gpointer p);
 
-/* == wish.c, the runner's side of claims == */
-
-void wish_claim(Once *o, const Run *r);
-/* How a claimed run ended, as far as it is known. */
-void wish_outcome(Once *o, const Run *r);
-/* It was not dispatched and never will be: a claim that stands is taken back.
- */
-void wish_give_up(Once *o, const Run *r);
-void wish_claimed(Once *o, const char *from, const OnceMsg *m);
-void wish_held(Once *o, const char *from, const OnceMsg *m);
-void wish_kept(Once *o, const char *from, const OnceMsg *m);
-void wish_tick(Once *o);
-void wish_free(gpointer p);
-/* == claim.c, the home's side == */
-
-int claim_shard(OnceKey key);
-void claim_ask(Once *o, const char *from, const OnceMsg *m);
-void claim_stored(Once *o, int shard, uint64_t part, ErrKind kind,
-                  uint64_t version, const char *text);
+/* == claimquery.c: the runner's side of claims == */
+
+void claimquery_claim(Once *o, const Run *r);
+/* Sends the outcome of a claimed run, which may be unknown. */
+void claimquery_outcome(Once *o, const Run *r);
+/* Releases the claim of a run that was not and will not be dispatched. */
+void claimquery_release(Once *o, const Run *r);
+void claimquery_decided(Once *o, const char *from, const OnceMsg *m);
+void claimquery_queued(Once *o, const char *from, const OnceMsg *m);
+void claimquery_stored(Once *o, const char *from, const OnceMsg *m);
+void claimquery_tick(Once *o);
+void claimquery_free(gpointer p);
+
+/* == claim.c: the home's side of claims == */
+
+int claim_shard_index(OnceKey key);
+void claim_receive(Once *o, const char *from, const OnceMsg *m);
+void claim_store_answered(Once *o, int shard, uint64_t part, ErrKind kind,
+                          uint64_t version, const char *text);
 void claim_tick(Once *o);
-bool claim_drained(const Once *o);
+bool claim_is_drained(const Once *o);
 void claim_shard_free(ClaimShard *s);
 
-/* == claimio.c, a shard on its way to and from the store == */
+/* == claimio.c: store calls of a claim shard == */
 
-void claimio_read(Once *o, ClaimShard *s);
-/* True when parts that the head lists are on their way. */
+void claimio_read_head(Once *o, ClaimShard *s);
+/* Reads the listed parts that are not loaded; returns true if there are any. */
 bool claimio_read_parts(Once *o, ClaimShard *s);
-/* The changed document goes to the store; first a new part, if one is due. */
+/* Stores the changed document. Writes a new part first, if one is due. */
 void claimio_write(Once *o, ClaimShard *s);
 void claimio_write_head(Once *o, ClaimShard *s);
-/* Removes parts that no head lists or ever will. */
-void claimio_sweep(Once *o, ClaimShard *s);
+/* Deletes parts that no head lists or can still list. */
+void claimio_delete_unlisted(Once *o, ClaimShard *s);
 
 #endif
--- a/packages/peer/decode.c
+++ b/packages/peer/decode.c
@@ -262,14 +262,14 @@
 }
 
 static void get_once(Reader *r, OnceMsg *m) {
-  m->kind = (OnceKind)get_small(r, ONCE_KINDS);
+  m->kind = (OnceMsgKind)get_small(r, ONCE_MSG_KIND_COUNT);
   m->key.hi = get_u64(r);
   m->key.lo = get_u64(r);
   m->nonce = get_u64(r);
   m->digest = get_u64(r);
   m->verdict = (OnceVerdict)get_small(r, ONCE_NO_CLAIM + 1);
   int flags = get_small(r, 16);
-  m->doubled = flags & 1;
+  m->duplicate = flags & 1;
   if (flags & 2) {
     get_str(r, m->bill.customer, sizeof m->bill.customer);
     get_str(r, m->bill.budget, sizeof m->bill.budget);
--- a/packages/peer/encode.c
+++ b/packages/peer/encode.c
@@ -84,7 +84,7 @@
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   bool answer = m->answer.status != 0;
-  bool bill = m->kind == ONCE_FINISH || m->kind == ONCE_COPY;
+  bool bill = m->kind == ONCE_FINISH || m->kind == ONCE_COPY_BILL;
   bool target = m->target[0] != '\0';
   msgpack_pack_array(&p,
                      8 + (bill ? 3 : 0) + (target ? 1 : 0) + (answer ? 3 : 0));
@@ -96,7 +96,7 @@
   msgpack_pack_uint64(&p, m->digest);
   msgpack_pack_uint8(&p, (uint8_t)m->verdict);
   msgpack_pack_uint8(
-      &p, (uint8_t)(m->doubled | bill << 1 | answer << 2 | target << 3));
+      &p, (uint8_t)(m->duplicate | bill << 1 | answer << 2 | target << 3));
   if (bill) {
     put_str(&p, m->bill.customer);
     put_str(&p, m->bill.budget);
--- a/scenario/requests.c
+++ b/scenario/requests.c
@@ -64,7 +64,7 @@
     break;
   case ONCE_REPLAY: requests_end(w, q, WORLD_REPLAYED); break;
   case ONCE_PENDING:
-  case ONCE_MAYBE: requests_end(w, q, WORLD_MAYBE); break;
+  case ONCE_OUTCOME_UNKNOWN: requests_end(w, q, WORLD_MAYBE); break;
   case ONCE_MISMATCH:
     q->cause = ERR_KEY_REUSED;
     requests_end(w, q, WORLD_REFUSED);
@@ -98,7 +98,7 @@
       world_broke(w, "request %s, which may not be repeated, ran %d times",
                   q->r.key, n);
   }
-  once_at(w->nodes[q->r.node].once, w->now, q->handle, "target");
+  once_dispatched(w->nodes[q->r.node].once, w->now, q->handle, "target");
   Event *e = world_event(w, EV_END, q->r.node, w->now + q->r.lasts_s);
   e->request = i;
   world_schedule(w, e);
@@ -112,7 +112,7 @@
   if (w->faults.ledger.settle_twice)
     ledger_settle(n->ledger, w->now, q->handle, 0);
   if (q->r.target_silent) {
-    once_unknown(n->once, w->now, q->handle);
+    once_finish_unknown(n->once, w->now, q->handle);
     requests_end(w, q, WORLD_MAYBE);
     return;
   }
@@ -125,6 +125,6 @@
 
 void requests_done(World *w, const OnceAction *a) {
   Request *q = requests_find(w, a->handle);
-  if (a->doubled) w->sums.wasted += q->r.used;
+  if (a->duplicate) w->sums.wasted += q->r.used;
   requests_end(w, q, WORLD_DONE);
 }
--- a/scenario/script.c
+++ b/scenario/script.c
@@ -67,11 +67,11 @@
   else if (strcmp(what, "recall") == 0)
     faults.ledger.no_recall = true;
   else if (strcmp(what, "claim") == 0)
-    faults.once.no_claim = true;
+    faults.once.skip_claims = true;
   else if (strcmp(what, "sealed claims") == 0)
-    faults.once.no_parts = true;
+    faults.once.ignore_parts = true;
   else if (strcmp(what, "bill check") == 0)
-    faults.once.bill_each = true;
+    faults.once.bill_duplicates = true;
   else if (strcmp(what, "") != 0)
     return luaL_error(l, "no switch '%s'", what);
   return 0;
--- a/scenario/store.c
+++ b/scenario/store.c
@@ -127,7 +127,7 @@
 }
 
 void store_note_bills(World *w, const char *text) {
-  bill_each(text, note_bill, w);
+  bill_decode_batch(text, note_bill, w);
 }
 
 void store_result(World *w, const Event *e) {
@@ -138,9 +138,9 @@
     ledger_stored(n->ledger, w->now, e->shard, e->result, e->version, text);
     break;
   case CALL_ONCE:
-    once_stored(n->once, w->now, e->shard, e->part, e->result, e->version,
+    once_claim_stored(n->once, w->now, e->shard, e->part, e->result, e->version,
                 text);
     break;
-  case CALL_BILL: once_billed(n->once, w->now, e->result); break;
+  case CALL_BILL: once_bill_stored(n->once, w->now, e->result); break;
   }
 }
--- a/scenario/world.c
+++ b/scenario/world.c
@@ -144,19 +144,19 @@
 }
 
 static void claim_call(World *w, int node, OnceAction *a) {
-  bool put = a->what == ONCE_DO_PUT;
+  bool put = a->action == ONCE_DO_PUT;
   Event *e = store_call(w, node, CALL_ONCE, a->name, put, a->shard, a->version,
                         g_steal_pointer(&a->text));
   e->part = a->part;
-  e->delete = a->what == ONCE_DO_DELETE;
+  e->delete = a->action == ONCE_DO_DELETE;
 }
 
 static bool once_actions(World *w, int node) {
   OnceAction a;
   bool any = false;
-  while (once_next(w->nodes[node].once, &a)) {
+  while (once_next_action(w->nodes[node].once, &a)) {
     any = true;
-    switch (a.what) {
+    switch (a.action) {
     case ONCE_DO_SEND: post(w, node, a.to, EV_ONCE, NULL, &a.msg); break;
     case ONCE_DO_GET:
     case ONCE_DO_PUT:
@@ -194,7 +194,7 @@
   member_self(n->members, n->draining, 1);
   View *v = member_view(n->members, w->now);
   ledger_view(n->ledger, w->now, v);
-  once_view(n->once, w->now, v);
+  once_set_view(n->once, w->now, v);
   view_free(v);
 }
 
@@ -330,8 +330,8 @@
   n->ledger = ledger_new(n->id, n->region, seed);
   n->once = once_new(n->id, n->region, seed + 1);
   ledger_faults(n->ledger, w->faults.ledger);
-  once_faults(n->once, w->faults.once);
-  once_claim_sizes(n->once, CLAIM_SEAL_HERE, CLAIM_MERGE_HERE);
+  once_set_faults(n->once, w->faults.once);
+  once_set_claim_sizes(n->once, CLAIM_SEAL_HERE, CLAIM_MERGE_HERE);
   take_view(w, i);
   ledger_budgets(n->ledger, w->now, (LedgerBudget *)(void *)w->rows->data,
                  (int)w->rows->len);
@@ -447,7 +447,7 @@
 
 bool world_drained(World *w, int node) {
   const Node *n = &w->nodes[node];
-  return ledger_drained(n->ledger) && once_drained(n->once);
+  return ledger_drained(n->ledger) && once_is_drained(n->once);
 }
 
 /* == requests and what is seen == */
@@ -461,7 +461,7 @@
   q->incarnation = n->incarnation;
   char issued[32];
   snprintf(issued, sizeof issued, "issued-%llu", (unsigned long long)q->handle);
-  q->key = once_key("c", r->key[0] ? r->key : issued);
+  q->key = once_make_key("c", r->key[0] ? r->key : issued);
   g_ptr_array_add(w->requests, q);
   g_hash_table_insert(w->by_handle, g_memdup2(&q->handle, sizeof q->handle), q);
   w->sums.requests++;
@@ -544,7 +544,7 @@
     if (q->outcome == WORLD_WAITING || q->outcome == WORLD_RUNNING)
       world_broke(w, "request %u never got an answer", i);
     char key[33];
-    once_key_text(q->key, key);
+    once_key_to_hex(q->key, key);
     bool billed = g_hash_table_contains(w->billed, key);
     if (bills && q->outcome == WORLD_DONE && !billed)
       world_broke(w, "request %u was answered whole and is on no bill", i);
@@ -554,7 +554,7 @@
     if (n->up && n->draining && !world_drained(w, i))
       world_broke(w, "the planned stop of %s does not end: %s%s", n->id,
                   ledger_drained(n->ledger) ? "" : "tokens ",
-                  once_drained(n->once) ? "" : "records");
+                  once_is_drained(n->once) ? "" : "records");
   }
   GHashTableIter it;
   gpointer v;
--- a/tests/stored_again.h
+++ b/tests/stored_again.h
@@ -30,8 +30,8 @@
 }
 
 static inline char *claim_head_again(const char *text) {
-  ClaimDoc *d = claimdoc_read(text);
-  char *again = d ? claimdoc_head(d) : NULL;
+  ClaimDoc *d = claimdoc_decode_head(text);
+  char *again = d ? claimdoc_encode_head(d) : NULL;
   claimdoc_free(d);
   return again;
 }
@@ -43,7 +43,7 @@
   ClaimPart *p = g_new0(ClaimPart, 1);
   p->count = (guint)json_array_size(json_object_get(o, "entries"));
   json_decref(o);
-  char *again = claimdoc_read_part(p, text) ? claimdoc_part(p) : NULL;
+  char *again = claimdoc_decode_part(p, text) ? claimdoc_encode_part(p) : NULL;
   claimdoc_part_free(p);
   return again;
 }
@@ -67,8 +67,8 @@
 static inline char *bill_again(const char *text) {
   GArray *list = g_array_new(FALSE, FALSE, sizeof(BillItem));
   g_array_set_clear_func(list, bill_item_clear);
-  char *again = bill_each(text, bill_collect, list)
-                    ? bill_text((BillItem *)(void *)list->data, (int)list->len)
+  char *again = bill_decode_batch(text, bill_collect, list)
+                    ? bill_encode_batch((BillItem *)(void *)list->data, (int)list->len)
                     : NULL;
   g_array_free(list, TRUE);
   return again;
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -40,8 +40,8 @@
   d->core = once_new("i0.1", "town", 1);
   d->objects =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, object_free);
-  once_claim_sizes(d->core, 4, 3);
-  once_view(d->core, 0, v);
+  once_set_claim_sizes(d->core, 4, 3);
+  once_set_view(d->core, 0, v);
   view_free(v);
   return d;
 }
@@ -70,36 +70,36 @@
   const Object *o = g_hash_table_lookup(d->objects, a->name);
   ErrKind kind = ERR_NONE;
   uint64_t version = o ? o->version : 0;
-  if (a->what == ONCE_DO_DELETE) {
+  if (a->action == ONCE_DO_DELETE) {
     g_hash_table_remove(d->objects, a->name);
     return;
   }
-  if (a->what == ONCE_DO_PUT && a->part != 0 && d->race && d->late.text) {
+  if (a->action == ONCE_DO_PUT && a->part != 0 && d->race && d->late.text) {
     d->race = false;
     put(d, &d->late);
   }
-  if (a->what == ONCE_DO_GET && !o) kind = ERR_STORE_ABSENT;
-  if (a->what == ONCE_DO_PUT && a->part == 0 && d->swallow) {
+  if (a->action == ONCE_DO_GET && !o) kind = ERR_STORE_ABSENT;
+  if (a->action == ONCE_DO_PUT && a->part == 0 && d->swallow) {
     d->swallow = false;
     d->late = *a;
     *a = (OnceAction){.shard = d->late.shard};
     kind = ERR_STORE_UNKNOWN;
-  } else if (a->what == ONCE_DO_PUT) {
+  } else if (a->action == ONCE_DO_PUT) {
     version = put(d, a);
     if (version == 0) kind = ERR_STORE_CONFLICT;
   }
-  const char *text = a->what == ONCE_DO_GET && o ? o->text : NULL;
-  once_stored(d->core, d->now, a->shard, a->part, kind, version, text);
+  const char *text = a->action == ONCE_DO_GET && o ? o->text : NULL;
+  once_claim_stored(d->core, d->now, a->shard, a->part, kind, version, text);
 }
 
 static void act(Desk *d) {
   OnceAction a;
-  while (once_next(d->core, &a)) {
-    bool store = a.what == ONCE_DO_GET || a.what == ONCE_DO_PUT ||
-                 a.what == ONCE_DO_DELETE;
+  while (once_next_action(d->core, &a)) {
+    bool store = a.action == ONCE_DO_GET || a.action == ONCE_DO_PUT ||
+                 a.action == ONCE_DO_DELETE;
     if (store) serve(d, &a);
-    if (a.what == ONCE_DO_BILL) once_billed(d->core, d->now, ERR_NONE);
-    if (a.what == ONCE_DO_ANSWER) {
+    if (a.action == ONCE_DO_BILL) once_bill_stored(d->core, d->now, ERR_NONE);
+    if (a.action == ONCE_DO_ANSWER) {
       d->done += a.verdict == ONCE_RUN;
       d->replayed += a.verdict == ONCE_REPLAY;
       d->refused += a.verdict == ONCE_NO_CLAIM;
@@ -121,7 +121,7 @@
 
 /* Keys of one shard only. */
 static OnceKey key_of(int i) {
-  OnceKey k = once_key("c", "key");
+  OnceKey k = once_make_key("c", "key");
   k.lo = k.lo / LIMIT_CLAIM_SHARDS * LIMIT_CLAIM_SHARDS;
   k.hi += (uint64_t)i;
   return k;
@@ -138,7 +138,7 @@
   g_hash_table_iter_init(&it, d->objects);
   while (g_hash_table_iter_next(&it, &k, &v))
     if (strlen(k) == strlen("claim/00"))
-      return claimdoc_read(((Object *)v)->text);
+      return claimdoc_decode_head(((Object *)v)->text);
   return NULL;
 }
 
@@ -232,11 +232,11 @@
 
 Test(claim, a_damaged_head_or_part_is_no_basis_for_a_verdict) {
   ClaimPart p = {.id = 1, .count = 1};
-  cr_assert_null(claimdoc_read("{}"));
-  cr_assert_null(claimdoc_read("{\"parts\":[],\"entries\":[[\"x\"]]}"));
-  cr_assert_not(claimdoc_read_part(&p, "{\"entries\":[]}"));
-  cr_assert_not(claimdoc_read_part(&p, "not json"));
-  ClaimDoc *d = claimdoc_read("{\"parts\":[[\"a\",3,5]],\"entries\":[]}");
+  cr_assert_null(claimdoc_decode_head("{}"));
+  cr_assert_null(claimdoc_decode_head("{\"parts\":[],\"entries\":[[\"x\"]]}"));
+  cr_assert_not(claimdoc_decode_part(&p, "{\"entries\":[]}"));
+  cr_assert_not(claimdoc_decode_part(&p, "not json"));
+  ClaimDoc *d = claimdoc_decode_head("{\"parts\":[[\"a\",3,5]],\"entries\":[]}");
   cr_assert_eq(((ClaimPart *)d->parts->pdata[0])->id, 10);
   claimdoc_free(d);
 }
@@ -246,18 +246,18 @@
   char body[1024];
   memset(body, 'x', sizeof body);
   for (int i = 0; i < 20; i++) {
-    ClaimEntry *e = claimdoc_touch(d, key_of(i));
+    ClaimEntry *e = claimdoc_edit_entry(d, key_of(i));
     e->unix_s = i;
-    e->by = e->type = "";
+    e->runner = e->type = "";
     e->state = CLAIM_RAN;
-    claimdoc_keep(d, e, body, sizeof body);
+    claimdoc_keep_body(d, e, body, sizeof body);
   }
-  cr_assert_leq(d->bodies, CLAIM_BODIES);
+  cr_assert_leq(d->body_bytes, CLAIM_BODIES);
   cr_assert_null(claimdoc_find(d, key_of(0))->body);
   cr_assert_not_null(claimdoc_find(d, key_of(19))->body);
-  char *text = claimdoc_head(d);
-  ClaimDoc *again = claimdoc_read(text);
-  cr_assert_eq(again->bodies, d->bodies);
+  char *text = claimdoc_encode_head(d);
+  ClaimDoc *again = claimdoc_decode_head(text);
+  cr_assert_eq(again->body_bytes, d->body_bytes);
   g_free(text);
   claimdoc_free(again);
   claimdoc_free(d);
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -76,7 +76,7 @@
 }
 
 Test(codec, a_record_message_keeps_bill_and_answer) {
-  OnceMsg o = {.kind = ONCE_FINISH, .key = {1, 2}, .nonce = 3, .doubled = true};
+  OnceMsg o = {.kind = ONCE_FINISH, .key = {1, 2}, .nonce = 3, .duplicate = true};
   g_strlcpy(o.bill.customer, "c", sizeof o.bill.customer);
   o.bill.tokens = 77;
   o.answer = (OnceAnswer){
@@ -89,7 +89,7 @@
   cr_assert_eq(m.once.bill.tokens, 77);
   cr_assert_eq(m.once.answer.len, 3);
   cr_assert_eq(memcmp(m.once.answer.body, "x\0y", 3), 0);
-  cr_assert(m.once.doubled);
+  cr_assert(m.once.duplicate);
   once_message_clear(&m.once);
   msgpack_sbuffer_destroy(&b);
 }
@@ -380,7 +380,7 @@
     if (codec_get_head(b.data, len, &off, &got)) {
       while (off < len && codec_get(b.data, len, &off, &m)) {
         if (m.type == CODEC_LEDGER) cr_assert_lt(m.ledger.kind, LEDGER_KINDS);
-        if (m.type == CODEC_ONCE) cr_assert_lt(m.once.kind, ONCE_KINDS);
+        if (m.type == CODEC_ONCE) cr_assert_lt(m.once.kind, ONCE_MSG_KIND_COUNT);
         once_message_clear(&m.once);
       }
     }
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -65,7 +65,7 @@
                .key = {1, 2},
                .nonce = 3,
                .digest = 4,
-               .doubled = true,
+               .duplicate = true,
                .answer = {.status = 200, .body = (char *)"body", .len = 4}};
   g_strlcpy(m.bill.customer, "acme", sizeof m.bill.customer);
   g_strlcpy(m.bill.budget, "acme", sizeof m.bill.budget);
--- a/tests/test_once.c
+++ b/tests/test_once.c
@@ -37,7 +37,7 @@
 static void see_losses(Net *n) {
   View *v = view_of(n);
   for (int i = 0; i < CORES; i++)
-    if (n->up[i]) once_view(n->core[i], n->now, v);
+    if (n->up[i]) once_set_view(n->core[i], n->now, v);
   view_free(v);
 }
 
@@ -65,10 +65,10 @@
 
 static bool step(Net *n, int i) {
   OnceAction a;
-  if (!n->up[i] || !once_next(n->core[i], &a)) return false;
-  if (a.what == ONCE_DO_SEND) deliver(n, i, &a);
-  if (a.what == ONCE_DO_DONE) n->done[i] = true;
-  if (a.what == ONCE_DO_ANSWER) {
+  if (!n->up[i] || !once_next_action(n->core[i], &a)) return false;
+  if (a.action == ONCE_DO_SEND) deliver(n, i, &a);
+  if (a.action == ONCE_DO_DONE) n->done[i] = true;
+  if (a.action == ONCE_DO_ANSWER) {
     n->answered[i] = true;
     n->verdict[i] = a.verdict;
     g_strlcpy(n->target[i], a.target, LIMIT_NAME);
@@ -100,7 +100,7 @@
   char text[32];
   for (int t = 0;; t++) {
     snprintf(text, sizeof text, "key-%d", t);
-    k = once_key("c", text);
+    k = once_make_key("c", text);
     if (strcmp(view_home(v, "town", k.hi, rank)->id, n->id[i]) == 0) break;
   }
   view_free(v);
@@ -118,7 +118,7 @@
   Net *n = net_new();
   *k = key_kept_by(n, keeper, 0);
   begin(n, i, *k, true);
-  once_at(n->core[i], n->now, (uint64_t)i + 1, "e1");
+  once_dispatched(n->core[i], n->now, (uint64_t)i + 1, "e1");
   settle(n);
   return n;
 }
@@ -229,8 +229,8 @@
                       {"k2", "d", "other", 6, 998},
                       {"k3", "c", "c/*", 7, 1003}};
   Read r = {0};
-  char *text = bill_text(items, 3);
-  cr_assert(bill_each(text, read_item, &r));
+  char *text = bill_encode_batch(items, 3);
+  cr_assert(bill_decode_batch(text, read_item, &r));
   g_free(text);
   cr_assert_eq(r.n, 3);
   int order[] = {0, 2, 1}; /* by budget, in order of appearance */
@@ -242,9 +242,9 @@
     cr_assert_eq(r.tokens[i], x->tokens);
     cr_assert_eq(r.unix_s[i], x->unix_s);
   }
-  cr_assert_not(bill_each("[]", read_item, &r));
-  cr_assert_not(bill_each("{\"budgets\":3}", read_item, &r));
+  cr_assert_not(bill_decode_batch("[]", read_item, &r));
+  cr_assert_not(bill_decode_batch("{\"budgets\":3}", read_item, &r));
   cr_assert(
-      bill_each("{\"budgets\":[[],[1,2],[\"b\",\"\",3]]}", read_item, &r));
+      bill_decode_batch("{\"budgets\":[[],[1,2],[\"b\",\"\",3]]}", read_item, &r));
   cr_assert_eq(r.n, 3);
 }
