--- a/packages/once/bill.c
+++ b/packages/once/bill.c
@@ -1,4 +1,4 @@
-/* bill.c: batches of bill lines as text. */
+/* bill.c: encoding and decoding of batches of bills. */
 #include "once/bill.h"
 
 #include <glib.h>
@@ -7,17 +7,18 @@
 
 #include "kernel/text.h"
 
-/* {"t": first, "budgets": [[budget, customer, [key, tokens, seconds after t],
-   ...], ...]}; the customer is "" where the budget's name begins with it. */
+/* Format: {"t": earliest time, "budgets": [[budget, customer, [key, tokens,
+   seconds after t], ...], ...]}. The customer is "" if the budget's name begins
+   with it. */
 
-/* == to text == */
+/* == encoding == */
 
 static bool begins_with(const char *budget, const char *customer) {
   size_t n = strlen(customer);
   return strncmp(budget, customer, n) == 0 && budget[n] == '/';
 }
 
-/* The group of a line's customer and budget, made if needed. */
+/* Returns the group of a bill's customer and budget, created if needed. */
 static json_t *group_of(GHashTable *groups, json_t *budgets,
                         const BillItem *item) {
   const char *budget = item->budget;
@@ -52,7 +53,7 @@
       json_pack("{s:I,s:o}", "t", (json_int_t)first, "budgets", budgets));
 }
 
-/* == from text == */
+/* == decoding == */
 
 static void each_line(json_t *group, int64_t first,
                       void (*fn)(void *ctx, const BillItem *item), void *ctx) {
--- a/packages/once/claim.c
+++ b/packages/once/claim.c
@@ -1,13 +1,13 @@
-/* claim.c: the home's side of claims. All wishes for a shard go into one
-   conditional update of its head; the first claim of a key stands. A full head
-   is sealed into a part, and many small parts are joined into one.
+/* claim.c: the home's side of claims. All queued queries for a shard go into
+   one conditional update of its head; the first claim of a key wins. A full
+   head is sealed into a part, and many small parts are merged into one.
    docs/ONCE.md. */
 #include "once/state.h"
 
 #include <string.h>
 
-#define REFUSE_AFTER_FAILING_S                                                 \
-  1.0 /* a store that fails for so long refuses at once */
+/* Claims are refused at once if the store has failed for this long. */
+#define REFUSE_AFTER_FAILING_S 1.0
 
 /* == shards == */
 
@@ -53,7 +53,7 @@
   return NULL;
 }
 
-/* == one wish and the document == */
+/* == applying one query to the document == */
 
 static const ClaimEntry *find_entry(const Once *o, const ClaimShard *s,
                                     OnceKey key) {
@@ -77,13 +77,14 @@
   }
 }
 
-/* Each returns true when the document was changed. */
+/* Each returns true if it changed the document. */
 
 static bool apply_claim(Once *o, ClaimShard *s, QueuedClaim *c) {
   const ClaimEntry *e = find_entry(o, s, c->key);
   bool ours = e && e->nonce == c->nonce;
   once_answer_clear(&c->answer);
-  if (ours) { /* a lost answer, or given up meanwhile */
+  if (ours) { /* an earlier write succeeded unnoticed, or the run
+                released its claim since */
     c->verdict = e->state == CLAIM_RELEASED ? ONCE_NO_CLAIM : ONCE_RUN;
     return false;
   }
@@ -113,8 +114,8 @@
   return true;
 }
 
-/* What was given up is remembered: a claim of it that comes late must not
-   stand, since nobody would ever run it. */
+/* Records the release even if there is no claim: a delayed claim of the same
+   run must not take effect, because no instance would ever run it. */
 static bool apply_release(Once *o, ClaimShard *s, const QueuedClaim *c) {
   const ClaimEntry *e = find_entry(o, s, c->key);
   bool ours = e && e->nonce == c->nonce;
@@ -148,7 +149,7 @@
     ((QueuedClaim *)s->claims->pdata[i])->decided = false;
 }
 
-/* == answers == */
+/* == replies == */
 
 static void send_verdict(Once *o, const QueuedClaim *c) {
   bool claim = c->kind == ONCE_CLAIM;
@@ -161,7 +162,8 @@
   once_send(o, c->from, &m);
 }
 
-/* The document is the store's: what was decided in it is true. */
+/* Replies to the decided queries. Called once the document is known to equal
+   the stored one. */
 static void reply_to_decided(Once *o, ClaimShard *s) {
   s->backoff = s->failing_since = 0;
   for (guint i = 0; i < s->claims->len;) {
@@ -178,7 +180,7 @@
   }
 }
 
-/* == the way of a shard == */
+/* == phases of a shard == */
 
 static void record_failure(Once *o, ClaimShard *s) {
   s->stale = true;
@@ -187,7 +189,8 @@
   s->retry_at = o->now + pace_backoff(&s->backoff, g_rand_double(o->rng));
 }
 
-/* A claim is waited for; outcomes wait for company. */
+/* A claim is urgent, because a request waits for it; outcomes and releases wait
+   for a while so that several share a write. */
 static bool is_write_due(const Once *o, const ClaimShard *s) {
   for (guint i = 0; i < s->claims->len; i++) {
     const QueuedClaim *c = s->claims->pdata[i];
@@ -217,12 +220,12 @@
     claimio_write(o, s);
     return;
   }
-  s->pace = before; /* nothing is written */
+  s->pace = before; /* nothing is written: return the permission */
   if (s->read_since_claim) {
     reply_to_decided(o, s);
     return;
   }
-  /* A kept document may be old: what it says is only taken after a read. */
+  /* A cached document may be out of date: verdicts from it need a read. */
   clear_decisions(s);
   claimio_read_head(o, s);
 }
@@ -265,7 +268,7 @@
     return;
   }
   if (s->part_failed)
-    record_failure(o, s); /* perhaps the head was old: read it again */
+    record_failure(o, s); /* the head may be out of date: read it again */
 }
 
 static void complete_write(Once *o, ClaimShard *s, uint64_t version) {
@@ -298,7 +301,7 @@
   advance_shard(o, s);
 }
 
-/* == wishes of runners == */
+/* == queries from runners == */
 
 static void send_refusal(Once *o, const char *to, const OnceMsg *m) {
   OnceMsg r = {.kind = ONCE_CLAIM_REPLY,
@@ -322,13 +325,14 @@
   return c;
 }
 
-/* Told again, or something else of a run whose last wish is still here. */
+/* Handles a repeated query, or another query about a run whose last one is
+   still queued. */
 static void handle_repeat(Once *o, QueuedClaim *c, const char *from,
                           const OnceMsg *m) {
   OnceMsg held = {.kind = ONCE_CLAIM_QUEUED, .key = m->key, .nonce = m->nonce};
   if (m->kind != c->kind && m->kind != ONCE_CLAIM) {
     if (!c->decided) {
-      c->kind = m->kind; /* never made it to the store */
+      c->kind = m->kind; /* the earlier query is not stored */
       once_answer_clear(&c->answer);
       c->answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER);
     } else if (!c->follow_up)
@@ -357,7 +361,7 @@
 
 /* == time == */
 
-/* Their runners gave up. */
+/* Drops claims that have waited so long that their runners have given up. */
 static void drop_expired_claims(Once *o, ClaimShard *s) {
   for (guint i = s->claims->len; i > 0; i--) {
     const QueuedClaim *c = s->claims->pdata[i - 1];
--- a/packages/once/claimdoc.c
+++ b/packages/once/claimdoc.c
@@ -1,4 +1,5 @@
-/* claimdoc.c: heads and parts of claim shards as text, and look-ups in them. */
+/* claimdoc.c: encoding and decoding of heads and parts of claim shards, and
+   lookups in them. */
 #include "once/claimdoc.h"
 
 #include <inttypes.h>
@@ -43,8 +44,8 @@
   return t ? strtoull(t, NULL, 16) : 0;
 }
 
-/* [key, nonce, digest, taken at, state, by] and of an answer [.., status, type,
-   body or null]. */
+/* Format: [key, nonce, digest, time of claim, state, runner], followed for
+   CLAIM_RAN by status, content type, and body or null. */
 static json_t *encode_entry(const ClaimEntry *e) {
   char key[33];
   once_key_to_hex(e->key, key);
@@ -95,8 +96,8 @@
   return a;
 }
 
-/* NULL when one of them is damaged: half of a shard is no basis for a verdict.
- */
+/* Returns NULL if any entry is damaged, because a verdict from an incomplete
+   shard could be wrong. */
 static GHashTable *decode_entries(json_t *a) {
   if (!json_is_array(a)) return NULL;
   GHashTable *entries = entries_new();
@@ -200,7 +201,7 @@
   return d;
 }
 
-/* == look-ups and changes == */
+/* == lookups and changes == */
 
 const ClaimEntry *claimdoc_find(const ClaimDoc *d, OnceKey key) {
   const ClaimEntry *e = g_hash_table_lookup(d->entries, &key);
@@ -283,7 +284,8 @@
   guint first = d->parts->len - n;
   all->id = id;
   all->entries = entries_new();
-  for (guint i = first; i < d->parts->len; i++) { /* newer ones replace older */
+  for (guint i = first; i < d->parts->len;
+       i++) { /* newer entries replace older */
     const ClaimPart *p = d->parts->pdata[i];
     GHashTableIter it;
     gpointer v;
--- a/packages/once/claimio.c
+++ b/packages/once/claimio.c
@@ -1,11 +1,11 @@
-/* claimio.c: heads and parts of claim shards on their way to and from the
-   store: sealing, joining, expiry, and parts that nobody lists. */
+/* claimio.c: store calls of claim shards: reading and writing heads and parts,
+   sealing, merging, expiry, and deletion of unlisted parts. */
 #include "once/state.h"
 
 #include <inttypes.h>
 #include <stdio.h>
 
-/* == calls == */
+/* == store calls == */
 
 static void object_name(const ClaimShard *s, uint64_t part, char *out) {
   if (part)
@@ -15,8 +15,8 @@
 }
 
 static OnceAction *add_store_call(Once *o, const ClaimShard *s,
-                                  OnceActionKind what, uint64_t part) {
-  OnceAction *a = once_add_action(o, what);
+                                  OnceActionKind kind, uint64_t part) {
+  OnceAction *a = once_add_action(o, kind);
   object_name(s, part, a->name);
   a->shard = s->index;
   a->part = part;
@@ -28,7 +28,6 @@
   add_store_call(o, s, ONCE_DO_GET, 0);
 }
 
-/* True when parts are on their way. */
 bool claimio_read_parts(Once *o, ClaimShard *s) {
   s->parts_reading = 0;
   s->part_failed = false;
@@ -49,8 +48,8 @@
   s->phase = SHARD_WRITING_HEAD;
 }
 
-/* A part is made under a name that nobody else uses, before the head lists it;
-   should the head never do so, the part is loose and goes again. */
+/* Creates a part under a unique name before the head lists it. If the head
+   never lists it, the part is deleted later. */
 static void write_part(Once *o, ClaimShard *s, const ClaimPart *p) {
   UnlistedPart l = {p->id, s->version};
   g_array_append_val(s->unlisted, l);
@@ -59,7 +58,7 @@
   s->phase = SHARD_WRITING_PART;
 }
 
-/* == loose parts == */
+/* == unlisted parts == */
 
 static bool is_listed(const ClaimDoc *d, uint64_t id) {
   for (guint i = 0; i < d->parts->len; i++)
@@ -67,9 +66,9 @@
   return false;
 }
 
-/* Removes loose parts. Only once the head has moved on from the version that
-   the write was made on: until then a write without an answer may still take
-   effect and list the part. */
+/* Deletes unlisted parts, but only once the head is newer than the version that
+   the write was based on. Until then a write whose result is unknown may still
+   take effect and list the part. */
 void claimio_delete_unlisted(Once *o, ClaimShard *s) {
   for (guint i = s->unlisted->len; i > 0; i--) {
     UnlistedPart l = g_array_index(s->unlisted, UnlistedPart, i - 1);
@@ -84,10 +83,11 @@
   g_array_append_val(s->unlisted, l);
 }
 
-/* == what is written == */
+/* == writing == */
 
-/* The oldest parts go when this home has held them for an hour: no wall clock
-   decides, unless by a whole day. */
+/* Removes the oldest parts once this home has held them for CLAIM_KEEP. The
+   wall clock may jump, so it removes a part only at an age of CLAIM_KEEP_OLD.
+ */
 static void expire_parts(Once *o, ClaimShard *s) {
   while (s->doc->parts->len > 0) {
     const ClaimPart *p = s->doc->parts->pdata[0];
@@ -99,7 +99,7 @@
   }
 }
 
-/* Small parts at the newer end. */
+/* Counts the small parts at the end of the list, which are the newest. */
 static guint count_small_parts(const Once *o, const ClaimDoc *d) {
   guint n = 0, max_small_entries = o->seal_entries * o->merge_parts;
   while (n < d->parts->len) {
@@ -114,7 +114,6 @@
   return (uint64_t)g_rand_int(o->rng) << 32 | g_rand_int(o->rng) | 1;
 }
 
-/* The changed document goes to the store; first a new part, if one is due. */
 void claimio_write(Once *o, ClaimShard *s) {
   ClaimDoc *d = s->doc;
   expire_parts(o, s);
--- a/packages/once/keeper.c
+++ b/packages/once/keeper.c
@@ -1,4 +1,5 @@
-/* keeper.c: soft records of runs, kept answers, and batches of bills. */
+/* keeper.c: the keeper's records of runs (in memory only), kept answers, and
+   batches of bills. */
 #include "once/bill.h"
 #include "once/state.h"
 
@@ -6,8 +7,8 @@
 #include <stdio.h>
 #include <string.h>
 
-#define BATCH_MAX_BILLS 4000    /* a quarter of a megabyte or so */
-#define FLEET_BATCHES_PER_S 4.0 /* batches a second of the whole fleet */
+#define BATCH_MAX_BILLS 4000    /* an object of about 250 kB */
+#define FLEET_BATCHES_PER_S 4.0 /* all instances together */
 
 void keeper_record_free(gpointer p) {
   KeeperRecord *r = p;
@@ -19,9 +20,10 @@
 
 const Member *keeper_of(const Once *o, OnceKey key, int rank) {
   const Member *m = view_home(o->view, o->region, key.hi, rank);
-  /* All of our region are leaving: a bill still has to be kept somewhere. */
+  /* All instances of this region are leaving: use any other, because bills
+     still have to be kept. */
   if (!m) m = view_home(o->view, NULL, key.hi, rank);
-  /* The whole fleet is: each keeps its own. */
+  /* All instances are leaving: each keeps its own records. */
   return m || rank > 0 ? m : view_find(o->view, o->self);
 }
 
@@ -49,10 +51,10 @@
 
 static OnceVerdict judge_record(const Once *o, const KeeperRecord *r,
                                 const OnceMsg *m) {
-  if (r->nonce == m->nonce) return ONCE_RUN; /* asked again */
+  if (r->nonce == m->nonce) return ONCE_RUN; /* repeated query */
   if (r->digest != m->digest) return ONCE_MISMATCH;
-  /* A finished run whose answer was not kept may run again if it may be
-     repeated (else its claim refuses it); it is not billed again. */
+  /* A finished request whose answer was not kept may run again if it is
+     repeatable (otherwise its claim refuses it). It is not billed again. */
   if (r->finished) return r->answer.body ? ONCE_REPLAY : ONCE_RUN;
   if (r->unknown || is_gone(o, r->runner)) return ONCE_RUN;
   return ONCE_PENDING;
@@ -65,7 +67,8 @@
   OnceMsg a = {
       .kind = ONCE_BEGIN_REPLY, .key = m->key, .nonce = m->nonce, .verdict = v};
   if (v == ONCE_RUN && !r->finished) {
-    g_strlcpy(a.target, r->target, sizeof a.target); /* of an earlier run */
+    g_strlcpy(a.target, r->target,
+              sizeof a.target); /* target of an earlier run */
     r->nonce = m->nonce;
     r->digest = m->digest;
     r->unknown = false;
@@ -76,7 +79,7 @@
   once_send(o, from, &a);
 }
 
-/* == copies: a bill is never in one instance only == */
+/* == copies: at least two instances hold each bill that is not stored == */
 
 static void finished(Once *o, const char *to, const OnceMsg *m, bool doubled) {
   OnceMsg a = {.kind = ONCE_FINISH_ACK,
@@ -86,7 +89,7 @@
   once_send(o, to, &a);
 }
 
-/* Some other member: of another data centre if there is one. */
+/* Picks another member, of another data centre if there is one. */
 static const Member *pick_backup(const Once *o, OnceKey key) {
   const Member *self = view_find(o->view, o->self), *m, *near = NULL;
   for (int r = 0; (m = view_home(o->view, o->region, key.hi, r)); r++) {
@@ -100,24 +103,25 @@
   return us ? view_home(o->view, NULL, key.hi, 1) : m;
 }
 
-/* Has a second holder take the line in. True while there is none yet. */
+/* Sends the bill to a second holder if it has none. Returns true while no
+   second holder is confirmed. */
 static bool ensure_second_holder(Once *o, PendingBill *b) {
-  /* The runner is the second holder, unless it is us or gone. */
+  /* The runner is the second holder, unless it is this instance or gone. */
   bool runner = strcmp(b->runner, o->self) != 0 && !is_gone(o, b->runner);
   bool backup = b->backup && !is_gone(o, b->backup);
   if (runner || (backup && b->backup_confirmed)) return false;
   if (backup && (float)o->now - b->copy_sent_at < (float)ONCE_RESEND)
     return true;
   if (!backup) {
-    const Member *m = pick_backup(o, b->line.key);
+    const Member *m = pick_backup(o, b->summary.key);
     b->backup_confirmed = false;
     b->backup = m ? g_intern_string(m->id) : NULL;
   }
-  OnceMsg m = once_msg_from_bill(&b->line, ONCE_COPY_BILL);
-  if (!b->backup) { /* alone: there is nobody to wait for */
+  OnceMsg m = once_msg_from_bill(&b->summary, ONCE_COPY_BILL);
+  if (!b->backup) { /* there is no other instance to wait for */
     if (b->runner_waits) finished(o, b->runner, &m, false);
     b->runner_waits = false;
-    return false; /* looked at again when the view changes */
+    return false; /* checked again when the view changes */
   }
   b->copy_sent_at = (float)o->now;
   once_send(o, b->backup, &m);
@@ -133,7 +137,7 @@
 
 void keeper_copy_acked(Once *o, const char *from, const OnceMsg *m) {
   PendingBill *b = g_hash_table_lookup(o->bills_by_key, &m->key);
-  bool ours = b && b->line.nonce == m->nonce && b->backup;
+  bool ours = b && b->summary.nonce == m->nonce && b->backup;
   if (!ours || strcmp(b->backup, from) != 0) return;
   b->backup_confirmed = true;
   if (b->runner_waits) finished(o, b->runner, m, false);
@@ -142,22 +146,22 @@
 
 static void add_bill(Once *o, const char *from, const OnceMsg *m) {
   PendingBill *b = g_hash_table_lookup(o->bills_by_key, &m->key);
-  if (b) { /* the record was forgotten sooner than its bill */
-    finished(o, from, m, b->line.nonce != m->nonce);
+  if (b) { /* the record expired before its bill was stored */
+    finished(o, from, m, b->summary.nonce != m->nonce);
     return;
   }
   b = g_new0(PendingBill, 1);
-  b->line = once_bill_from_msg(o, m);
+  b->summary = once_bill_from_msg(o, m);
   b->runner = g_intern_string(from);
   b->runner_waits = strcmp(from, o->self) == 0;
   g_ptr_array_add(o->pending_bills, b);
-  g_hash_table_insert(o->bills_by_key, &b->line.key, b);
+  g_hash_table_insert(o->bills_by_key, &b->summary.key, b);
   if (!b->runner_waits) finished(o, from, m, false);
   if (ensure_second_holder(o, b)) o->uncopied = true;
 }
 
-/* The first finish of a key is its bill; a second run of the same key was
-   consumed, but is not billed. */
+/* The first finish of a key is billed. A second run of the same key consumed
+   tokens, but is not billed. */
 void keeper_finish(Once *o, const char *from, const OnceMsg *m) {
   KeeperRecord *r = g_hash_table_lookup(o->records, &m->key);
   if (!r) r = add_record(o, m->key);
@@ -177,7 +181,8 @@
   }
   if (again || doubled) {
     finished(o, from, m, doubled);
-    /* Told again after its bill went to the store: our word was lost. */
+    /* A repeated finish whose bill is already stored: the runner has missed the
+       BILL_DURABLE message. */
     OnceMsg d = {.kind = ONCE_BILL_DURABLE, .key = m->key, .nonce = m->nonce};
     bool stored = !g_hash_table_contains(o->bills_by_key, &m->key);
     if (again && stored) once_send(o, from, &d);
@@ -187,8 +192,9 @@
     drop_oldest_record(o);
 }
 
-/* `from` runs it at a target. Its keeper knew of the run; the second keeper
-   learns of it here. Another run that goes on is not written over. */
+/* `from` runs the request at a target. The first keeper already has a record of
+   the run; the second keeper creates it here. The record of another run that is
+   still in progress is not overwritten. */
 void keeper_dispatched(Once *o, const char *from, const OnceMsg *m) {
   KeeperRecord *r = g_hash_table_lookup(o->records, &m->key);
   if (!r) r = add_record(o, m->key);
@@ -207,20 +213,22 @@
   (void)from;
   KeeperRecord *r = g_hash_table_lookup(o->records, &m->key);
   if (!r || r->nonce != m->nonce || r->finished) return;
-  r->unknown = true; /* whoever asks next may run it */
+  r->unknown = true; /* the next runner that asks may run it */
 }
 
 /* == bills == */
 
-/* The first lines, at most BATCH_LINES. A batch without a clear answer goes out
-   again under its name with the same lines: if the name exists, it is this. */
+/* Writes the first bills, at most BATCH_MAX_BILLS. A batch whose result is
+   unknown is written again under the same name with the same bills, so an
+   object that already has the name is this batch. */
 static void write_batch(Once *o) {
   if (o->batch_bills == 0)
     o->batch_bills = MIN(o->pending_bills->len, BATCH_MAX_BILLS);
   BillItem *items = g_new0(BillItem, o->batch_bills);
   char(*keys)[33] = g_malloc((gsize)o->batch_bills * 33);
   for (guint i = 0; i < o->batch_bills; i++) {
-    const BillSummary *l = &((PendingBill *)o->pending_bills->pdata[i])->line;
+    const BillSummary *l =
+        &((PendingBill *)o->pending_bills->pdata[i])->summary;
     once_key_to_hex(l->key, keys[i]);
     items[i] =
         (BillItem){keys[i], l->customer, l->budget, l->tokens, l->unix_s};
@@ -235,13 +243,15 @@
 }
 
 static void send_durable(Once *o, const PendingBill *b) {
-  OnceMsg m = {
-      .kind = ONCE_BILL_DURABLE, .key = b->line.key, .nonce = b->line.nonce};
+  OnceMsg m = {.kind = ONCE_BILL_DURABLE,
+               .key = b->summary.key,
+               .nonce = b->summary.nonce};
   once_send(o, b->runner, &m);
   if (b->backup) once_send(o, b->backup, &m);
 }
 
-/* The whole fleet's batches stay within a few writes a second. */
+/* Returns the interval at which all instances together stay within
+   FLEET_BATCHES_PER_S. */
 static double batch_interval_s(const Once *o) {
   return MAX(ONCE_BATCH, o->view->n / FLEET_BATCHES_PER_S);
 }
@@ -260,7 +270,7 @@
   for (guint i = 0; i < o->batch_bills; i++) {
     const PendingBill *b = o->pending_bills->pdata[i];
     send_durable(o, b);
-    g_hash_table_remove(o->bills_by_key, &b->line.key);
+    g_hash_table_remove(o->bills_by_key, &b->summary.key);
   }
   g_ptr_array_remove_range(o->pending_bills, 0, o->batch_bills);
   o->batch_bills = 0;
--- a/packages/once/once.c
+++ b/packages/once/once.c
@@ -1,4 +1,5 @@
-/* once.c: what all of the record core shares, and its events. */
+/* once.c: functions shared within the package, message dispatch, and the
+   public events. */
 #include "once/state.h"
 
 #include <assert.h>
@@ -63,14 +64,14 @@
 
 /* == actions == */
 
-OnceAction *once_add_action(Once *o, OnceActionKind what) {
+OnceAction *once_add_action(Once *o, OnceActionKind kind) {
   OnceAction *a = g_new0(OnceAction, 1);
-  a->action = what;
+  a->action = kind;
   g_queue_push_tail(&o->actions, a);
   return a;
 }
 
-/* Takes over m->answer.body. */
+/* Takes ownership of m->answer.body. */
 void once_send(Once *o, const char *to, OnceMsg *m) {
   if (strcmp(to, o->self) == 0) {
     g_queue_push_tail(&o->local_messages, g_memdup2(m, sizeof *m));
--- a/packages/once/run.c
+++ b/packages/once/run.c
@@ -1,13 +1,14 @@
-/* run.c: the runner's side of a record: keepers, claim, end. */
+/* run.c: the runner's side of a request: query of the keepers, claim, finish.
+ */
 #include "once/state.h"
 
 #include <assert.h>
 #include <string.h>
 
-#define KEEPER_WAIT_S 0.5 /* a keeper that says nothing is done without */
-#define KEEPER_COUNT 2    /* know where a run is: one of them may be lost */
-#define FINISH_WAIT_S 2.0 /* the caller waits this long for a keeper's word */
-#define FINISHES_PER_KEEPER 3 /* then another keeper is told as well */
+#define KEEPER_WAIT_S 0.5 /* time for a keeper to reply */
+#define KEEPER_COUNT 2    /* keepers that record a run, since one may fail */
+#define FINISH_WAIT_S 2.0 /* time that the caller waits for the keeper */
+#define FINISHES_PER_KEEPER 3 /* then the next keeper gets it too */
 
 /* == runs == */
 
@@ -38,7 +39,7 @@
     drop_run(o, r->handle);
 }
 
-/* Tells the keepers from `first` on that nobody runs it any more. */
+/* Informs the keepers from rank `first` on that the run is over. */
 static void send_end(Once *o, const Run *r, int first) {
   OnceMsg m = {.kind = ONCE_ABORT, .key = r->key, .nonce = r->nonce};
   for (int rank = first; r->has_caller_key && rank < KEEPER_COUNT; rank++) {
@@ -71,7 +72,7 @@
   answer_run(o, r, v, answer);
 }
 
-/* == asking == */
+/* == querying keepers == */
 
 static void query_keeper(Once *o, Run *r, const Member *k) {
   OnceMsg m = {.kind = ONCE_BEGIN,
@@ -89,8 +90,8 @@
   query_keeper(o, r, k ? k : keeper_of(o, r->key, 0));
 }
 
-/* The keeper says nothing: its second is asked before the request runs. Should
-   the loss have been seen meanwhile, the second is the first by now. */
+/* The keeper did not reply: queries the second one before the request runs. If
+   the view no longer has the lost keeper, the second one is now the first. */
 static void query_second_keeper(Once *o, Run *r) {
   const Member *first = keeper_of(o, r->key, 0);
   bool same = first && strcmp(first->id, r->keeper) == 0;
@@ -133,10 +134,10 @@
                .bill = r->bill};
   m.answer = once_answer_copy(&r->answer, LIMIT_ANSWER);
   OwedBill *owed = g_new0(OwedBill, 1);
-  owed->line = once_bill_from_msg(o, &m);
+  owed->summary = once_bill_from_msg(o, &m);
   owed->sent_at = r->sent_at = o->now;
   owed->keeper = k ? g_intern_string(k->id) : "";
-  g_hash_table_replace(o->owed, &owed->line.key, owed);
+  g_hash_table_replace(o->owed, &owed->summary.key, owed);
   if (k) once_send(o, k->id, &m);
   if (!k) once_answer_clear(&m.answer);
 }
@@ -150,7 +151,7 @@
 
 void run_finish_acked(Once *o, const OnceMsg *m) {
   OwedBill *x = g_hash_table_lookup(o->owed, &m->key);
-  if (x && x->line.nonce == m->nonce) x->held_by_keeper = true;
+  if (x && x->summary.nonce == m->nonce) x->held_by_keeper = true;
   if (m->duplicate) g_hash_table_remove(o->owed, &m->key);
   GHashTableIter it;
   gpointer v;
@@ -189,7 +190,7 @@
 void once_dispatched(Once *o, double now, uint64_t handle, const char *target) {
   o->now = now;
   Run *r = find_run(o, handle);
-  if (!r || !r->has_caller_key) return; /* nobody can ask for it again */
+  if (!r || !r->has_caller_key) return; /* no caller can retry it */
   OnceMsg m = {.kind = ONCE_DISPATCHED,
                .key = r->key,
                .nonce = r->nonce,
@@ -245,9 +246,9 @@
   bool resend = o->now - r->sent_at >= ONCE_RESEND;
   switch (r->state) {
   case RUN_QUERYING_KEEPER:
-    /* Without its keepers a repeatable request runs; a second run would be
-       consumed from the budget, but billed once. One that may not be repeated
-       is still guarded by its claim. */
+    /* If no keeper replies, the request runs. A second run of a repeatable
+       request consumes tokens of the budget, but is billed once. A request that
+       is not repeatable is still protected by its claim. */
     if (expired)
       query_second_keeper(o, r);
     else if (resend)
@@ -260,7 +261,7 @@
     answer_run(o, r, ONCE_NO_CLAIM, NULL);
     break;
   case RUN_FINISHING:
-    /* The bill stays owed: it goes on being told until it is durable. */
+    /* The bill stays owed: it is resent until it is stored. */
     if (expired)
       report_done(o, r->handle, false);
     else if (resend)
--- a/packages/once/state.h
+++ b/packages/once/state.h
@@ -54,7 +54,7 @@
 
 /* A bill that is not yet known to be in the store. */
 typedef struct OwedBill {
-  BillSummary line;    /* from the FINISH; can be sent to another keeper */
+  BillSummary summary; /* from the FINISH; can be sent to another keeper */
   const char *keeper;  /* interned */
   bool held_by_keeper; /* the keeper has it, but it is not yet stored */
   double sent_at;
@@ -86,7 +86,7 @@
   uint64_t nonce, digest;
   char from[LIMIT_ID];
   double received_at;
-  bool decided; /* applied to the document, which is not yet confirmed as stored
+  bool decided; /* applied to the document; not yet stored
                  */
   OnceVerdict verdict;
   OnceAnswer answer; /* OUTCOME: answer of the run; CLAIM: answer to replay */
@@ -95,11 +95,11 @@
 
 typedef enum {
   SHARD_IDLE,
-  SHARD_READING_HEAD,  /* the head */
+  SHARD_READING_HEAD,
   SHARD_READING_PARTS, /* reads parts that the head lists and that are not
                           loaded */
-  SHARD_WRITING_PART,  /* a new part is written */
-  SHARD_WRITING_HEAD   /* the head */
+  SHARD_WRITING_PART,
+  SHARD_WRITING_HEAD
 } ShardPhase;
 
 /* A part that this instance created or removed by a head write on version
@@ -128,7 +128,7 @@
 
 /* A bill that this instance holds as keeper until a batch with it is stored. */
 typedef struct PendingBill {
-  BillSummary line;
+  BillSummary summary;
   const char *runner;    /* interned, like `backup` */
   const char *backup;    /* instance with a copy; NULL: the runner has it */
   bool backup_confirmed; /* the backup acknowledged the copy */
@@ -169,7 +169,7 @@
 
 guint once_key_hash(gconstpointer k);
 gboolean once_key_equal(gconstpointer a, gconstpointer b);
-OnceAction *once_add_action(Once *o, OnceActionKind what);
+OnceAction *once_add_action(Once *o, OnceActionKind kind);
 void once_send(Once *o, const char *to, OnceMsg *m);
 OnceAnswer once_answer_copy(const OnceAnswer *a, size_t limit);
 void once_answer_clear(OnceAnswer *a);
@@ -208,7 +208,7 @@
 void keeper_batch_stored(Once *o, ErrKind kind);
 void keeper_record_free(gpointer p);
 
-/* == claimquery.c: the runner's side of claims == */
+/* == wish.c: claim queries, the runner's side of claims == */
 
 void claimquery_claim(Once *o, const Run *r);
 /* Sends the outcome of a claimed run, which may be unknown. */
--- a/packages/once/claimquery.c
+++ b/packages/once/wish.c
@@ -1,15 +1,14 @@
-/* wish.c: the runner's side of claims: who is asked, how often, who is next
-   when nobody answers. */
+/* wish.c: claim queries, the runner's side of claims: choice of the home,
+   resends, and the next home if one does not reply. */
 #include "once/state.h"
 
 #include <string.h>
 
-#define NO_REPLY_WAIT_S 0.6 /* then the next one is asked */
-#define QUEUED_CLAIM_WAIT_S                                                    \
-  1.5 /* the same, when the home said that it has the claim */
-#define QUEUED_OUTCOME_WAIT_S 10.0 /* or an outcome, which nobody waits for */
-#define UNRESPONSIVE_S 5.0 /* who did not answer is passed over this long */
-#define MAX_RESEND_S 5.0   /* seconds between two tellings of the same */
+#define NO_REPLY_WAIT_S 0.6     /* then the next home is queried */
+#define QUEUED_CLAIM_WAIT_S 1.5 /* the same, if the home has queued a claim */
+#define QUEUED_OUTCOME_WAIT_S 10.0 /* or an outcome, which no caller awaits */
+#define UNRESPONSIVE_S 5.0 /* a home that did not reply is skipped so long */
+#define MAX_RESEND_S 5.0   /* longest time between resends */
 #define HOME_SALT 0x636c61696dULL
 
 void claimquery_free(gpointer p) {
@@ -26,16 +25,17 @@
   g_hash_table_remove(o->queries, &nonce);
 }
 
-/* == who is asked == */
+/* == choice of the home == */
 
 static bool is_unresponsive(const Once *o, int shard, const char *id) {
   const UnresponsiveHome *q = &o->unresponsive[shard];
   return o->now < q->until && strcmp(q->id, id) == 0;
 }
 
-/* The shard's home in the fleet; our region's, should that one be silent or
-   gone; else ourselves. Each can do it, being the home is no privilege: it
-   saves writes. `asked`: who said nothing, "" nobody. */
+/* Picks the shard's home in the whole fleet; if that one is unresponsive or
+   gone, the home within the region; otherwise this instance. Any instance may
+   act as home: a common one only saves writes. `previous`: the home that did
+   not reply, or "". */
 static const char *pick_home(const Once *o, OnceKey key, const char *previous) {
   int shard = claim_shard_index(key);
   const char *regions[] = {NULL, o->region};
@@ -71,7 +71,7 @@
 }
 
 static void assign_next_home(Once *o, ClaimQuery *w) {
-  if (strcmp(w->to, o->self) == 0) { /* all were asked: once more */
+  if (strcmp(w->to, o->self) == 0) { /* all were queried: start again */
     assign_home(o, w, pick_home(o, w->key, ""));
     return;
   }
@@ -83,7 +83,7 @@
   assign_home(o, w, pick_home(o, w->key, w->to));
 }
 
-/* == wishes == */
+/* == queries == */
 
 static ClaimQuery *add_query(Once *o, const Run *r, OnceMsgKind kind) {
   ClaimQuery *w = g_new0(ClaimQuery, 1);
@@ -120,11 +120,11 @@
     assign_home(o, add_query(o, r, ONCE_RELEASE), pick_home(o, r->key, ""));
     return;
   }
-  w->kind = ONCE_RELEASE; /* who has the claim is told first */
+  w->kind = ONCE_RELEASE; /* goes first to the home that has the claim */
   assign_home(o, w, w->to);
 }
 
-/* == answers == */
+/* == replies == */
 
 static void clear_unresponsive(Once *o, const ClaimQuery *w, const char *from) {
   UnresponsiveHome *q = &o->unresponsive[claim_shard_index(w->key)];
@@ -133,10 +133,11 @@
 
 void claimquery_decided(Once *o, const char *from, const OnceMsg *m) {
   ClaimQuery *w = find_query(o, m->nonce);
-  if (!w || w->kind != ONCE_CLAIM) return; /* given up: a late word */
+  if (!w || w->kind != ONCE_CLAIM) return; /* late reply to a released claim */
   clear_unresponsive(o, w, from);
   uint64_t handle = w->handle, nonce = w->nonce;
-  /* One refused, and another may still keep it: it is taken back. */
+  /* This home refused the claim, but another one may still store it: release
+     it. */
   if (m->verdict == ONCE_NO_CLAIM && w->sent_to_several) {
     w->kind = ONCE_RELEASE;
     assign_home(o, w, w->to);
