--- a/packages/once/bill.c
+++ b/packages/once/bill.c
@@ -13,7 +13,7 @@
 
 /* == encoding == */
 
-static bool begins_with(const char *budget, const char *customer) {
+static bool has_customer_prefix(const char *budget, const char *customer) {
   size_t n = strlen(customer);
   return strncmp(budget, customer, n) == 0 && budget[n] == '/';
 }
@@ -22,8 +22,8 @@
 static json_t *group_of(GHashTable *groups, json_t *budgets,
                         const BillItem *item) {
   const char *budget = item->budget;
-  bool within = begins_with(budget, item->customer);
-  const char *customer = within ? "" : item->customer;
+  bool has_prefix = has_customer_prefix(budget, item->customer);
+  const char *customer = has_prefix ? "" : item->customer;
   char *name = g_strconcat(customer, "\n", budget, NULL);
   json_t *group = g_hash_table_lookup(groups, name);
   if (group) {
@@ -55,24 +55,25 @@
 
 /* == decoding == */
 
-static void each_line(json_t *group, int64_t first,
-                      void (*fn)(void *ctx, const BillItem *item), void *ctx) {
+static void decode_group(json_t *group, int64_t first,
+                         void (*fn)(void *ctx, const BillItem *item),
+                         void *ctx) {
   const char *budget = json_string_value(json_array_get(group, 0));
   const char *customer = json_string_value(json_array_get(group, 1));
   if (!customer || !budget) return;
-  char *within = customer[0] ? g_strdup(customer)
-                             : g_strndup(budget, strcspn(budget, "/"));
+  char *has_prefix = customer[0] ? g_strdup(customer)
+                                 : g_strndup(budget, strcspn(budget, "/"));
   for (size_t i = 2; i < json_array_size(group); i++) {
-    json_t *line = json_array_get(group, i);
-    BillItem x = {.key = json_string_value(json_array_get(line, 0)),
-                  .customer = within,
+    json_t *bill = json_array_get(group, i);
+    BillItem x = {.key = json_string_value(json_array_get(bill, 0)),
+                  .customer = has_prefix,
                   .budget = budget,
-                  .tokens = json_integer_value(json_array_get(line, 1)),
+                  .tokens = json_integer_value(json_array_get(bill, 1)),
                   .unix_s =
-                      first + json_integer_value(json_array_get(line, 2))};
+                      first + json_integer_value(json_array_get(bill, 2))};
     if (x.key) fn(ctx, &x);
   }
-  g_free(within);
+  g_free(has_prefix);
 }
 
 bool bill_decode_batch(const char *text,
@@ -82,7 +83,7 @@
   bool ok = json_is_array(budgets);
   int64_t first = json_integer_value(json_object_get(o, "t"));
   size_t i;
-  json_array_foreach(budgets, i, group) each_line(group, first, fn, ctx);
+  json_array_foreach(budgets, i, group) decode_group(group, first, fn, ctx);
   json_decref(o);
   return ok;
 }
--- a/packages/once/keeper.c
+++ b/packages/once/keeper.c
@@ -81,11 +81,12 @@
 
 /* == copies: at least two instances hold each bill that is not stored == */
 
-static void finished(Once *o, const char *to, const OnceMsg *m, bool doubled) {
+static void send_finish_ack(Once *o, const char *to, const OnceMsg *m,
+                            bool duplicate) {
   OnceMsg a = {.kind = ONCE_FINISH_ACK,
                .key = m->key,
                .nonce = m->nonce,
-               .duplicate = doubled};
+               .duplicate = duplicate};
   once_send(o, to, &a);
 }
 
@@ -119,7 +120,7 @@
   }
   OnceMsg m = once_msg_from_bill(&b->summary, ONCE_COPY_BILL);
   if (!b->backup) { /* there is no other instance to wait for */
-    if (b->runner_waits) finished(o, b->runner, &m, false);
+    if (b->runner_waits) send_finish_ack(o, b->runner, &m, false);
     b->runner_waits = false;
     return false; /* checked again when the view changes */
   }
@@ -140,14 +141,14 @@
   bool ours = b && b->summary.nonce == m->nonce && b->backup;
   if (!ours || strcmp(b->backup, from) != 0) return;
   b->backup_confirmed = true;
-  if (b->runner_waits) finished(o, b->runner, m, false);
+  if (b->runner_waits) send_finish_ack(o, b->runner, m, false);
   b->runner_waits = false;
 }
 
 static void add_bill(Once *o, const char *from, const OnceMsg *m) {
   PendingBill *b = g_hash_table_lookup(o->bills_by_key, &m->key);
   if (b) { /* the record expired before its bill was stored */
-    finished(o, from, m, b->summary.nonce != m->nonce);
+    send_finish_ack(o, from, m, b->summary.nonce != m->nonce);
     return;
   }
   b = g_new0(PendingBill, 1);
@@ -156,7 +157,7 @@
   b->runner_waits = strcmp(from, o->self) == 0;
   g_ptr_array_add(o->pending_bills, b);
   g_hash_table_insert(o->bills_by_key, &b->summary.key, b);
-  if (!b->runner_waits) finished(o, from, m, false);
+  if (!b->runner_waits) send_finish_ack(o, from, m, false);
   if (ensure_second_holder(o, b)) o->uncopied = true;
 }
 
@@ -166,7 +167,7 @@
   KeeperRecord *r = g_hash_table_lookup(o->records, &m->key);
   if (!r) r = add_record(o, m->key);
   bool again = r->finished && r->nonce == m->nonce;
-  bool doubled = r->finished && !again && !o->faults.bill_duplicates;
+  bool duplicate = r->finished && !again && !o->faults.bill_duplicates;
   if (!r->finished || o->faults.bill_duplicates) {
     r->finished = true;
     r->unknown = false;
@@ -179,8 +180,8 @@
     r->answer = once_answer_copy(&m->answer, LIMIT_ANSWER);
     o->kept_bytes += r->answer.len;
   }
-  if (again || doubled) {
-    finished(o, from, m, doubled);
+  if (again || duplicate) {
+    send_finish_ack(o, from, m, duplicate);
     /* A repeated finish whose bill is already stored: the runner has missed the
        BILL_DURABLE message. */
     OnceMsg d = {.kind = ONCE_BILL_DURABLE, .key = m->key, .nonce = m->nonce};
@@ -199,8 +200,8 @@
   KeeperRecord *r = g_hash_table_lookup(o->records, &m->key);
   if (!r) r = add_record(o, m->key);
   bool other = r->runner[0] && r->nonce != m->nonce;
-  bool runs = other && !r->unknown && !is_gone(o, r->runner);
-  if (r->finished || runs) return;
+  bool in_progress = other && !r->unknown && !is_gone(o, r->runner);
+  if (r->finished || in_progress) return;
   r->nonce = m->nonce;
   r->digest = m->digest;
   r->unknown = false;
@@ -216,7 +217,7 @@
   r->unknown = true; /* the next runner that asks may run it */
 }
 
-/* == bills == */
+/* == batches of bills == */
 
 /* Writes the first bills, at most BATCH_MAX_BILLS. A batch whose result is
    unknown is written again under the same name with the same bills, so an
--- a/packages/once/once.c
+++ b/packages/once/once.c
@@ -102,7 +102,7 @@
 
 /* == messages == */
 
-static void dispatch(Once *o, const char *from, const OnceMsg *m) {
+static void dispatch_message(Once *o, const char *from, const OnceMsg *m) {
   switch (m->kind) {
   case ONCE_BEGIN: keeper_begin(o, from, m); break;
   case ONCE_BEGIN_REPLY: run_keeper_replied(o, m); break;
@@ -126,7 +126,7 @@
 void once_deliver_local(Once *o) {
   OnceMsg *m;
   while ((m = g_queue_pop_head(&o->local_messages))) {
-    dispatch(o, o->self, m);
+    dispatch_message(o, o->self, m);
     once_answer_clear(&m->answer);
     g_free(m);
   }
@@ -191,7 +191,7 @@
 
 void once_receive(Once *o, double now, const char *from, const OnceMsg *m) {
   o->now = now;
-  dispatch(o, from, m);
+  dispatch_message(o, from, m);
   once_deliver_local(o);
 }
 
--- a/packages/once/run.c
+++ b/packages/once/run.c
@@ -142,10 +142,10 @@
   if (!k) once_answer_clear(&m.answer);
 }
 
-static void report_done(Once *o, uint64_t handle, bool doubled) {
+static void report_done(Once *o, uint64_t handle, bool duplicate) {
   OnceAction *a = once_add_action(o, ONCE_DO_DONE);
   a->handle = handle;
-  a->duplicate = doubled;
+  a->duplicate = duplicate;
   drop_run(o, handle);
 }
 
--- a/tests/fuzz_stored.c
+++ b/tests/fuzz_stored.c
@@ -1,20 +1,21 @@
-/* fuzz_stored.c: texts of any bytes in the place of objects in the store do no
-   harm, and what is read as an object is one that we may have written: written
-   again and read, it is the same. Built by fuzz.sh. */
+/* fuzz_stored.c: decodes arbitrary bytes as stored objects. Decoding must not
+   crash, and an object that decodes must be one that can be written: encoding
+   it, decoding that and encoding again gives the same text. Built by fuzz.sh.
+ */
 #include <stdlib.h>
 #include <string.h>
 
 #include "stored_again.h"
 
-/* Entries of a claim stand in the order of a hash table, which two tables of
-   the same entries need not share: their lengths are compared. */
+/* Claim entries are written in hash table order, which may differ between two
+   tables of the same entries, so only the lengths are compared. */
 static void check(const StoredKind *k, const char *text) {
-  char *once = k->again(text);
-  if (!once) return;
-  char *twice = k->again(once);
-  if (!twice || strlen(once) != strlen(twice)) abort();
-  g_free(once);
-  g_free(twice);
+  char *first = k->reencode(text);
+  if (!first) return;
+  char *second = k->reencode(first);
+  if (!second || strlen(first) != strlen(second)) abort();
+  g_free(first);
+  g_free(second);
 }
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t len);
--- a/tests/stored_again.h
+++ b/tests/stored_again.h
@@ -1,5 +1,5 @@
-/* stored_again.h: reads the text of an object in the store, of any kind, and
-   writes it again; for tests. */
+/* stored_again.h: decodes the text of a stored object of each kind and encodes
+   it again. For tests. */
 #ifndef TESTS_STORED_AGAIN_H
 #define TESTS_STORED_AGAIN_H
 
@@ -11,16 +11,17 @@
 #include "route/trials.h"
 #include "table/table.h"
 
-/* Each returns NULL when the text is no such object; g_free. */
+/* Each returns NULL if the text is not such an object. Free the result with
+   g_free. */
 
-static inline char *shard_again(const char *text) {
+static inline char *reencode_shard(const char *text) {
   Shard *s = shard_decode(text);
-  char *again = s ? shard_encode(s) : NULL;
+  char *encoded = s ? shard_encode(s) : NULL;
   shard_free(s);
-  return again;
+  return encoded;
 }
 
-static inline char *trial_again(const char *text) {
+static inline char *reencode_trial(const char *text) {
   static const char name[] = "00000000000000010000000000000002";
   Trial x;
   json_t *o = json_loads(text, 0, NULL);
@@ -29,26 +30,27 @@
   return ok ? text_json(trials_write(&x)) : NULL;
 }
 
-static inline char *claim_head_again(const char *text) {
+static inline char *reencode_claim_head(const char *text) {
   ClaimDoc *d = claimdoc_decode_head(text);
-  char *again = d ? claimdoc_encode_head(d) : NULL;
+  char *encoded = d ? claimdoc_encode_head(d) : NULL;
   claimdoc_free(d);
-  return again;
+  return encoded;
 }
 
-/* A part is read by one who knows how many entries it has: here as many as
-   stand in it. */
-static inline char *claim_part_again(const char *text) {
+/* Decoding a part needs its expected number of entries: here the number that it
+   contains. */
+static inline char *reencode_claim_part(const char *text) {
   json_t *o = json_loads(text, 0, NULL);
   ClaimPart *p = g_new0(ClaimPart, 1);
   p->count = (guint)json_array_size(json_object_get(o, "entries"));
   json_decref(o);
-  char *again = claimdoc_decode_part(p, text) ? claimdoc_encode_part(p) : NULL;
+  char *encoded =
+      claimdoc_decode_part(p, text) ? claimdoc_encode_part(p) : NULL;
   claimdoc_part_free(p);
-  return again;
+  return encoded;
 }
 
-static inline void bill_collect(void *ctx, const BillItem *item) {
+static inline void append_bill_copy(void *ctx, const BillItem *item) {
   GArray *list = ctx;
   BillItem x = *item;
   x.key = g_strdup(x.key);
@@ -57,55 +59,57 @@
   g_array_append_val(list, x);
 }
 
-static inline void bill_item_clear(gpointer p) {
+static inline void free_bill_copy(gpointer p) {
   BillItem *x = p;
   g_free((char *)x->key);
   g_free((char *)x->customer);
   g_free((char *)x->budget);
 }
 
-static inline char *bill_again(const char *text) {
+static inline char *reencode_bills(const char *text) {
   GArray *list = g_array_new(FALSE, FALSE, sizeof(BillItem));
-  g_array_set_clear_func(list, bill_item_clear);
-  char *again = bill_decode_batch(text, bill_collect, list)
-                    ? bill_encode_batch((BillItem *)(void *)list->data, (int)list->len)
-                    : NULL;
+  g_array_set_clear_func(list, free_bill_copy);
+  char *encoded =
+      bill_decode_batch(text, append_bill_copy, list)
+          ? bill_encode_batch((BillItem *)(void *)list->data, (int)list->len)
+          : NULL;
   g_array_free(list, TRUE);
-  return again;
+  return encoded;
 }
 
-static inline char *plan_again(const char *text) {
+static inline char *reencode_plan(const char *text) {
   Plan *p = plan_read(text);
-  char *again = p ? plan_text(p) : NULL;
+  char *encoded = p ? plan_text(p) : NULL;
   plan_free(p);
-  return again;
+  return encoded;
 }
 
-/* The part that its first row belongs to: one without rows is any part. */
-static inline char *table_part_again(const char *text) {
+/* Encodes the part that the first row belongs to. Any part will do if there are
+   no rows. */
+static inline char *reencode_table_part(const char *text) {
   Table *t = table_new();
-  char *again = NULL;
+  char *encoded = NULL;
   if (table_decode_part(t, text)) {
     table_sort(t);
     const TableRow *r = t->order->len ? t->order->pdata[0] : NULL;
-    again = table_encode_part(t, r ? table_part(r) : 0);
+    encoded = table_encode_part(t, r ? table_part(r) : 0);
   }
   table_free(t);
-  return again;
+  return encoded;
 }
 
 typedef struct StoredKind {
-  const char *name; /* golden/NAME.json: as a build in production wrote it */
-  char *(*again)(const char *text);
+  const char *name; /* golden/NAME.json: as written by a production build */
+  char *(*reencode)(const char *text);
 } StoredKind;
 
-static const StoredKind stored_kinds[] = {{"shard", shard_again},
-                                          {"shard-sealed", shard_again},
-                                          {"trial", trial_again},
-                                          {"claims-head", claim_head_again},
-                                          {"claims-part", claim_part_again},
-                                          {"bills", bill_again},
-                                          {"plan", plan_again},
-                                          {"table-part", table_part_again}};
+static const StoredKind stored_kinds[] = {{"shard", reencode_shard},
+                                          {"shard-sealed", reencode_shard},
+                                          {"trial", reencode_trial},
+                                          {"claims-head", reencode_claim_head},
+                                          {"claims-part", reencode_claim_part},
+                                          {"bills", reencode_bills},
+                                          {"plan", reencode_plan},
+                                          {"table-part", reencode_table_part}};
 
 #endif
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -1,5 +1,4 @@
-/* test_claim.c: claim shards between one home and a store that loses answers.
- */
+/* test_claim.c: claim shards of one home, with a store that loses replies. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <stdio.h>
@@ -8,32 +7,32 @@
 #include "once/claimdoc.h"
 #include "once/once.h"
 
-/* == a store and one core == */
+/* == a store and one instance == */
 
 typedef struct Object {
   char *text;
   uint64_t version;
 } Object;
 
-typedef struct Desk {
+typedef struct Fixture {
   Once *core;
   double now;
   int64_t unix_s;
-  GHashTable *objects; /* name -> Object */
-  OnceAction late;     /* a head write without an answer, done later */
-  bool swallow;        /* the next head write becomes that */
-  bool race;           /* and is done just before the next part is made */
+  GHashTable *objects;    /* name -> Object */
+  OnceAction delayed;     /* a head write without a reply, applied later */
+  bool delay_next_head;   /* make the next head write the delayed one */
+  bool apply_before_part; /* apply it just before the next part is created */
   int writes, done, refused, replayed;
   uint64_t handles;
-} Desk;
+} Fixture;
 
 static void object_free(gpointer p) {
   g_free(((Object *)p)->text);
   g_free(p);
 }
 
-static Desk *desk_new(void) {
-  Desk *d = g_new0(Desk, 1);
+static Fixture *fixture_new(void) {
+  Fixture *d = g_new0(Fixture, 1);
   Member me = {.id = "i0.1", .region = "town", .dc = "nord"};
   View *v = view_new(&me, 1);
   d->unix_s = 1700000000;
@@ -46,14 +45,14 @@
   return d;
 }
 
-static void desk_free(Desk *d) {
-  once_action_clear(&d->late);
+static void fixture_free(Fixture *d) {
+  once_action_clear(&d->delayed);
   once_free(d->core);
   g_hash_table_destroy(d->objects);
   g_free(d);
 }
 
-static uint64_t put(Desk *d, const OnceAction *a) {
+static uint64_t put(Fixture *d, const OnceAction *a) {
   Object *o = g_hash_table_lookup(d->objects, a->name);
   if ((o ? o->version : 0) != a->version) return 0;
   if (!o) {
@@ -66,7 +65,7 @@
   return ++o->version;
 }
 
-static void serve(Desk *d, OnceAction *a) {
+static void answer_store_call(Fixture *d, OnceAction *a) {
   const Object *o = g_hash_table_lookup(d->objects, a->name);
   ErrKind kind = ERR_NONE;
   uint64_t version = o ? o->version : 0;
@@ -74,15 +73,16 @@
     g_hash_table_remove(d->objects, a->name);
     return;
   }
-  if (a->action == ONCE_DO_PUT && a->part != 0 && d->race && d->late.text) {
-    d->race = false;
-    put(d, &d->late);
+  if (a->action == ONCE_DO_PUT && a->part != 0 && d->apply_before_part &&
+      d->delayed.text) {
+    d->apply_before_part = false;
+    put(d, &d->delayed);
   }
   if (a->action == ONCE_DO_GET && !o) kind = ERR_STORE_ABSENT;
-  if (a->action == ONCE_DO_PUT && a->part == 0 && d->swallow) {
-    d->swallow = false;
-    d->late = *a;
-    *a = (OnceAction){.shard = d->late.shard};
+  if (a->action == ONCE_DO_PUT && a->part == 0 && d->delay_next_head) {
+    d->delay_next_head = false;
+    d->delayed = *a;
+    *a = (OnceAction){.shard = d->delayed.shard};
     kind = ERR_STORE_UNKNOWN;
   } else if (a->action == ONCE_DO_PUT) {
     version = put(d, a);
@@ -92,12 +92,12 @@
   once_claim_stored(d->core, d->now, a->shard, a->part, kind, version, text);
 }
 
-static void act(Desk *d) {
+static void run_actions(Fixture *d) {
   OnceAction a;
   while (once_next_action(d->core, &a)) {
     bool store = a.action == ONCE_DO_GET || a.action == ONCE_DO_PUT ||
                  a.action == ONCE_DO_DELETE;
-    if (store) serve(d, &a);
+    if (store) answer_store_call(d, &a);
     if (a.action == ONCE_DO_BILL) once_bill_stored(d->core, d->now, ERR_NONE);
     if (a.action == ONCE_DO_ANSWER) {
       d->done += a.verdict == ONCE_RUN;
@@ -112,14 +112,14 @@
   }
 }
 
-static void advance(Desk *d, double seconds) {
+static void advance(Fixture *d, double seconds) {
   for (double end = d->now + seconds; d->now < end; d->now += 0.1) {
     once_tick(d->core, d->now, d->unix_s + (int64_t)d->now);
-    act(d);
+    run_actions(d);
   }
 }
 
-/* Keys of one shard only. */
+/* Returns keys of a single shard. */
 static OnceKey key_of(int i) {
   OnceKey k = once_make_key("c", "key");
   k.lo = k.lo / LIMIT_CLAIM_SHARDS * LIMIT_CLAIM_SHARDS;
@@ -127,12 +127,12 @@
   return k;
 }
 
-static void book(Desk *d, int i) {
+static void begin_request(Fixture *d, int i) {
   once_begin(d->core, d->now, ++d->handles, key_of(i), 7, false, false);
-  act(d);
+  run_actions(d);
 }
 
-static ClaimDoc *head(const Desk *d) {
+static ClaimDoc *read_head(const Fixture *d) {
   GHashTableIter it;
   gpointer k, v;
   g_hash_table_iter_init(&it, d->objects);
@@ -142,9 +142,10 @@
   return NULL;
 }
 
-/* Every part that the head lists is there; returns how many are not listed. */
-static int loose_parts(const Desk *d) {
-  ClaimDoc *doc = head(d);
+/* Asserts that every part that the head lists exists. Returns the number of
+   parts that it does not list. */
+static int count_unlisted_parts(const Fixture *d) {
+  ClaimDoc *doc = read_head(d);
   char name[LIMIT_NAME];
   for (guint i = 0; i < doc->parts->len; i++) {
     const ClaimPart *p = doc->parts->pdata[i];
@@ -158,90 +159,93 @@
 
 /* == tests == */
 
-Test(claim, heads_are_sealed_and_parts_are_joined_and_removed) {
-  Desk *d = desk_new();
+Test(claim, heads_are_sealed_and_parts_are_merged_and_deleted) {
+  Fixture *d = fixture_new();
   for (int i = 0; i < 100; i++) {
-    book(d, i);
+    begin_request(d, i);
     advance(d, 1.5);
   }
   cr_assert_eq(d->done, 100);
-  cr_assert_eq(loose_parts(d), 0);
-  ClaimDoc *doc = head(d);
+  cr_assert_eq(count_unlisted_parts(d), 0);
+  ClaimDoc *doc = read_head(d);
   cr_assert_leq(doc->parts->len, 100 / 12 + 4);
   claimdoc_free(doc);
-  for (int i = 0; i < 100; i++) book(d, i);
+  for (int i = 0; i < 100; i++) begin_request(d, i);
   advance(d, 5);
   cr_assert_eq(d->done, 100);
   cr_assert_eq(d->replayed, 100);
-  desk_free(d);
+  fixture_free(d);
 }
 
-/* A write of the head that was given up on takes effect seconds later: whenever
-   that is, no part that it lists may be gone. */
-Test(claim, a_late_write_of_the_head_finds_its_part) {
+/* A head write whose reply was lost may take effect seconds later. The parts
+   that it lists must still exist, whenever that is. */
+Test(claim, delayed_head_write_finds_its_part) {
   for (int moment = 0; moment < 40; moment++) {
-    Desk *d = desk_new();
-    for (int i = 0; i < 3; i++) book(d, i);
+    Fixture *d = fixture_new();
+    for (int i = 0; i < 3; i++) begin_request(d, i);
     advance(d, 3);
-    d->swallow = true;
-    d->race = moment == 39;
-    book(d, 3); /* the fourth entry: a part is made, the write is swallowed */
-    cr_assert_not_null(d->late.text);
+    d->delay_next_head = true;
+    d->apply_before_part = moment == 39;
+    begin_request(
+        d, 3); /* the fourth entry seals a part; the head write is delayed */
+    cr_assert_not_null(d->delayed.text);
     advance(d, 0.05 * moment);
-    put(d, &d->late);
+    put(d, &d->delayed);
     advance(d, 4);
-    book(d, 4);
+    begin_request(d, 4);
     advance(d, 4);
     cr_assert_eq(d->done + d->refused, 5, "moment %d: %d done, %d refused",
                  moment, d->done, d->refused);
-    loose_parts(d);
-    for (int i = 0; i < 3; i++) book(d, i);
+    count_unlisted_parts(d);
+    for (int i = 0; i < 3; i++) begin_request(d, i);
     advance(d, 3);
     cr_assert_eq(d->replayed, 3, "moment %d: %d replayed", moment, d->replayed);
-    desk_free(d);
+    fixture_free(d);
   }
 }
 
-/* A wall clock that jumps an hour ahead takes no claim away. */
-Test(claim, claims_go_after_an_hour_by_no_wall_clock) {
-  Desk *d = desk_new();
-  for (int i = 0; i < 8; i++) book(d, i);
+/* A wall clock that jumps ahead by two hours must not expire claims. */
+Test(claim, claims_expire_by_local_time_not_the_wall_clock) {
+  Fixture *d = fixture_new();
+  for (int i = 0; i < 8; i++) begin_request(d, i);
   advance(d, 3);
   d->unix_s += 7200;
-  for (int i = 100; i < 108; i++) book(d, i);
+  for (int i = 100; i < 108; i++) begin_request(d, i);
   advance(d, 3);
-  book(d, 0);
+  begin_request(d, 0);
   advance(d, 1);
   cr_assert_eq(d->replayed, 1);
-  for (int i = 0; i < 200; i++) { /* in use, so that the home keeps its parts */
-    book(d, 200 + i);
+  for (int i = 0; i < 200;
+       i++) { /* keeps the shard in use, so that the home does not drop it */
+    begin_request(d, 200 + i);
     d->now += 50;
     once_tick(d->core, d->now, d->unix_s + (int64_t)d->now);
-    act(d);
+    run_actions(d);
   }
   int before = d->done;
-  book(d, 0);
+  begin_request(d, 0);
   advance(d, 3);
-  cr_assert_eq(d->done, before + 1, "it is still known after hours");
-  book(d, 399);
+  cr_assert_eq(d->done, before + 1, "the claim has not expired after hours");
+  begin_request(d, 399);
   advance(d, 1);
   cr_assert_eq(d->replayed, 2);
-  cr_assert_eq(loose_parts(d), 0);
-  desk_free(d);
+  cr_assert_eq(count_unlisted_parts(d), 0);
+  fixture_free(d);
 }
 
-Test(claim, a_damaged_head_or_part_is_no_basis_for_a_verdict) {
+Test(claim, damaged_heads_and_parts_are_rejected) {
   ClaimPart p = {.id = 1, .count = 1};
   cr_assert_null(claimdoc_decode_head("{}"));
   cr_assert_null(claimdoc_decode_head("{\"parts\":[],\"entries\":[[\"x\"]]}"));
   cr_assert_not(claimdoc_decode_part(&p, "{\"entries\":[]}"));
   cr_assert_not(claimdoc_decode_part(&p, "not json"));
-  ClaimDoc *d = claimdoc_decode_head("{\"parts\":[[\"a\",3,5]],\"entries\":[]}");
+  ClaimDoc *d =
+      claimdoc_decode_head("{\"parts\":[[\"a\",3,5]],\"entries\":[]}");
   cr_assert_eq(((ClaimPart *)d->parts->pdata[0])->id, 10);
   claimdoc_free(d);
 }
 
-Test(claim, kept_answers_make_room_for_newer_ones) {
+Test(claim, oldest_answer_bodies_are_dropped_over_the_limit) {
   ClaimDoc *d = claimdoc_new();
   char body[1024];
   memset(body, 'x', sizeof body);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -285,7 +285,7 @@
 
 static void same_again(const StoredKind *k, const char *text,
                        const char *golden) {
-  char *again = k->again(text);
+  char *again = k->reencode(text);
   cr_assert_not_null(again, "%s: %s", k->name, REMEDY);
   cr_assert_str_eq(again, golden, "%s: %s", k->name, REMEDY);
   g_free(again);
--- a/tests/test_once.c
+++ b/tests/test_once.c
@@ -1,4 +1,5 @@
-/* test_once.c: records of requests between a few cores, message by message. */
+/* test_once.c: deduplication of requests between a few instances, message by
+   message. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <stdio.h>
@@ -7,24 +8,25 @@
 #include "once/bill.h"
 #include "once/once.h"
 
-#define CORES 3
+#define INSTANCE_COUNT 3
 
-/* == a few cores and their mail == */
+/* == a few instances and their messages == */
 
 typedef struct Net {
-  Once *core[CORES];
-  bool up[CORES];
-  char id[CORES][LIMIT_ID];
+  Once *core[INSTANCE_COUNT];
+  bool up[INSTANCE_COUNT];
+  char id[INSTANCE_COUNT][LIMIT_ID];
   double now;
-  OnceVerdict verdict[CORES]; /* of the last answer, and what came with it */
-  bool answered[CORES], done[CORES];
-  char target[CORES][LIMIT_NAME];
+  OnceVerdict
+      verdict[INSTANCE_COUNT]; /* of the last answer; `target` came with it */
+  bool answered[INSTANCE_COUNT], done[INSTANCE_COUNT];
+  char target[INSTANCE_COUNT][LIMIT_NAME];
 } Net;
 
 static View *view_of(const Net *n) {
-  Member list[CORES] = {0};
+  Member list[INSTANCE_COUNT] = {0};
   int count = 0;
-  for (int i = 0; i < CORES; i++) {
+  for (int i = 0; i < INSTANCE_COUNT; i++) {
     if (!n->up[i]) continue;
     Member *m = &list[count++];
     g_strlcpy(m->id, n->id[i], sizeof m->id);
@@ -34,36 +36,36 @@
   return view_new(list, count);
 }
 
-static void see_losses(Net *n) {
+static void update_views(Net *n) {
   View *v = view_of(n);
-  for (int i = 0; i < CORES; i++)
+  for (int i = 0; i < INSTANCE_COUNT; i++)
     if (n->up[i]) once_set_view(n->core[i], n->now, v);
   view_free(v);
 }
 
 static Net *net_new(void) {
   Net *n = g_new0(Net, 1);
-  for (int i = 0; i < CORES; i++) {
+  for (int i = 0; i < INSTANCE_COUNT; i++) {
     snprintf(n->id[i], sizeof n->id[i], "i%d.1", i);
     n->core[i] = once_new(n->id[i], "town", (uint32_t)i + 1);
     n->up[i] = true;
   }
-  see_losses(n);
+  update_views(n);
   return n;
 }
 
 static void net_free(Net *n) {
-  for (int i = 0; i < CORES; i++) once_free(n->core[i]);
+  for (int i = 0; i < INSTANCE_COUNT; i++) once_free(n->core[i]);
   g_free(n);
 }
 
 static void deliver(Net *n, int from, const OnceAction *a) {
-  for (int i = 0; i < CORES; i++)
+  for (int i = 0; i < INSTANCE_COUNT; i++)
     if (n->up[i] && strcmp(n->id[i], a->to) == 0)
       once_receive(n->core[i], n->now, n->id[from], &a->msg);
 }
 
-static bool step(Net *n, int i) {
+static bool deliver_next(Net *n, int i) {
   OnceAction a;
   if (!n->up[i] || !once_next_action(n->core[i], &a)) return false;
   if (a.action == ONCE_DO_SEND) deliver(n, i, &a);
@@ -77,24 +79,24 @@
   return true;
 }
 
-static void settle(Net *n) {
+static void deliver_all(Net *n) {
   bool any = true;
   while (any) {
     any = false;
-    for (int i = 0; i < CORES; i++) any |= step(n, i);
+    for (int i = 0; i < INSTANCE_COUNT; i++) any |= deliver_next(n, i);
   }
 }
 
 static void advance(Net *n, double seconds) {
   for (double end = n->now + seconds; n->now < end; n->now += 0.1) {
-    for (int i = 0; i < CORES; i++)
+    for (int i = 0; i < INSTANCE_COUNT; i++)
       if (n->up[i]) once_tick(n->core[i], n->now, 1700000000);
-    settle(n);
+    deliver_all(n);
   }
 }
 
-/* A key whose keeper of `rank` is core `i`. */
-static OnceKey key_kept_by(const Net *n, int i, int rank) {
+/* Returns a key whose keeper of `rank` is instance `i`. */
+static OnceKey key_with_keeper(const Net *n, int i, int rank) {
   View *v = view_of(n);
   OnceKey k = {0};
   char text[32];
@@ -110,31 +112,32 @@
 static void begin(Net *n, int i, OnceKey k, bool repeat) {
   n->answered[i] = false;
   once_begin(n->core[i], n->now, (uint64_t)i + 1, k, 7, true, repeat);
-  settle(n);
+  deliver_all(n);
 }
 
-/* Core `i` runs a request whose keeper of rank 0 is core `keeper`. */
-static Net *net_running(int i, int keeper, OnceKey *k) {
+/* Starts a request at instance `i` whose keeper of rank 0 is instance `keeper`.
+ */
+static Net *start_run(int i, int keeper, OnceKey *k) {
   Net *n = net_new();
-  *k = key_kept_by(n, keeper, 0);
+  *k = key_with_keeper(n, keeper, 0);
   begin(n, i, *k, true);
   once_dispatched(n->core[i], n->now, (uint64_t)i + 1, "e1");
-  settle(n);
+  deliver_all(n);
   return n;
 }
 
-/* == a runner or a keeper is lost == */
+/* == loss of a runner or a keeper == */
 
-Test(once, a_runner_that_kept_its_own_record_does_not_take_it_along) {
+Test(once, loss_of_a_runner_that_is_its_own_keeper_leaves_a_record) {
   OnceKey k;
-  Net *n = net_running(0, 0, &k);
+  Net *n = start_run(0, 0, &k);
   n->up[0] = false;
-  /* Its loss is not seen yet: no second run, whichever instance is asked. */
+  /* Until the loss is detected, no instance allows a second run. */
   begin(n, 1, k, true);
   advance(n, 2);
   cr_assert(n->answered[1]);
   cr_assert_eq(n->verdict[1], ONCE_PENDING);
-  see_losses(n);
+  update_views(n);
   begin(n, 2, k, true);
   advance(n, 2);
   cr_assert(n->answered[2]);
@@ -143,33 +146,34 @@
   net_free(n);
 }
 
-Test(once, a_lost_keeper_makes_no_second_run_beside_the_first) {
+Test(once, loss_of_a_keeper_allows_no_concurrent_second_run) {
   OnceKey k;
-  Net *n = net_running(0, 2, &k);
+  Net *n = start_run(0, 2, &k);
   n->up[2] = false;
   begin(n, 1, k, true);
   advance(n, 2);
   cr_assert_eq(n->verdict[1], ONCE_PENDING);
-  see_losses(n);
+  update_views(n);
   begin(n, 1, k, true);
   advance(n, 2);
   cr_assert_eq(n->verdict[1], ONCE_PENDING);
   net_free(n);
 }
 
-/* What the second holder remembers must not stand in the way for ever. */
-Test(once, a_finished_run_is_no_run_in_progress_at_the_second_keeper) {
+/* The record at the second keeper must not block the key after the run has
+   finished. */
+Test(once, second_keeper_does_not_keep_a_finished_run_pending) {
   OnceKey k;
-  Net *n = net_running(0, 2, &k);
+  Net *n = start_run(0, 2, &k);
   OnceBill bill = {.customer = "c", .budget = "c/*", .tokens = 5};
   OnceAnswer answer = {.status = 200, .body = (char *)"x", .len = 1};
   once_finish(n->core[0], n->now, 1, &bill, &answer);
-  settle(n);
+  deliver_all(n);
   cr_assert(n->done[0]);
   begin(n, 1, k, true);
   cr_assert_eq(n->verdict[1], ONCE_REPLAY);
   n->up[2] = false;
-  see_losses(n);
+  update_views(n);
   begin(n, 1, k, true);
   advance(n, 2);
   cr_assert(n->answered[1]);
@@ -177,9 +181,9 @@
   net_free(n);
 }
 
-Test(once, silent_keepers_hold_a_request_up_for_a_second_at_most) {
+Test(once, unresponsive_keepers_delay_a_request_by_at_most_a_second) {
   Net *n = net_new();
-  OnceKey k = key_kept_by(n, 0, 0);
+  OnceKey k = key_with_keeper(n, 0, 0);
   n->up[0] = n->up[2] = false;
   begin(n, 1, k, true);
   advance(n, 1.2);
@@ -188,35 +192,35 @@
   net_free(n);
 }
 
-/* The loss may be seen at any moment of the asking. */
-Test(once, a_loss_that_is_seen_meanwhile_leads_to_who_knows_the_run) {
+/* The loss may be detected at any time during the query. */
+Test(once, loss_detected_during_the_query_leads_to_the_keeper_with_the_record) {
   for (int moment = 0; moment < 12; moment++) {
     OnceKey k;
-    Net *n = net_running(0, 0, &k);
+    Net *n = start_run(0, 0, &k);
     n->up[0] = false;
     begin(n, 1, k, true);
     advance(n, 0.1 * moment);
-    see_losses(n);
+    update_views(n);
     advance(n, 2);
     cr_assert(n->answered[1]);
     bool found =
         n->verdict[1] == ONCE_PENDING || strcmp(n->target[1], "e1") == 0;
-    cr_assert(found, "seen after %d ticks: verdict %d at '%s'", moment,
+    cr_assert(found, "detected after %d ticks: verdict %d at '%s'", moment,
               n->verdict[1], n->target[1]);
     net_free(n);
   }
 }
 
-/* == bills as text == */
+/* == encoding of bills == */
 
-typedef struct Read {
+typedef struct Collected {
   int n;
   int64_t tokens[8], unix_s[8];
   char budget[8][16], key[8][16], customer[8][16];
-} Read;
+} Collected;
 
-static void read_item(void *ctx, const BillItem *x) {
-  Read *r = ctx;
+static void collect_bill(void *ctx, const BillItem *x) {
+  Collected *r = ctx;
   r->tokens[r->n] = x->tokens;
   r->unix_s[r->n] = x->unix_s;
   g_strlcpy(r->budget[r->n], x->budget, 16);
@@ -228,9 +232,9 @@
   BillItem items[] = {{"k1", "c", "c/*", 5, 1000},
                       {"k2", "d", "other", 6, 998},
                       {"k3", "c", "c/*", 7, 1003}};
-  Read r = {0};
+  Collected r = {0};
   char *text = bill_encode_batch(items, 3);
-  cr_assert(bill_decode_batch(text, read_item, &r));
+  cr_assert(bill_decode_batch(text, collect_bill, &r));
   g_free(text);
   cr_assert_eq(r.n, 3);
   int order[] = {0, 2, 1}; /* by budget, in order of appearance */
@@ -242,9 +246,9 @@
     cr_assert_eq(r.tokens[i], x->tokens);
     cr_assert_eq(r.unix_s[i], x->unix_s);
   }
-  cr_assert_not(bill_decode_batch("[]", read_item, &r));
-  cr_assert_not(bill_decode_batch("{\"budgets\":3}", read_item, &r));
-  cr_assert(
-      bill_decode_batch("{\"budgets\":[[],[1,2],[\"b\",\"\",3]]}", read_item, &r));
+  cr_assert_not(bill_decode_batch("[]", collect_bill, &r));
+  cr_assert_not(bill_decode_batch("{\"budgets\":3}", collect_bill, &r));
+  cr_assert(bill_decode_batch("{\"budgets\":[[],[1,2],[\"b\",\"\",3]]}",
+                              collect_bill, &r));
   cr_assert_eq(r.n, 3);
 }
