--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -391,7 +391,7 @@
     g_string_append_printf(csv, "service,s%02d,,,\n", i);
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
   double h0 = slopes_heap(), t = slopes_ns();
-  Table *table = table_parse(csv->str, errors, NULL);
+  Table *table = table_read_csv(csv->str, errors, NULL);
   g_assert(table);
   slopes_out("table parse ns a row", n, (slopes_ns() - t) / n);
   slopes_out("table row bytes", n, (slopes_heap() - h0) / n);
@@ -404,9 +404,9 @@
   slopes_out("table part bytes", n, (double)bytes / 4);
   t = slopes_ns();
   Table *next = table_new();
-  for (guint i = 0; i < table->order->len; i++)
-    table_share(next, table->order->pdata[i]);
-  table_sort(next);
+  for (guint i = 0; i < table->sorted_rows->len; i++)
+    table_share_row(next, table->sorted_rows->pdata[i]);
+  table_sort_rows(next);
   slopes_out("table share ns a row", n, (slopes_ns() - t) / n);
   table_free(next);
   table_free(table);
--- a/bin/loftpath.c
+++ b/bin/loftpath.c
@@ -336,7 +336,7 @@
 static Table *read_table(const char *path, char **text) {
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
   char *csv = read_file(path);
-  Table *t = csv ? table_parse(csv, errors, NULL) : NULL;
+  Table *t = csv ? table_read_csv(csv, errors, NULL) : NULL;
   for (guint i = 0; i < errors->len; i++)
     fprintf(stderr, "%s: %s\n", path, (char *)errors->pdata[i]);
   g_ptr_array_free(errors, TRUE);
@@ -350,7 +350,7 @@
 static int cmd_check(const Args *a) {
   Table *t = read_table(a->file, NULL);
   if (!t) return EXIT_REFUSED;
-  printf("%s: %u rows, no fault found\n", a->file, t->order->len);
+  printf("%s: %u rows, no fault found\n", a->file, t->sorted_rows->len);
   table_free(t);
   return EXIT_FINE;
 }
@@ -372,11 +372,11 @@
     failed(a, &out);
     return -1;
   }
-  Table *now = table_parse(out.body->str, errors, NULL);
+  Table *now = table_read_csv(out.body->str, errors, NULL);
   if (!now) now = table_new();
   GPtrArray *changes = table_diff(now, mine);
   for (guint i = 0; i < changes->len; i++) {
-    char *line = table_change_text(changes->pdata[i]);
+    char *line = table_describe_change(changes->pdata[i]);
     printf("%s\n", line);
     g_free(line);
   }
--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -35,7 +35,7 @@
 }
 
 static void copy_csv(void *ctx, const Table *t) {
-  *(char **)ctx = table_csv(t);
+  *(char **)ctx = table_write_csv(t);
 }
 
 static struct MHD_Response *show(Entry *e, HttpReq *r, int *status) {
@@ -64,7 +64,7 @@
 static struct MHD_Response *apply(Entry *e, HttpReq *r, int *status) {
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
   uint64_t base;
-  Table *t = r->too_large ? NULL : table_parse(r->body->str, errors, &base);
+  Table *t = r->too_large ? NULL : table_read_csv(r->body->str, errors, &base);
   struct MHD_Response *m;
   if (!t) {
     m = bad_table(errors, status);
@@ -73,12 +73,12 @@
   }
   g_ptr_array_free(errors, TRUE);
   Err err = {0};
-  RolloutEdit edit = {.base = base};
+  RolloutEdit edit = {.base_version = base};
   const char *id = http_arg(r, "id"), *who = http_arg(r, "who");
   const char *on = http_arg(r, "base");
   g_strlcpy(edit.id, id ? id : "", sizeof edit.id);
-  g_strlcpy(edit.who, who ? who : "unknown", sizeof edit.who);
-  if (on) edit.base = strtoull(on, NULL, 10);
+  g_strlcpy(edit.author, who ? who : "unknown", sizeof edit.author);
+  if (on) edit.base_version = strtoull(on, NULL, 10);
   if (!edit.id[0]) {
     err_set(&err, ERR_MALFORMED, "the edit has no id");
     m = entry_error(&err, NULL, status);
@@ -87,7 +87,7 @@
     RolloutStore s = {store_get, store_put, p};
     uint64_t v = rollout_apply(&s, t, &edit, &err);
     platform_close(p);
-    log_info("apply", "s:s,s:s,s:I,s:s", "edit", edit.id, "who", edit.who,
+    log_info("apply", "s:s,s:s,s:I,s:s", "edit", edit.id, "who", edit.author,
              "version", (json_int_t)v, "error", v ? "" : err.text);
     m = v ? reply(json_pack("{s:I}", "version", (json_int_t)v), status)
           : entry_error(&err, NULL, status);
@@ -124,8 +124,8 @@
 
 static void collect(void *ctx, const Table *t) {
   Names *n = ctx;
-  for (guint i = 0; i < t->order->len; i++) {
-    const TableRow *r = t->order->pdata[i];
+  for (guint i = 0; i < t->sorted_rows->len; i++) {
+    const TableRow *r = t->sorted_rows->pdata[i];
     if (r->kind != TABLE_BUDGET) continue;
     n->shards[shard_index(r->name)] = true;
     g_ptr_array_add(n->names, g_strdup(r->name));
--- a/packages/entry/chat.c
+++ b/packages/entry/chat.c
@@ -426,8 +426,8 @@
 
 static void add_models(void *ctx, const Table *t) {
   json_t *list = ctx;
-  for (guint i = 0; i < t->order->len; i++) {
-    const TableRow *r = t->order->pdata[i];
+  for (guint i = 0; i < t->sorted_rows->len; i++) {
+    const TableRow *r = t->sorted_rows->pdata[i];
     if (r->kind != TABLE_SERVICE || !r->cells[TABLE_MODEL][0]) continue;
     json_array_append_new(list,
                           json_pack("{s:s,s:s,s:s}", "id", r->name, "object",
--- a/packages/entry/placer.c
+++ b/packages/entry/placer.c
@@ -178,13 +178,13 @@
 /* Services may share an adapter: the larger numbers count. */
 static void add_wants(void *ctx, const Table *t) {
   Look *l = ctx;
-  for (guint i = 0; i < t->order->len; i++) {
-    const TableRow *r = t->order->pdata[i];
+  for (guint i = 0; i < t->sorted_rows->len; i++) {
+    const TableRow *r = t->sorted_rows->pdata[i];
     bool ours = r->kind == TABLE_SERVICE && r->cells[TABLE_ADAPTER][0] &&
                 strcmp(r->cells[TABLE_MODEL], l->pool + strlen("model/")) == 0;
     if (!ours) continue;
-    PlaceWant w = {.least = (int)r->numbers[TABLE_LEAST],
-                   .most = (int)r->numbers[TABLE_MOST]};
+    PlaceWant w = {.least = (int)r->numbers[TABLE_MIN_TARGETS],
+                   .most = (int)r->numbers[TABLE_MAX_TARGETS]};
     g_strlcpy(w.adapter, r->cells[TABLE_ADAPTER], sizeof w.adapter);
     PlaceWant *have = find_want(l, w.adapter);
     if (!have) {
--- a/packages/entry/pool.c
+++ b/packages/entry/pool.c
@@ -219,8 +219,8 @@
 }
 
 static void add_pools(Pools *p, const Table *t) {
-  for (guint i = 0; i < t->order->len; i++) {
-    const TableRow *r = t->order->pdata[i];
+  for (guint i = 0; i < t->sorted_rows->len; i++) {
+    const TableRow *r = t->sorted_rows->pdata[i];
     char name[LIMIT_NAME + 8];
     if (r->kind != TABLE_TARGET) continue;
     pool_of_target(r, name, sizeof name);
@@ -235,14 +235,14 @@
 
 static void set_targets(Pool *p, const Table *t) {
   GArray *list = g_array_new(FALSE, TRUE, sizeof(RouteTarget));
-  for (guint i = 0; i < t->order->len; i++) {
-    const TableRow *r = t->order->pdata[i];
+  for (guint i = 0; i < t->sorted_rows->len; i++) {
+    const TableRow *r = t->sorted_rows->pdata[i];
     char name[LIMIT_NAME + 8];
     if (r->kind != TABLE_TARGET) continue;
     pool_of_target(r, name, sizeof name);
     if (strcmp(name, p->name) != 0) continue;
     RouteTarget x = {.slots = (int)r->numbers[TABLE_SLOTS],
-                     .loads = (int)r->numbers[TABLE_LOADS]};
+                     .loads = (int)r->numbers[TABLE_MAX_LOADED_ADAPTERS]};
     g_strlcpy(x.name, r->name, sizeof x.name);
     g_strlcpy(x.url, r->cells[TABLE_URL], sizeof x.url);
     g_strlcpy(x.dc, r->cells[TABLE_DATACENTRE], sizeof x.dc);
--- a/packages/entry/snapshot.c
+++ b/packages/entry/snapshot.c
@@ -20,10 +20,10 @@
   Snapshot *s = g_new0(Snapshot, 1);
   s->table = t;
   s->by_hash = g_hash_table_new(g_str_hash, g_str_equal);
-  for (guint i = 0; i < t->order->len; i++) {
-    TableRow *r = t->order->pdata[i];
+  for (guint i = 0; i < t->sorted_rows->len; i++) {
+    TableRow *r = t->sorted_rows->pdata[i];
     if (r->kind == TABLE_CUSTOMER)
-      g_hash_table_insert(s->by_hash, r->cells[TABLE_KEY], r);
+      g_hash_table_insert(s->by_hash, r->cells[TABLE_KEY_HASH], r);
   }
   return s;
 }
@@ -88,12 +88,12 @@
   rcu_read_lock();
   const Snapshot *now = rcu_dereference(s->now);
   const TableRow *r = g_hash_table_lookup(now->by_hash, hash);
-  bool ok = r && equal_hash(r->cells[TABLE_KEY], hash);
+  bool ok = r && equal_hash(r->cells[TABLE_KEY_HASH], hash);
   if (ok) {
     g_strlcpy(out->name, r->name, sizeof out->name);
     out->share = r->numbers[TABLE_SHARE];
-    out->running = r->numbers[TABLE_RUNNING];
-    out->rate = r->numbers[TABLE_RATE];
+    out->running = r->numbers[TABLE_MAX_RUNNING];
+    out->rate = r->numbers[TABLE_TOKENS_PER_MIN];
   }
   rcu_read_unlock();
   return ok;
@@ -103,22 +103,22 @@
   memset(out, 0, sizeof *out);
   rcu_read_lock();
   const Snapshot *now = rcu_dereference(s->now);
-  const TableRow *r = table_row(now->table, TABLE_SERVICE, name);
+  const TableRow *r = table_find_row(now->table, TABLE_SERVICE, name);
   if (r) {
     const char *model = r->cells[TABLE_MODEL];
     g_strlcpy(out->name, r->name, sizeof out->name);
     out->plain = !model[0];
     snprintf(out->pool, sizeof out->pool, "%s/%s",
              out->plain ? "service" : "model", out->plain ? r->name : model);
-    out->repeat = r->numbers[TABLE_REPEAT] != 0;
+    out->repeat = r->numbers[TABLE_REPEATABLE] != 0;
     out->priority = (int)r->numbers[TABLE_PRIORITY];
-    out->wait_s = (double)r->numbers[TABLE_WAIT] / 1000.0;
-    out->output = r->numbers[TABLE_OUTPUT];
-    out->cost = r->numbers[TABLE_COST];
+    out->wait_s = (double)r->numbers[TABLE_MAX_WAIT_MS] / 1000.0;
+    out->output = r->numbers[TABLE_MAX_OUTPUT_TOKENS];
+    out->cost = r->numbers[TABLE_COST_TOKENS];
     g_strlcpy(out->adapter, r->cells[TABLE_ADAPTER], sizeof out->adapter);
     g_strlcpy(out->version, r->cells[TABLE_VERSION], sizeof out->version);
     g_strlcpy(out->dcs, r->cells[TABLE_DATACENTRE], sizeof out->dcs);
-    out->running = r->numbers[TABLE_RUNNING];
+    out->running = r->numbers[TABLE_MAX_RUNNING];
   }
   rcu_read_unlock();
   return r != NULL;
@@ -130,10 +130,10 @@
   rcu_read_lock();
   const Table *t = rcu_dereference(s->now)->table;
   snprintf(name, sizeof name, "%s/%s", customer, service);
-  bool found = table_row(t, TABLE_BUDGET, name) != NULL;
+  bool found = table_find_row(t, TABLE_BUDGET, name) != NULL;
   if (!found) {
     snprintf(name, sizeof name, "%s/*", customer);
-    found = table_row(t, TABLE_BUDGET, name) != NULL;
+    found = table_find_row(t, TABLE_BUDGET, name) != NULL;
   }
   rcu_read_unlock();
   if (found) g_strlcpy(out, name, LIMIT_NAME);
--- a/packages/entry/watch.c
+++ b/packages/entry/watch.c
@@ -40,12 +40,12 @@
 
 static void give_budgets(Watch *w, const Table *t) {
   GArray *list = g_array_new(FALSE, TRUE, sizeof(LedgerBudget));
-  for (guint i = 0; i < t->order->len; i++) {
-    const TableRow *r = t->order->pdata[i];
+  for (guint i = 0; i < t->sorted_rows->len; i++) {
+    const TableRow *r = t->sorted_rows->pdata[i];
     if (r->kind != TABLE_BUDGET) continue;
-    LedgerBudget b = {.total = r->numbers[TABLE_TOKENS],
+    LedgerBudget b = {.total = r->numbers[TABLE_PREPAID_TOKENS],
                       .version = r->version,
-                      .reserve_s = (double)r->numbers[TABLE_RESERVE]};
+                      .reserve_s = (double)r->numbers[TABLE_RESERVE_S]};
     g_strlcpy(b.name, r->name, sizeof b.name);
     g_array_append_val(list, b);
   }
--- a/packages/table/merge.c
+++ b/packages/table/merge.c
@@ -1,4 +1,4 @@
-/* merge.c: difference of two tables, and three-way merge by cell. */
+/* merge.c: difference of two tables, and three-way merge cell by cell. */
 #include "table/table.h"
 
 #include <stdio.h>
@@ -23,29 +23,29 @@
 }
 
 static void diff_row(GPtrArray *out, const TableRow *a, const TableRow *b) {
-  for (int i = 0; i < TABLE_COLUMNS; i++)
+  for (int i = 0; i < TABLE_COLUMN_COUNT; i++)
     if (strcmp(a->cells[i], b->cells[i]) != 0)
       add_change(out, b, i, a->cells[i], b->cells[i]);
 }
 
 GPtrArray *table_diff(const Table *a, const Table *b) {
   GPtrArray *out = g_ptr_array_new_with_free_func(change_free);
-  for (guint i = 0; i < b->order->len; i++) {
-    const TableRow *r = b->order->pdata[i];
-    const TableRow *old = table_row(a, r->kind, r->name);
+  for (guint i = 0; i < b->sorted_rows->len; i++) {
+    const TableRow *r = b->sorted_rows->pdata[i];
+    const TableRow *old = table_find_row(a, r->kind, r->name);
     if (old)
       diff_row(out, old, r);
     else
       add_change(out, r, -1, "", "");
   }
-  for (guint i = 0; i < a->order->len; i++) {
-    const TableRow *r = a->order->pdata[i];
-    if (!table_row(b, r->kind, r->name)) add_change(out, r, -2, "", "");
+  for (guint i = 0; i < a->sorted_rows->len; i++) {
+    const TableRow *r = a->sorted_rows->pdata[i];
+    if (!table_find_row(b, r->kind, r->name)) add_change(out, r, -2, "", "");
   }
   return out;
 }
 
-char *table_change_text(const TableChange *c) {
+char *table_describe_change(const TableChange *c) {
   const char *kind = table_kind_name(c->kind);
   if (c->column == -1) return g_strdup_printf("+ %s %s", kind, c->name);
   if (c->column == -2) return g_strdup_printf("- %s %s", kind, c->name);
@@ -56,7 +56,7 @@
 
 /* == merge == */
 
-/* One cell of the edit meets head's; false on a conflict. */
+/* Merges one cell of the edit with the head's. Returns false on a conflict. */
 static bool merge_cell(const TableRow *base, const TableRow *mine,
                        const TableRow *head, int c, const char **out) {
   const char *b = base ? base->cells[c] : "";
@@ -66,7 +66,7 @@
   return !edited || strcmp(h, b) == 0 || strcmp(h, mine->cells[c]) == 0;
 }
 
-static char *clash(const TableRow *r, const char *column) {
+static char *describe_conflict(const TableRow *r, const char *column) {
   return g_strdup_printf("%s %s, column %s", table_kind_name(r->kind), r->name,
                          column);
 }
@@ -76,19 +76,19 @@
                       uint64_t *conflict_version) {
   TableRow r = *mine;
   bool changed = !head;
-  if (base && !head) { /* edited here, removed there */
+  if (base && !head) { /* edited by this edit, removed in head */
     bool edited = false;
-    for (int i = 0; i < TABLE_COLUMNS; i++)
+    for (int i = 0; i < TABLE_COLUMN_COUNT; i++)
       edited = edited || strcmp(base->cells[i], mine->cells[i]) != 0;
     if (!edited) return true;
-    *conflict = clash(mine, "all (the row was removed)");
+    *conflict = describe_conflict(mine, "all (the row was removed)");
     *conflict_version = 0;
     return false;
   }
-  for (int i = 0; head && i < TABLE_COLUMNS; i++) {
+  for (int i = 0; head && i < TABLE_COLUMN_COUNT; i++) {
     const char *cell;
     if (!merge_cell(base, mine, head, i, &cell)) {
-      *conflict = clash(mine, table_column_name((TableColumn)i));
+      *conflict = describe_conflict(mine, table_column_name((TableColumn)i));
       *conflict_version = head->version;
       return false;
     }
@@ -96,16 +96,16 @@
     r.cells[i] = (char *)cell;
   }
   if (!changed) {
-    table_share(out, head);
+    table_share_row(out, head);
     return true;
   }
   r.version = version;
-  table_put(out, &r);
+  table_put_row(out, &r);
   return true;
 }
 
-static bool same_row(const TableRow *a, const TableRow *b) {
-  for (int i = 0; i < TABLE_COLUMNS; i++)
+static bool is_same_row(const TableRow *a, const TableRow *b) {
+  for (int i = 0; i < TABLE_COLUMN_COUNT; i++)
     if (strcmp(a->cells[i], b->cells[i]) != 0) return false;
   return true;
 }
@@ -116,25 +116,25 @@
   Table *out = table_new();
   out->version = version;
   bool ok = true;
-  for (guint i = 0; ok && i < mine->order->len; i++) {
-    const TableRow *m = mine->order->pdata[i];
-    ok = merge_row(out, table_row(base, m->kind, m->name), m,
-                   table_row(head, m->kind, m->name), version, conflict,
+  for (guint i = 0; ok && i < mine->sorted_rows->len; i++) {
+    const TableRow *m = mine->sorted_rows->pdata[i];
+    ok = merge_row(out, table_find_row(base, m->kind, m->name), m,
+                   table_find_row(head, m->kind, m->name), version, conflict,
                    conflict_version);
   }
-  for (guint i = 0; ok && i < head->order->len; i++) {
-    const TableRow *h = head->order->pdata[i];
-    if (table_row(mine, h->kind, h->name)) continue;
-    const TableRow *b = table_row(base, h->kind, h->name);
-    if (!b) { /* came there meanwhile */
-      table_share(out, h);
-    } else if (!same_row(b, h)) { /* removed here, edited there */
-      *conflict = clash(h, "all (this edit removes the row)");
+  for (guint i = 0; ok && i < head->sorted_rows->len; i++) {
+    const TableRow *h = head->sorted_rows->pdata[i];
+    if (table_find_row(mine, h->kind, h->name)) continue;
+    const TableRow *b = table_find_row(base, h->kind, h->name);
+    if (!b) { /* added to head since base */
+      table_share_row(out, h);
+    } else if (!is_same_row(b, h)) { /* removed by this edit, edited in head */
+      *conflict = describe_conflict(h, "all (this edit removes the row)");
       *conflict_version = h->version;
       ok = false;
     }
   }
-  table_sort(out);
+  table_sort_rows(out);
   if (ok) return out;
   table_free(out);
   return NULL;
--- a/packages/table/rollout.c
+++ b/packages/table/rollout.c
@@ -1,4 +1,4 @@
-/* rollout.c: load, apply, history. */
+/* rollout.c: loading the table, applying edits, and the history. */
 #include "table/rollout.h"
 
 #include <jansson.h>
@@ -8,17 +8,18 @@
 #include <time.h>
 #include <xxhash.h>
 
-#define KEPT 64  /* edits remembered; an edit on an older base is refused */
-#define TRIES 20 /* lost races and lost answers in one apply */
+#define HISTORY_MAX_EDITS                                                      \
+  64                 /* edits remembered; an edit on an older base is refused */
+#define MAX_TRIES 20 /* lost races and lost answers in one apply */
 
 /* == head == */
 
-/* The head: version, the names of the parts, and a history whose entries keep
-   the names that their edit replaced, so that a recent version can be had
-   again. */
-static json_t *empty_head(void) {
+/* The head has the version, the names of the parts, and a history. Each history
+   entry keeps the part names that its edit replaced, so that recent versions
+   can be reconstructed. */
+static json_t *new_head(void) {
   json_t *parts = json_array();
-  for (int i = 0; i < TABLE_PARTS; i++)
+  for (int i = 0; i < TABLE_PART_COUNT; i++)
     json_array_append_new(parts, json_string(""));
   return json_pack("{s:i,s:o,s:[]}", "version", 0, "parts", parts, "history");
 }
@@ -30,7 +31,7 @@
 static json_t *read_head(const RolloutStore *s, uint64_t *version, Err *e) {
   PlatformAnswer a = s->get(s->ctx, ROLLOUT_HEAD);
   *version = 0;
-  if (a.kind == ERR_STORE_ABSENT) return empty_head();
+  if (a.kind == ERR_STORE_ABSENT) return new_head();
   if (a.kind != ERR_NONE) {
     err_retry(e, a.kind, 1000, "the platform's store did not give the table");
     return NULL;
@@ -43,7 +44,7 @@
   return head;
 }
 
-static json_t *history_entry(json_t *head, uint64_t version) {
+static json_t *find_history_entry(json_t *head, uint64_t version) {
   size_t i;
   json_t *o;
   json_array_foreach(json_object_get(head, "history"), i, o) {
@@ -53,7 +54,7 @@
   return NULL;
 }
 
-static json_t *entry_of_edit(json_t *head, const char *id) {
+static json_t *find_history_entry_of_edit(json_t *head, const char *id) {
   size_t i;
   json_t *o;
   json_array_foreach(json_object_get(head, "history"), i, o) {
@@ -65,8 +66,8 @@
 
 /* == parts == */
 
-/* Names of the parts as they were in `version`; NULL when it is too old. */
-static json_t *parts_of(json_t *head, uint64_t version) {
+/* Returns the names of the parts in `version`, or NULL if it is too old. */
+static json_t *parts_at_version(json_t *head, uint64_t version) {
   json_t *parts = json_copy(json_object_get(head, "parts"));
   json_t *history = json_object_get(head, "history"), *old;
   const char *index;
@@ -96,41 +97,43 @@
                    "table part %s can't be read", name);
 }
 
-/* Rows of `have` whose parts are the same are shared, the rest is read. */
+/* Shares the rows of `cached` in parts that are unchanged; reads the others. */
 static Table *load_parts(const RolloutStore *s, json_t *parts, uint64_t version,
-                         const Table *have, Err *e) {
+                         const Table *cached, Err *e) {
   Table *t = table_new();
   bool ok = true;
   t->version = version;
-  for (int i = 0; i < TABLE_PARTS; i++)
-    t->parts[i] = g_strdup(part_name(parts, i));
-  for (guint i = 0; have && i < have->order->len; i++) {
-    const TableRow *r = have->order->pdata[i];
-    int p = table_part(r);
-    if (g_strcmp0(have->parts[p], t->parts[p]) == 0) table_share(t, r);
+  for (int i = 0; i < TABLE_PART_COUNT; i++)
+    t->part_names[i] = g_strdup(part_name(parts, i));
+  for (guint i = 0; cached && i < cached->sorted_rows->len; i++) {
+    const TableRow *r = cached->sorted_rows->pdata[i];
+    int p = table_part_index(r);
+    if (g_strcmp0(cached->part_names[p], t->part_names[p]) == 0)
+      table_share_row(t, r);
   }
-  for (int i = 0; ok && i < TABLE_PARTS; i++) {
-    bool kept = have && g_strcmp0(have->parts[i], t->parts[i]) == 0;
-    if (t->parts[i][0] && !kept) ok = read_part(s, t, t->parts[i], e);
+  for (int i = 0; ok && i < TABLE_PART_COUNT; i++) {
+    bool kept =
+        cached && g_strcmp0(cached->part_names[i], t->part_names[i]) == 0;
+    if (t->part_names[i][0] && !kept) ok = read_part(s, t, t->part_names[i], e);
   }
-  table_sort(t);
+  table_sort_rows(t);
   if (ok) return t;
   table_free(t);
   return NULL;
 }
 
-/* The table of a version that the head knows; version 0 is empty. */
+/* Loads a version that the head's history reaches. Version 0 is empty. */
 static Table *load_version(const RolloutStore *s, json_t *head,
-                           uint64_t version, const Table *have, Err *e) {
+                           uint64_t version, const Table *cached, Err *e) {
   if (version == 0) return table_new();
-  json_t *parts = parts_of(head, version);
+  json_t *parts = parts_at_version(head, version);
   if (!parts) {
     err_set(e, ERR_TABLE_RACE,
             "version %llu is too old to merge with: only the last %d are kept",
-            (unsigned long long)version, KEPT);
+            (unsigned long long)version, HISTORY_MAX_EDITS);
     return NULL;
   }
-  Table *t = load_parts(s, parts, version, have, e);
+  Table *t = load_parts(s, parts, version, cached, e);
   json_decref(parts);
   return t;
 }
@@ -138,21 +141,21 @@
 static bool write_part(const RolloutStore *s, const char *name,
                        const char *text, Err *e) {
   PlatformAnswer a = {.kind = ERR_STORE_UNKNOWN};
-  for (int n = 0; n < TRIES && a.kind == ERR_STORE_UNKNOWN; n++) {
+  for (int n = 0; n < MAX_TRIES && a.kind == ERR_STORE_UNKNOWN; n++) {
     a = s->put(s->ctx, name, 0, text);
     g_free(a.text);
   }
-  /* Content is named by its hash: a part that exists is the part. */
+  /* Parts are named by the hash of their content: one that exists is equal. */
   if (a.kind == ERR_NONE || a.kind == ERR_STORE_CONFLICT) return true;
   return err_retry(e, a.kind, 1000, "the store did not take the table");
 }
 
-/* Writes the parts that differ from the head's; the names of all. */
+/* Writes the parts that differ from the head's. Returns the names of all. */
 static json_t *write_parts(const RolloutStore *s, json_t *head, const Table *t,
                            Err *e) {
   json_t *before = json_object_get(head, "parts"), *parts = json_array();
   bool ok = true;
-  for (int i = 0; ok && i < TABLE_PARTS; i++) {
+  for (int i = 0; ok && i < TABLE_PART_COUNT; i++) {
     char *text = table_encode_part(t, i);
     char name[LIMIT_NAME] = "";
     if (strcmp(text, "[]") != 0) {
@@ -172,51 +175,53 @@
 
 /* == load == */
 
-Table *rollout_load(const RolloutStore *s, const Table *have, bool *same,
+Table *rollout_load(const RolloutStore *s, const Table *cached, bool *unchanged,
                     Err *e) {
   uint64_t version;
   json_t *head = read_head(s, &version, e);
-  *same = false;
+  *unchanged = false;
   if (!head) return NULL;
   uint64_t v = head_version(head);
   Table *t = NULL;
-  if (have && have->version > 0 && v <= have->version)
-    *same = true; /* also a stale read: never step back */
+  if (cached && cached->version > 0 && v <= cached->version)
+    *unchanged =
+        true; /* this covers stale reads: the version never decreases */
   else
-    t = load_version(s, head, v, have, e);
+    t = load_version(s, head, v, cached, e);
   json_decref(head);
   return t;
 }
 
 /* == apply == */
 
-static bool refuse_clash(json_t *head, const char *what, uint64_t version,
-                         Err *e) {
-  json_t *other = history_entry(head, version);
+static bool set_conflict_error(json_t *head, const char *what, uint64_t version,
+                               Err *e) {
+  json_t *other = find_history_entry(head, version);
   const char *who = json_string_value(json_object_get(other, "who"));
   return err_set(e, ERR_TABLE_RACE,
                  "%s was changed meanwhile, in version %llu by %s", what,
                  (unsigned long long)version, who ? who : "an older edit");
 }
 
-/* The table that the edit makes of this head; NULL on a conflict. */
-static Table *merged(const RolloutStore *s, json_t *head, const Table *mine,
-                     const RolloutEdit *edit, Err *e) {
-  uint64_t now = head_version(head), clash_version = 0;
-  uint64_t base_version = edit->base == UINT64_MAX ? now : edit->base;
-  if (base_version > now) {
+/* Returns the table that results from the edit, or NULL on a conflict. */
+static Table *merge_edit(const RolloutStore *s, json_t *head, const Table *mine,
+                         const RolloutEdit *edit, Err *e) {
+  uint64_t now = head_version(head), conflict_version = 0;
+  uint64_t from_version =
+      edit->base_version == UINT64_MAX ? now : edit->base_version;
+  if (from_version > now) {
     err_set(e, ERR_TABLE_RACE, "the fleet has version %llu, not yet %llu",
-            (unsigned long long)now, (unsigned long long)base_version);
+            (unsigned long long)now, (unsigned long long)from_version);
     return NULL;
   }
   Table *present = load_version(s, head, now, NULL, e);
   Table *base =
-      present ? load_version(s, head, base_version, present, e) : NULL;
+      present ? load_version(s, head, from_version, present, e) : NULL;
   Table *t = NULL;
   char *what = NULL;
   if (base)
-    t = table_merge(base, mine, present, now + 1, &what, &clash_version);
-  if (base && !t) refuse_clash(head, what, clash_version, e);
+    t = table_merge(base, mine, present, now + 1, &what, &conflict_version);
+  if (base && !t) set_conflict_error(head, what, conflict_version, e);
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
   if (t && !table_check(t, errors)) {
     err_set(e, ERR_TABLE, "with the edits made meanwhile: %s",
@@ -231,11 +236,12 @@
   return t;
 }
 
-static void add_history(json_t *head, const RolloutEdit *edit, json_t *parts) {
+static void add_history_entry(json_t *head, const RolloutEdit *edit,
+                              json_t *parts) {
   json_t *history = json_object_get(head, "history"), *was = json_object();
   json_t *before = json_object_get(head, "parts");
   uint64_t v = head_version(head) + 1;
-  for (int i = 0; i < TABLE_PARTS; i++) {
+  for (int i = 0; i < TABLE_PART_COUNT; i++) {
     char index[8];
     if (strcmp(part_name(before, i), part_name(parts, i)) == 0) continue;
     snprintf(index, sizeof index, "%d", i);
@@ -245,35 +251,37 @@
   json_object_set_new(head, "parts", parts);
   json_array_append_new(history, json_pack("{s:I,s:s,s:s,s:I,s:o}", "version",
                                            (json_int_t)v, "id", edit->id, "who",
-                                           edit->who, "t",
+                                           edit->author, "t",
                                            (json_int_t)time(NULL), "was", was));
-  while (json_array_size(history) > KEPT) json_array_remove(history, 0);
+  while (json_array_size(history) > HISTORY_MAX_EDITS)
+    json_array_remove(history, 0);
 }
 
 uint64_t rollout_apply(const RolloutStore *s, const Table *mine,
                        const RolloutEdit *edit, Err *e) {
   RolloutEdit fixed = *edit;
-  for (int n = 0; n < TRIES; n++) {
+  for (int n = 0; n < MAX_TRIES; n++) {
     uint64_t version;
     json_t *head = read_head(s, &version, e);
-    if (!head) continue; /* ask again: the store may be back */
-    json_t *mine_already = entry_of_edit(head, edit->id);
-    if (mine_already) { /* an answer was lost after the effect */
-      uint64_t v = (uint64_t)json_integer_value(
-          json_object_get(mine_already, "version"));
+    if (!head) continue; /* retry: the store may have recovered */
+    json_t *applied = find_history_entry_of_edit(head, edit->id);
+    if (applied) { /* an earlier write succeeded, but its reply was lost */
+      uint64_t v =
+          (uint64_t)json_integer_value(json_object_get(applied, "version"));
       json_decref(head);
       return v;
     }
-    /* A retry merges onto the same base, not onto a newer one. */
-    if (fixed.base == UINT64_MAX) fixed.base = head_version(head);
-    Table *t = merged(s, head, mine, &fixed, e);
+    /* A retry merges from the same base version, not from a newer one. */
+    if (fixed.base_version == UINT64_MAX)
+      fixed.base_version = head_version(head);
+    Table *t = merge_edit(s, head, mine, &fixed, e);
     json_t *parts = t ? write_parts(s, head, t, e) : NULL;
     table_free(t);
     if (!parts) {
       json_decref(head);
       return 0;
     }
-    add_history(head, edit, parts);
+    add_history_entry(head, edit, parts);
     uint64_t v = head_version(head);
     char *text = json_dumps(head, JSON_COMPACT);
     PlatformAnswer a = s->put(s->ctx, ROLLOUT_HEAD, version, text);
--- a/packages/table/rollout.h
+++ b/packages/table/rollout.h
@@ -1,6 +1,7 @@
-/* rollout.h: the table in the platform's store: content parts first, then one
-   conditional update of the head, so that many rows change at once or not at
-   all. The history in the head makes a lost answer harmless. */
+/* rollout.h: loading and changing the table in the platform's store. An edit
+   writes the changed parts first and then the head with one conditional update,
+   so that many rows change atomically. The history in the head shows whether an
+   edit whose reply was lost was applied. */
 #ifndef TABLE_ROLLOUT_H
 #define TABLE_ROLLOUT_H
 
@@ -11,12 +12,13 @@
 #define ROLLOUT_HEAD "table/head"
 
 typedef struct RolloutEdit {
-  char id[40];   /* names this edit; the same id is never applied twice */
-  char who[64];  /* for the history */
-  uint64_t base; /* version it was made on; UINT64_MAX: the present one */
+  char id[40];     /* identifies the edit; the same id is applied once only */
+  char author[64]; /* recorded in the history */
+  uint64_t
+      base_version; /* version that it changes; UINT64_MAX: the current one */
 } RolloutEdit;
 
-/* The store as rollout needs it, so that tests can lose answers. */
+/* Store calls, replaceable so that tests can lose replies. */
 typedef struct RolloutStore {
   PlatformAnswer (*get)(void *ctx, const char *name);
   PlatformAnswer (*put)(void *ctx, const char *name, uint64_t version,
@@ -24,15 +26,16 @@
   void *ctx;
 } RolloutStore;
 
-/* The present table, of version 0 and empty when there is none yet. What it has
-   in common with `have` (may be NULL) is not read again. When it is not newer
-   than `have`, *same is true and NULL returned. */
-Table *rollout_load(const RolloutStore *s, const Table *have, bool *same,
+/* Loads the current table; if there is none, the table is empty and has version
+   0. Parts that `cached` (may be NULL) already has are not read again. If the
+   stored table is not newer than `cached`, returns NULL and sets *unchanged. */
+Table *rollout_load(const RolloutStore *s, const Table *cached, bool *unchanged,
                     Err *e);
-/* Merges the edit and returns the version it is in, 0 on failure. */
+/* Merges `mine` into the stored table. Returns the version that contains the
+   edit, or 0 on failure. */
 uint64_t rollout_apply(const RolloutStore *s, const Table *mine,
                        const RolloutEdit *edit, Err *e);
-/* JSON array of the history, newest last; g_free. */
+/* Returns the history as a JSON array, newest last. Free with g_free. */
 char *rollout_history(const RolloutStore *s, Err *e);
 
 #endif
--- a/packages/table/table.c
+++ b/packages/table/table.c
@@ -9,45 +9,59 @@
 #include <string.h>
 #include <xxhash.h>
 
-static const char *const kinds[TABLE_KINDS] = {"customer", "service", "target",
-                                               "budget"};
+static const char *const kinds[TABLE_KIND_COUNT] = {"customer", "service",
+                                                    "target", "budget"};
 
 typedef enum { TEXT, NUMBER, YES_NO, HASH, ADDRESS } CellType;
 
-#define IN(k) (1 << (k))
+#define KIND_BIT(k) (1 << (k))
 
 static const struct {
   const char *name;
   CellType type;
-  int kinds; /* which kinds may fill it */
-  int64_t fallback, min, max;
-} columns[TABLE_COLUMNS] = {
-    [TABLE_KEY] = {"key", HASH, IN(TABLE_CUSTOMER), 0, 0, 0},
-    [TABLE_SHARE] = {"share", NUMBER, IN(TABLE_CUSTOMER), 100, 1, 1000000},
-    [TABLE_RUNNING] = {"running", NUMBER,
-                       IN(TABLE_CUSTOMER) | IN(TABLE_SERVICE), 0, 0, 1000000},
-    [TABLE_RATE] = {"rate", NUMBER, IN(TABLE_CUSTOMER), 0, 0, 1LL << 40},
-    [TABLE_MODEL] = {"model", TEXT, IN(TABLE_SERVICE) | IN(TABLE_TARGET), 0, 0,
-                     0},
-    [TABLE_PRIORITY] = {"priority", NUMBER, IN(TABLE_SERVICE), 5, 0, 9},
-    [TABLE_REPEAT] = {"repeat", YES_NO, IN(TABLE_SERVICE), 1, 0, 1},
-    [TABLE_WAIT] = {"wait", NUMBER, IN(TABLE_SERVICE), 10000, 0, 600000},
-    [TABLE_OUTPUT] = {"output", NUMBER, IN(TABLE_SERVICE), 1024, 1, 1000000},
-    [TABLE_COST] = {"cost", NUMBER, IN(TABLE_SERVICE), 0, 0, 1000000000},
-    [TABLE_SERVES] = {"serves", TEXT, IN(TABLE_TARGET), 0, 0, 0},
-    [TABLE_URL] = {"url", ADDRESS, IN(TABLE_TARGET), 0, 0, 0},
+  int kinds; /* KIND_BIT of each kind that may fill it */
+  int64_t default_value, min, max;
+} columns[TABLE_COLUMN_COUNT] = {
+    [TABLE_KEY_HASH] = {"key", HASH, KIND_BIT(TABLE_CUSTOMER), 0, 0, 0},
+    [TABLE_SHARE] = {"share", NUMBER, KIND_BIT(TABLE_CUSTOMER), 100, 1,
+                     1000000},
+    [TABLE_MAX_RUNNING] = {"running", NUMBER,
+                           KIND_BIT(TABLE_CUSTOMER) | KIND_BIT(TABLE_SERVICE),
+                           0, 0, 1000000},
+    [TABLE_TOKENS_PER_MIN] = {"rate", NUMBER, KIND_BIT(TABLE_CUSTOMER), 0, 0,
+                              1LL << 40},
+    [TABLE_MODEL] = {"model", TEXT,
+                     KIND_BIT(TABLE_SERVICE) | KIND_BIT(TABLE_TARGET), 0, 0, 0},
+    [TABLE_PRIORITY] = {"priority", NUMBER, KIND_BIT(TABLE_SERVICE), 5, 0, 9},
+    [TABLE_REPEATABLE] = {"repeat", YES_NO, KIND_BIT(TABLE_SERVICE), 1, 0, 1},
+    [TABLE_MAX_WAIT_MS] = {"wait", NUMBER, KIND_BIT(TABLE_SERVICE), 10000, 0,
+                           600000},
+    [TABLE_MAX_OUTPUT_TOKENS] = {"output", NUMBER, KIND_BIT(TABLE_SERVICE),
+                                 1024, 1, 1000000},
+    [TABLE_COST_TOKENS] = {"cost", NUMBER, KIND_BIT(TABLE_SERVICE), 0, 0,
+                           1000000000},
+    [TABLE_SERVES] = {"serves", TEXT, KIND_BIT(TABLE_TARGET), 0, 0, 0},
+    [TABLE_URL] = {"url", ADDRESS, KIND_BIT(TABLE_TARGET), 0, 0, 0},
     [TABLE_DATACENTRE] = {"datacentre", TEXT,
-                          IN(TABLE_SERVICE) | IN(TABLE_TARGET), 0, 0, 0},
-    [TABLE_ADAPTER] = {"adapter", TEXT, IN(TABLE_SERVICE) | IN(TABLE_TARGET), 0,
-                       0, 0},
-    [TABLE_VERSION] = {"version", TEXT, IN(TABLE_SERVICE) | IN(TABLE_TARGET), 0,
-                       0, 0},
-    [TABLE_SLOTS] = {"slots", NUMBER, IN(TABLE_TARGET), 8, 1, 100000},
-    [TABLE_TOKENS] = {"tokens", NUMBER, IN(TABLE_BUDGET), 0, 0, 1LL << 60},
-    [TABLE_RESERVE] = {"reserve", NUMBER, IN(TABLE_BUDGET), 600, 0, 1000000},
-    [TABLE_LOADS] = {"loads", NUMBER, IN(TABLE_TARGET), 0, 0, 16},
-    [TABLE_LEAST] = {"least", NUMBER, IN(TABLE_SERVICE), 1, 0, 100000},
-    [TABLE_MOST] = {"most", NUMBER, IN(TABLE_SERVICE), 0, 0, 100000},
+                          KIND_BIT(TABLE_SERVICE) | KIND_BIT(TABLE_TARGET), 0,
+                          0, 0},
+    [TABLE_ADAPTER] = {"adapter", TEXT,
+                       KIND_BIT(TABLE_SERVICE) | KIND_BIT(TABLE_TARGET), 0, 0,
+                       0},
+    [TABLE_VERSION] = {"version", TEXT,
+                       KIND_BIT(TABLE_SERVICE) | KIND_BIT(TABLE_TARGET), 0, 0,
+                       0},
+    [TABLE_SLOTS] = {"slots", NUMBER, KIND_BIT(TABLE_TARGET), 8, 1, 100000},
+    [TABLE_PREPAID_TOKENS] = {"tokens", NUMBER, KIND_BIT(TABLE_BUDGET), 0, 0,
+                              1LL << 60},
+    [TABLE_RESERVE_S] = {"reserve", NUMBER, KIND_BIT(TABLE_BUDGET), 600, 0,
+                         1000000},
+    [TABLE_MAX_LOADED_ADAPTERS] = {"loads", NUMBER, KIND_BIT(TABLE_TARGET), 0,
+                                   0, 16},
+    [TABLE_MIN_TARGETS] = {"least", NUMBER, KIND_BIT(TABLE_SERVICE), 1, 0,
+                           100000},
+    [TABLE_MAX_TARGETS] = {"most", NUMBER, KIND_BIT(TABLE_SERVICE), 0, 0,
+                           100000},
 };
 
 const char *table_kind_name(TableKind kind) {
@@ -60,17 +74,17 @@
 
 /* == memory == */
 
-/* Most cells are empty, so all of these are one. */
-static char empty[] = "";
+/* Most cells are empty, so all of them share this string. */
+static char empty_cell[] = "";
 
-static char *cell_new(const char *s) {
-  return s && s[0] ? g_strdup(s) : empty;
+static char *new_cell(const char *s) {
+  return s && s[0] ? g_strdup(s) : empty_cell;
 }
 
 static void row_clear(gpointer p) {
   TableRow *r = p;
-  for (int i = 0; i < TABLE_COLUMNS; i++)
-    if (r->cells[i] != empty) g_free(r->cells[i]);
+  for (int i = 0; i < TABLE_COLUMN_COUNT; i++)
+    if (r->cells[i] != empty_cell) g_free(r->cells[i]);
 }
 
 static void row_free(gpointer p) {
@@ -80,15 +94,15 @@
 Table *table_new(void) {
   Table *t = g_new0(Table, 1);
   t->rows = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, row_free);
-  t->order = g_ptr_array_new();
+  t->sorted_rows = g_ptr_array_new();
   return t;
 }
 
 void table_free(Table *t) {
   if (!t) return;
   g_hash_table_destroy(t->rows);
-  g_ptr_array_free(t->order, TRUE);
-  for (int i = 0; i < TABLE_PARTS; i++) g_free(t->parts[i]);
+  g_ptr_array_free(t->sorted_rows, TRUE);
+  for (int i = 0; i < TABLE_PART_COUNT; i++) g_free(t->part_names[i]);
   g_free(t);
 }
 
@@ -96,63 +110,66 @@
   return g_strdup_printf("%s/%s", kinds[kind], name);
 }
 
-const TableRow *table_row(const Table *t, TableKind kind, const char *name) {
+const TableRow *table_find_row(const Table *t, TableKind kind,
+                               const char *name) {
   char key[LIMIT_NAME + 16];
   snprintf(key, sizeof key, "%s/%s", kinds[kind], name);
   return g_hash_table_lookup(t->rows, key);
 }
 
 static void fill_numbers(TableRow *r) {
-  for (int i = 0; i < TABLE_COLUMNS; i++) {
+  for (int i = 0; i < TABLE_COLUMN_COUNT; i++) {
     const char *s = r->cells[i];
     if (columns[i].type == YES_NO)
-      r->numbers[i] = s[0] ? strcmp(s, "yes") == 0 : columns[i].fallback;
+      r->numbers[i] = s[0] ? strcmp(s, "yes") == 0 : columns[i].default_value;
     else if (columns[i].type == NUMBER)
-      r->numbers[i] = s[0] ? strtoll(s, NULL, 10) : columns[i].fallback;
+      r->numbers[i] = s[0] ? strtoll(s, NULL, 10) : columns[i].default_value;
   }
 }
 
-void table_put(Table *t, const TableRow *row) {
+void table_put_row(Table *t, const TableRow *row) {
   TableRow *r = g_atomic_rc_box_new0(TableRow);
   *r = *row;
-  for (int i = 0; i < TABLE_COLUMNS; i++) r->cells[i] = cell_new(row->cells[i]);
+  for (int i = 0; i < TABLE_COLUMN_COUNT; i++)
+    r->cells[i] = new_cell(row->cells[i]);
   fill_numbers(r);
   g_hash_table_replace(t->rows, row_key(r->kind, r->name), r);
 }
 
-void table_share(Table *t, const TableRow *row) {
-  TableRow *r = (TableRow *)row; /* rows are never written to once in a table */
+void table_share_row(Table *t, const TableRow *row) {
+  TableRow *r = (TableRow *)row; /* rows in a table are immutable */
   g_atomic_rc_box_acquire(r);
   g_hash_table_replace(t->rows, row_key(r->kind, r->name), r);
 }
 
-void table_remove(Table *t, TableKind kind, const char *name) {
+void table_remove_row(Table *t, TableKind kind, const char *name) {
   char *key = row_key(kind, name);
   g_hash_table_remove(t->rows, key);
   g_free(key);
 }
 
-static gint by_name(gconstpointer a, gconstpointer b) {
+static gint compare_rows(gconstpointer a, gconstpointer b) {
   const TableRow *x = *(TableRow *const *)a, *y = *(TableRow *const *)b;
   if (x->kind != y->kind) return (int)x->kind - (int)y->kind;
   return strcmp(x->name, y->name);
 }
 
-void table_sort(Table *t) {
+void table_sort_rows(Table *t) {
   GHashTableIter it;
   gpointer v;
-  g_ptr_array_set_size(t->order, 0);
+  g_ptr_array_set_size(t->sorted_rows, 0);
   g_hash_table_iter_init(&it, t->rows);
-  while (g_hash_table_iter_next(&it, NULL, &v)) g_ptr_array_add(t->order, v);
-  g_ptr_array_sort(t->order, by_name);
+  while (g_hash_table_iter_next(&it, NULL, &v))
+    g_ptr_array_add(t->sorted_rows, v);
+  g_ptr_array_sort(t->sorted_rows, compare_rows);
 }
 
 /* == checks == */
 
-static void complain(GPtrArray *errors, const char *fmt, ...)
+static void add_error(GPtrArray *errors, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
-static void complain(GPtrArray *errors, const char *fmt, ...) {
+static void add_error(GPtrArray *errors, const char *fmt, ...) {
   va_list ap;
   va_start(ap, fmt);
   g_ptr_array_add(errors, g_strdup_vprintf(fmt, ap));
@@ -177,39 +194,39 @@
   errno = 0;
   long long n = strtoll(s, &end, 10);
   if (errno || *end || n < columns[col].min || n > columns[col].max)
-    complain(errors,
-             "%s, column %s: '%s' is not a whole number from %lld to "
-             "%lld: write one",
-             where, columns[col].name, s, (long long)columns[col].min,
-             (long long)columns[col].max);
+    add_error(errors,
+              "%s, column %s: '%s' is not a whole number from %lld to "
+              "%lld: write one",
+              where, columns[col].name, s, (long long)columns[col].min,
+              (long long)columns[col].max);
 }
 
 static void check_cell(const char *where, const TableRow *r, int col,
                        GPtrArray *errors) {
   const char *s = r->cells[col], *name = columns[col].name;
   if (!s[0]) return;
-  if (!(columns[col].kinds & IN(r->kind))) {
-    complain(errors, "%s, column %s: a %s row has no %s: leave the cell empty",
-             where, name, kinds[r->kind], name);
+  if (!(columns[col].kinds & KIND_BIT(r->kind))) {
+    add_error(errors, "%s, column %s: a %s row has no %s: leave the cell empty",
+              where, name, kinds[r->kind], name);
     return;
   }
   switch (columns[col].type) {
   case NUMBER: check_number(where, col, s, errors); break;
   case YES_NO:
     if (strcmp(s, "yes") != 0 && strcmp(s, "no") != 0)
-      complain(errors, "%s, column %s: '%s': write yes or no", where, name, s);
+      add_error(errors, "%s, column %s: '%s': write yes or no", where, name, s);
     break;
   case HASH:
     if (!is_hash(s))
-      complain(errors,
-               "%s, column %s: not a SHA-256 in hex: make it with "
-               "loftpath hash",
-               where, name);
+      add_error(errors,
+                "%s, column %s: not a SHA-256 in hex: make it with "
+                "loftpath hash",
+                where, name);
     break;
   case ADDRESS:
     if (!is_address(s))
-      complain(errors, "%s, column %s: '%s' is not ip:port: write one", where,
-               name, s);
+      add_error(errors, "%s, column %s: '%s' is not ip:port: write one", where,
+                name, s);
     break;
   case TEXT: break;
   }
@@ -218,59 +235,59 @@
 static void check_target(const Table *t, const TableRow *r, GPtrArray *errors) {
   bool model = r->cells[TABLE_MODEL][0], serves = r->cells[TABLE_SERVES][0];
   if (model == serves)
-    complain(errors, "target %s: fill in either model or serves", r->name);
+    add_error(errors, "target %s: fill in either model or serves", r->name);
   if (!r->cells[TABLE_URL][0])
-    complain(errors, "target %s, column url: empty: write ip:port", r->name);
+    add_error(errors, "target %s, column url: empty: write ip:port", r->name);
   if (!r->cells[TABLE_DATACENTRE][0])
-    complain(errors,
-             "target %s, column datacentre: empty: write where it "
-             "stands",
-             r->name);
-  if (serves && !table_row(t, TABLE_SERVICE, r->cells[TABLE_SERVES]))
-    complain(errors,
-             "target %s, column serves: no service row '%s': add one "
-             "or correct the name",
-             r->name, r->cells[TABLE_SERVES]);
+    add_error(errors,
+              "target %s, column datacentre: empty: write where it "
+              "stands",
+              r->name);
+  if (serves && !table_find_row(t, TABLE_SERVICE, r->cells[TABLE_SERVES]))
+    add_error(errors,
+              "target %s, column serves: no service row '%s': add one "
+              "or correct the name",
+              r->name, r->cells[TABLE_SERVES]);
 }
 
 static void check_budget(const Table *t, const TableRow *r, GPtrArray *errors) {
   const char *slash = strchr(r->name, '/');
   if (!slash) {
-    complain(errors, "budget %s: name it customer/service or customer/*",
-             r->name);
+    add_error(errors, "budget %s: name it customer/service or customer/*",
+              r->name);
     return;
   }
   char *customer = g_strndup(r->name, (gsize)(slash - r->name));
-  if (!table_row(t, TABLE_CUSTOMER, customer))
-    complain(errors,
-             "budget %s: no customer row '%s': add one or correct the "
-             "name",
-             r->name, customer);
+  if (!table_find_row(t, TABLE_CUSTOMER, customer))
+    add_error(errors,
+              "budget %s: no customer row '%s': add one or correct the "
+              "name",
+              r->name, customer);
   bool any = strcmp(slash + 1, "*") == 0;
-  if (!any && !table_row(t, TABLE_SERVICE, slash + 1))
-    complain(errors,
-             "budget %s: no service row '%s': add one or correct the "
-             "name",
-             r->name, slash + 1);
-  if (!r->cells[TABLE_TOKENS][0])
-    complain(errors,
-             "budget %s, column tokens: empty: write the prepaid "
-             "tokens",
-             r->name);
+  if (!any && !table_find_row(t, TABLE_SERVICE, slash + 1))
+    add_error(errors,
+              "budget %s: no service row '%s': add one or correct the "
+              "name",
+              r->name, slash + 1);
+  if (!r->cells[TABLE_PREPAID_TOKENS][0])
+    add_error(errors,
+              "budget %s, column tokens: empty: write the prepaid "
+              "tokens",
+              r->name);
   g_free(customer);
 }
 
 bool table_check(const Table *t, GPtrArray *errors) {
   guint before = errors->len;
-  for (guint i = 0; i < t->order->len; i++) {
-    const TableRow *r = t->order->pdata[i];
+  for (guint i = 0; i < t->sorted_rows->len; i++) {
+    const TableRow *r = t->sorted_rows->pdata[i];
     if (r->kind == TABLE_TARGET) check_target(t, r, errors);
     if (r->kind == TABLE_BUDGET) check_budget(t, r, errors);
-    if (r->kind == TABLE_CUSTOMER && !r->cells[TABLE_KEY][0])
-      complain(errors,
-               "customer %s, column key: empty: make it with loftpath "
-               "hash",
-               r->name);
+    if (r->kind == TABLE_CUSTOMER && !r->cells[TABLE_KEY_HASH][0])
+      add_error(errors,
+                "customer %s, column key: empty: make it with loftpath "
+                "hash",
+                r->name);
   }
   return errors->len == before;
 }
@@ -291,10 +308,10 @@
   g_ptr_array_add(p->fields, g_strstrip(copy));
 }
 
-static int column_of(const char *name) {
+static int parse_column(const char *name) {
   if (strcmp(name, "kind") == 0) return -1;
   if (strcmp(name, "name") == 0) return -2;
-  for (int i = 0; i < TABLE_COLUMNS; i++)
+  for (int i = 0; i < TABLE_COLUMN_COUNT; i++)
     if (strcmp(columns[i].name, name) == 0) return i;
   return -3;
 }
@@ -304,21 +321,21 @@
   bool kind = false, name = false;
   for (int i = 0; i < p->n; i++) {
     const char *s = p->fields->pdata[i];
-    p->map[i] = column_of(s);
+    p->map[i] = parse_column(s);
     kind = kind || p->map[i] == -1;
     name = name || p->map[i] == -2;
     if (p->map[i] == -3)
-      complain(p->errors,
-               "row 1: no column is called '%s': see docs/TABLE.md "
-               "for the names",
-               s);
+      add_error(p->errors,
+                "row 1: no column is called '%s': see docs/TABLE.md "
+                "for the names",
+                s);
   }
   if (!kind || !name)
-    complain(p->errors, "row 1: the header must name kind and name");
+    add_error(p->errors, "row 1: the header must name kind and name");
 }
 
-static int kind_of(const char *s) {
-  for (int i = 0; i < TABLE_KINDS; i++)
+static int parse_kind(const char *s) {
+  for (int i = 0; i < TABLE_KIND_COUNT; i++)
     if (strcmp(kinds[i], s) == 0) return i;
   return -1;
 }
@@ -327,7 +344,7 @@
   TableRow r = {0};
   char where[96];
   const char *kind = "", *name = "";
-  for (int i = 0; i < TABLE_COLUMNS; i++) r.cells[i] = "";
+  for (int i = 0; i < TABLE_COLUMN_COUNT; i++) r.cells[i] = "";
   for (int i = 0; i < p->n && i < (int)p->fields->len; i++) {
     char *s = p->fields->pdata[i];
     if (p->map[i] == -1) kind = s;
@@ -336,30 +353,31 @@
   }
   snprintf(where, sizeof where, "row %d (%.60s)", p->row, name);
   if ((int)p->fields->len > p->n)
-    complain(p->errors,
-             "%s: more cells than the header has columns: remove "
-             "them",
-             where);
-  int k = kind_of(kind);
+    add_error(p->errors,
+              "%s: more cells than the header has columns: remove "
+              "them",
+              where);
+  int k = parse_kind(kind);
   if (k < 0) {
-    complain(p->errors,
-             "%s, column kind: '%s': write customer, service, "
-             "target or budget",
-             where, kind);
+    add_error(p->errors,
+              "%s, column kind: '%s': write customer, service, "
+              "target or budget",
+              where, kind);
     return;
   }
   if (!name[0] || strlen(name) >= LIMIT_NAME) {
-    complain(p->errors, "%s, column name: empty or over %d bytes", where,
-             LIMIT_NAME - 1);
+    add_error(p->errors, "%s, column name: empty or over %d bytes", where,
+              LIMIT_NAME - 1);
     return;
   }
   r.kind = (TableKind)k;
   g_strlcpy(r.name, name, sizeof r.name);
-  if (table_row(p->t, r.kind, r.name))
-    complain(p->errors, "%s: a second %s row of this name: remove one", where,
-             kind);
-  for (int i = 0; i < TABLE_COLUMNS; i++) check_cell(where, &r, i, p->errors);
-  table_put(p->t, &r);
+  if (table_find_row(p->t, r.kind, r.name))
+    add_error(p->errors, "%s: a second %s row of this name: remove one", where,
+              kind);
+  for (int i = 0; i < TABLE_COLUMN_COUNT; i++)
+    check_cell(where, &r, i, p->errors);
+  table_put_row(p->t, &r);
 }
 
 static void on_line(int c, void *ctx) {
@@ -378,32 +396,32 @@
   g_ptr_array_set_size(p->fields, 0);
 }
 
-static uint64_t base_of(const char *csv) {
+static uint64_t parse_base_version(const char *csv) {
   unsigned long long n;
   const char *at = strstr(csv, "# version ");
   if (at && sscanf(at, "# version %llu", &n) == 1) return n;
   return UINT64_MAX;
 }
 
-Table *table_parse(const char *csv, GPtrArray *errors, uint64_t *base) {
+Table *table_read_csv(const char *csv, GPtrArray *errors, uint64_t *base) {
   Parse p = {.t = table_new(), .errors = errors};
   guint before = errors->len;
   p.fields = g_ptr_array_new_with_free_func(g_free);
   struct csv_parser parser;
   csv_init(&parser, CSV_STRICT | CSV_STRICT_FINI | CSV_APPEND_NULL);
   size_t len = strlen(csv);
-  bool whole = csv_parse(&parser, csv, len, on_field, on_line, &p) == len &&
-               csv_fini(&parser, on_field, on_line, &p) == 0;
-  if (!whole)
-    complain(errors, "row %d: %s: check the quotes", p.line + 1,
-             csv_strerror(csv_error(&parser)));
+  bool parsed = csv_parse(&parser, csv, len, on_field, on_line, &p) == len &&
+                csv_fini(&parser, on_field, on_line, &p) == 0;
+  if (!parsed)
+    add_error(errors, "row %d: %s: check the quotes", p.line + 1,
+              csv_strerror(csv_error(&parser)));
   csv_free(&parser);
   g_ptr_array_free(p.fields, TRUE);
   if (p.n == 0 && errors->len == before)
-    complain(errors, "the file is empty: start with a header row");
-  table_sort(p.t);
+    add_error(errors, "the file is empty: start with a header row");
+  table_sort_rows(p.t);
   if (errors->len == before) table_check(p.t, errors);
-  if (base) *base = base_of(csv);
+  if (base) *base = parse_base_version(csv);
   if (errors->len == before) return p.t;
   table_free(p.t);
   return NULL;
@@ -421,18 +439,18 @@
   g_free(buf);
 }
 
-char *table_csv(const Table *t) {
+char *table_write_csv(const Table *t) {
   GString *out = g_string_new(NULL);
   g_string_append_printf(out, "# version %" G_GUINT64_FORMAT "\nkind,name",
                          t->version);
-  for (int i = 0; i < TABLE_COLUMNS; i++)
+  for (int i = 0; i < TABLE_COLUMN_COUNT; i++)
     g_string_append_printf(out, ",%s", columns[i].name);
   g_string_append_c(out, '\n');
-  for (guint i = 0; i < t->order->len; i++) {
-    const TableRow *r = t->order->pdata[i];
+  for (guint i = 0; i < t->sorted_rows->len; i++) {
+    const TableRow *r = t->sorted_rows->pdata[i];
     g_string_append_printf(out, "%s,", kinds[r->kind]);
     append_cell(out, r->name);
-    for (int c = 0; c < TABLE_COLUMNS; c++) {
+    for (int c = 0; c < TABLE_COLUMN_COUNT; c++) {
       g_string_append_c(out, ',');
       append_cell(out, r->cells[c]);
     }
@@ -443,19 +461,19 @@
 
 /* == JSON == */
 
-int table_part(const TableRow *r) {
+int table_part_index(const TableRow *r) {
   uint64_t h = XXH64(r->name, strlen(r->name), (XXH64_hash_t)r->kind);
-  return (int)(h % TABLE_PARTS);
+  return (int)(h % TABLE_PART_COUNT);
 }
 
 char *table_encode_part(const Table *t, int part) {
   json_t *all = json_array();
-  for (guint i = 0; i < t->order->len; i++) {
-    const TableRow *r = t->order->pdata[i];
-    if (table_part(r) != part) continue;
+  for (guint i = 0; i < t->sorted_rows->len; i++) {
+    const TableRow *r = t->sorted_rows->pdata[i];
+    if (table_part_index(r) != part) continue;
     json_t *o = json_pack("{s:s,s:s,s:I}", "kind", kinds[r->kind], "name",
                           r->name, "v", (json_int_t)r->version);
-    for (int c = 0; c < TABLE_COLUMNS; c++)
+    for (int c = 0; c < TABLE_COLUMN_COUNT; c++)
       if (r->cells[c][0])
         json_object_set_new(o, columns[c].name, json_string(r->cells[c]));
     json_array_append_new(all, o);
@@ -472,15 +490,15 @@
   json_int_t v;
   if (json_unpack(o, "{s:s,s:s,s:I}", "kind", &kind, "name", &name, "v", &v))
     return false;
-  int k = kind_of(kind);
-  if (k < 0) return true; /* a newer release's kind: not for us */
+  int k = parse_kind(kind);
+  if (k < 0) return true; /* a kind that a newer release has added */
   TableRow r = {.kind = (TableKind)k, .version = (uint64_t)v};
   g_strlcpy(r.name, name, sizeof r.name);
-  for (int c = 0; c < TABLE_COLUMNS; c++) {
+  for (int c = 0; c < TABLE_COLUMN_COUNT; c++) {
     const char *s = json_string_value(json_object_get(o, columns[c].name));
     r.cells[c] = (char *)(s ? s : "");
   }
-  table_put(t, &r);
+  table_put_row(t, &r);
   return true;
 }
 
--- a/packages/table/table.h
+++ b/packages/table/table.h
@@ -1,5 +1,6 @@
-/* table.h: the operators' table of weights and limits: rows, checks, CSV,
-   JSON, difference and merge. Pure. */
+/* table.h: the operators' table of weights and limits, with a row for each
+   customer, service, target and budget: checks, CSV, JSON, difference and
+   merge. No I/O. */
 #ifndef TABLE_TABLE_H
 #define TABLE_TABLE_H
 
@@ -14,99 +15,109 @@
   TABLE_SERVICE,
   TABLE_TARGET,
   TABLE_BUDGET,
-  TABLE_KINDS
+  TABLE_KIND_COUNT
 } TableKind;
 
-/* Columns after kind and name, in the order of the CSV. */
+/* Columns after kind and name, in the order of the CSV. Each comment names the
+   kinds of rows that use the column. */
 typedef enum {
-  TABLE_KEY,        /* customer: SHA-256 of its bearer key, hex */
-  TABLE_SHARE,      /* customer: weight within a class */
-  TABLE_RUNNING,    /* customer, service: requests at once, 0 no cap */
-  TABLE_RATE,       /* customer: tokens a minute, 0 no cap */
-  TABLE_MODEL,      /* service, target */
-  TABLE_PRIORITY,   /* service: class, 0 first */
-  TABLE_REPEAT,     /* service: yes or no */
-  TABLE_WAIT,       /* service: longest wait in the queue, ms */
-  TABLE_OUTPUT,     /* service: most output tokens of one answer */
-  TABLE_COST,       /* plain service: tokens a call */
-  TABLE_SERVES,     /* target: the plain service behind it */
-  TABLE_URL,        /* target: ip:port */
-  TABLE_DATACENTRE, /* target; service: where it may run, any if empty */
-  TABLE_ADAPTER,    /* service: needed; target: loaded ones, a;b */
-  TABLE_VERSION,    /* service: needed; target: what it runs */
-  TABLE_SLOTS,      /* target: requests at once */
-  TABLE_TOKENS,     /* budget: prepaid tokens in all */
-  TABLE_RESERVE,    /* budget: seconds of demand laid up per region */
-  TABLE_LOADS,      /* target: adapters that the fleet may load there */
-  TABLE_LEAST,      /* service: targets that are to have its adapter, */
-  TABLE_MOST,       /* at least and at most, 0 all */
-  TABLE_COLUMNS
+  TABLE_KEY_HASH,    /* customer: SHA-256 of its bearer key, in hex */
+  TABLE_SHARE,       /* customer: weight among those of the same priority */
+  TABLE_MAX_RUNNING, /* customer, service: concurrent requests; 0: no limit */
+  TABLE_TOKENS_PER_MIN, /* customer: 0: no limit */
+  TABLE_MODEL,          /* service, target */
+  TABLE_PRIORITY,       /* service: 0 is served first */
+  TABLE_REPEATABLE,  /* service: whether a request may run twice, yes or no */
+  TABLE_MAX_WAIT_MS, /* service: time in the queue */
+  TABLE_MAX_OUTPUT_TOKENS, /* service: output tokens of one answer */
+  TABLE_COST_TOKENS, /* service without a model (plain): tokens of one call */
+  TABLE_SERVES,      /* target: the plain service that it serves */
+  TABLE_URL,         /* target: ip:port */
+  TABLE_DATACENTRE,  /* target: its location; service: where it may run;
+                          empty: anywhere */
+  TABLE_ADAPTER,     /* service: the one needed; target: those loaded, as a;b */
+  TABLE_VERSION,     /* service: the one needed; target: the one it runs */
+  TABLE_SLOTS,       /* target: concurrent requests */
+  TABLE_PREPAID_TOKENS, /* budget: total */
+  TABLE_RESERVE_S,      /* budget: outage reserve of each region, as seconds of
+                             its demand */
+  TABLE_MAX_LOADED_ADAPTERS, /* target: number that the fleet may load on it */
+  TABLE_MIN_TARGETS, /* service: least number of targets with its adapter */
+  TABLE_MAX_TARGETS, /* service: greatest number of those; 0: all */
+  TABLE_COLUMN_COUNT
 } TableColumn;
 
-#define TABLE_PARTS 256 /* content objects that the rows are spread over */
+/* Stored objects that the rows are spread over. */
+#define TABLE_PART_COUNT 256
 
-/* Immutable once in a table; tables share rows by counting references. */
+/* Immutable once in a table, so that tables can share it by reference counts.
+ */
 typedef struct TableRow {
   TableKind kind;
-  char name[LIMIT_NAME]; /* a budget's is customer/service or customer/any */
-  char *cells[TABLE_COLUMNS];     /* never NULL; "" takes the default */
-  int64_t numbers[TABLE_COLUMNS]; /* of numeric columns, defaults filled in */
-  uint64_t version;               /* the table version that last changed it */
+  char name[LIMIT_NAME]; /* of a budget: customer/service; '*' as service means
+                            any */
+  char *cells[TABLE_COLUMN_COUNT];     /* never NULL; "": default value */
+  int64_t numbers[TABLE_COLUMN_COUNT]; /* values of numeric columns, with
+                                          defaults */
+  uint64_t version;                    /* table version of its last change */
 } TableRow;
 
 typedef struct Table {
   uint64_t version;
-  char *parts[TABLE_PARTS]; /* object names it was loaded from; NULL: none */
-  GHashTable *rows;         /* "kind/name" -> TableRow */
-  GPtrArray *order;         /* TableRow*, sorted by kind and name */
+  /* Objects that it was loaded from; NULL: none. */
+  char *part_names[TABLE_PART_COUNT];
+  GHashTable *rows;       /* "kind/name" -> TableRow */
+  GPtrArray *sorted_rows; /* TableRow*, sorted by kind and name */
 } Table;
 
 Table *table_new(void);
 void table_free(Table *t);
-const TableRow *table_row(const Table *t, TableKind kind, const char *name);
-/* Copies `row` in, in place of one of the same kind and name. */
-void table_put(Table *t, const TableRow *row);
-/* Takes in a row of another table without a copy. */
-void table_share(Table *t, const TableRow *row);
-void table_remove(Table *t, TableKind kind, const char *name);
-/* Restores `order` after puts and removes. */
-void table_sort(Table *t);
+const TableRow *table_find_row(const Table *t, TableKind kind,
+                               const char *name);
+/* Adds a copy of `row`, replacing a row of the same kind and name. */
+void table_put_row(Table *t, const TableRow *row);
+/* Adds a reference to a row of another table. */
+void table_share_row(Table *t, const TableRow *row);
+void table_remove_row(Table *t, TableKind kind, const char *name);
+/* Rebuilds `sorted_rows` after rows were added or removed. */
+void table_sort_rows(Table *t);
 
 const char *table_kind_name(TableKind kind);
 const char *table_column_name(TableColumn column);
 
-/* Reads CSV. Each error is a line for the operator: row, column, what is
-   wrong, what to do. NULL when there was any. `base` gets the number of a
-   "# version N" line, else UINT64_MAX. */
-Table *table_parse(const char *csv, GPtrArray *errors, uint64_t *base);
-/* Checks between rows; the same lines as table_parse. */
+/* Reads and checks a table in CSV. Returns NULL if there are errors; each is a
+   line for the operator with the row, the column, the problem and the remedy.
+   `base` receives the number in a "# version N" line, or UINT64_MAX. */
+Table *table_read_csv(const char *csv, GPtrArray *errors, uint64_t *base);
+/* Checks references between rows. Reports errors like table_read_csv. */
 bool table_check(const Table *t, GPtrArray *errors);
-/* g_free. */
-char *table_csv(const Table *t);
+/* Free the result with g_free. */
+char *table_write_csv(const Table *t);
 
-/* The part that a row belongs to. */
-int table_part(const TableRow *row);
-/* JSON of the rows of one part, for the store; g_free. */
+/* Returns the index of the part that a row belongs to. */
+int table_part_index(const TableRow *row);
+/* Encodes the rows of one part as JSON for the store. Free with g_free. */
 char *table_encode_part(const Table *t, int part);
-/* Adds the rows of a part; false when it is not one. */
+/* Adds the rows of an encoded part. Returns false if the text is not one. */
 bool table_decode_part(Table *t, const char *text);
 
 typedef struct TableChange {
   TableKind kind;
   char name[LIMIT_NAME];
-  int column; /* TableColumn; -1: the row came, -2: it went */
+  int column; /* TableColumn; -1: row added; -2: row removed */
   char *before, *after;
 } TableChange;
 
-/* What turns `a` into `b`; free with g_ptr_array_unref. */
+/* Returns the changes from `a` to `b` (TableChange*). Free with
+   g_ptr_array_unref. */
 GPtrArray *table_diff(const Table *a, const Table *b);
-/* A line for people; g_free. */
-char *table_change_text(const TableChange *c);
+/* Describes a change in one line. Free with g_free. */
+char *table_describe_change(const TableChange *c);
 
-/* Puts the edit base -> mine onto `head`, giving changed rows `version`.
-   NULL on a conflict: the same cell changed differently in both; then
-   *conflict (g_free) names it and *conflict_version is the version of head's
-   row. */
+/* Three-way merge: applies the changes from `base` to `mine` to `head`. Changed
+   rows get `version`. Returns NULL on a conflict, that is if both sides changed
+   the same cell differently; *conflict (free with g_free) then names the cell,
+   and *conflict_version is the version of the row in `head`. */
 Table *table_merge(const Table *base, const Table *mine, const Table *head,
                    uint64_t version, char **conflict,
                    uint64_t *conflict_version);
--- a/tests/stored_again.h
+++ b/tests/stored_again.h
@@ -90,9 +90,9 @@
   Table *t = table_new();
   char *encoded = NULL;
   if (table_decode_part(t, text)) {
-    table_sort(t);
-    const TableRow *r = t->order->len ? t->order->pdata[0] : NULL;
-    encoded = table_encode_part(t, r ? table_part(r) : 0);
+    table_sort_rows(t);
+    const TableRow *r = t->sorted_rows->len ? t->sorted_rows->pdata[0] : NULL;
+    encoded = table_encode_part(t, r ? table_part_index(r) : 0);
   }
   table_free(t);
   return encoded;
