--- a/packages/conf/conf.c
+++ b/packages/conf/conf.c
@@ -1,4 +1,4 @@
-/* conf.c: filling and looking up. */
+/* conf.c: construction of a configuration, and lookups in it. */
 #include "conf/conf.h"
 
 #include <string.h>
@@ -58,7 +58,7 @@
   g_free(c);
 }
 
-/* == filling == */
+/* == construction == */
 
 void conf_add_route(Conf *c, ConfRoute *r) {
   GPtrArray *list = g_hash_table_lookup(c->hosts, r->host);
@@ -82,35 +82,38 @@
   g_hash_table_replace(c->keys, g_strdup(key), u);
 }
 
-static gint by_length(gconstpointer a, gconstpointer b) {
+static gint compare_prefixes(gconstpointer a, gconstpointer b) {
   const ConfRoute *x = *(const ConfRoute *const *)a;
   const ConfRoute *y = *(const ConfRoute *const *)b;
   size_t m = strlen(x->prefix), n = strlen(y->prefix);
   return m < n ? 1 : m > n ? -1 : 0;
 }
 
-/* Streams of one service run side by side; the most sensitive of them says
-   how long they may be held up. */
-static void note_pauses(Conf *c, const ConfRoute *r) {
+/* Streams of one service share its targets, so the shortest max_pause_s of its
+   stream routes applies to the service. */
+static void set_min_pause(Conf *c, const ConfRoute *r) {
   for (int i = 0; i < r->n_splits && r->kind == CONF_STREAM; i++) {
     ConfService *s = g_hash_table_lookup(c->services, r->splits[i].service);
     if (s)
-      s->pause_s = s->pause_s > 0 ? MIN(s->pause_s, r->pause_s) : r->pause_s;
+      s->max_pause_s = s->max_pause_s > 0 ? MIN(s->max_pause_s, r->max_pause_s)
+                                          : r->max_pause_s;
   }
 }
 
-void conf_seal(Conf *c) {
+void conf_finish(Conf *c) {
   GHashTableIter it;
   gpointer v;
   for (guint i = 0; i < c->routes->len; i++)
-    note_pauses(c, c->routes->pdata[i]);
+    set_min_pause(c, c->routes->pdata[i]);
   g_hash_table_iter_init(&it, c->hosts);
-  while (g_hash_table_iter_next(&it, NULL, &v)) g_ptr_array_sort(v, by_length);
+  while (g_hash_table_iter_next(&it, NULL, &v))
+    g_ptr_array_sort(v, compare_prefixes);
 }
 
-/* == looking up == */
+/* == lookups == */
 
-const ConfRoute *conf_route(const Conf *c, const char *host, const char *path) {
+const ConfRoute *conf_find_route(const Conf *c, const char *host,
+                                 const char *path) {
   const GPtrArray *list = g_hash_table_lookup(c->hosts, host);
   for (guint i = 0; list && i < list->len; i++) {
     const ConfRoute *r = list->pdata[i];
@@ -119,18 +122,18 @@
   return NULL;
 }
 
-const ConfCustomer *conf_customer(const Conf *c, const char *key) {
+const ConfCustomer *conf_find_customer(const Conf *c, const char *key) {
   return g_hash_table_lookup(c->keys, key);
 }
 
-const ConfService *conf_service(const Conf *c, const char *name) {
+const ConfService *conf_find_service(const Conf *c, const char *name) {
   return g_hash_table_lookup(c->services, name);
 }
 
-const char *conf_split(const ConfRoute *r, double chance) {
-  double all = 0;
-  for (int i = 0; i < r->n_splits; i++) all += r->splits[i].weight;
-  double at = chance * all;
+const char *conf_choose_service(const ConfRoute *r, double fraction) {
+  double total = 0;
+  for (int i = 0; i < r->n_splits; i++) total += r->splits[i].weight;
+  double at = fraction * total;
   for (int i = 0; i < r->n_splits; i++) {
     at -= r->splits[i].weight;
     if (at < 0) return r->splits[i].service;
--- a/packages/flow/dispatch.c
+++ b/packages/flow/dispatch.c
@@ -79,7 +79,7 @@
   if (x->relay->behind) return false;
   if (!sent) return true;
   if (x->try || suspects_has(x->relay->suspects, run_digest(x))) return false;
-  if (x->sends >= x->route->attempts) return false;
+  if (x->sends >= x->route->max_attempts) return false;
   return retries_take(x->relay->retries, now, x->service_name);
 }
 
@@ -135,7 +135,7 @@
 /* A failure of the target's own that another target may not have. */
 static bool worth_another(Run *x, int status) {
   return status >= 500 && !x->head_out && repeatable(x) &&
-         x->sends < x->route->attempts && run_now(x) < x->deadline;
+         x->sends < x->route->max_attempts && run_now(x) < x->deadline;
 }
 
 static LinkVerdict on_head(void *ctx, const LinkHead *h) {
@@ -265,9 +265,9 @@
   return (TargetAsk){.service = x->service_name,
                      .ask = &x->ask,
                      .engine = x->service && x->service->engine,
-                     .cold_rate = x->service ? x->service->cold_rate : 0,
-                     .move_s = x->service ? x->service->move_s : 0,
-                     .pause_s = x->service ? x->service->pause_s : 0,
+                     .cold_rate = x->service ? x->service->cold_max_per_s : 0,
+                     .move_s = x->service ? x->service->move_s_per_token : 0,
+                     .pause_s = x->service ? x->service->max_pause_s : 0,
                      .regions = x->regions,
                      .no_permit = !run_may_ask_permit(x),
                      .alone = x->try != NULL,
--- a/packages/flow/relay.c
+++ b/packages/flow/relay.c
@@ -69,7 +69,7 @@
 
 static void reserve(Run *x) {
   Relay *r = x->relay;
-  bool limited = x->customer && x->customer->budget != CONF_UNLIMITED;
+  bool limited = x->customer && x->customer->budget_tokens != CONF_NO_BUDGET;
   if (!limited || x->reserved == 0) {
     arm(x, x->deadline, on_deadline);
     run_dispatch(x);
@@ -80,7 +80,7 @@
     budget_refused(x, ERR_BUDGET_CUT, settles_ms);
     return;
   }
-  double wait_s = MIN(BUDGET_WAIT_S, x->route->aim_s * BUDGET_SHARE);
+  double wait_s = MIN(BUDGET_WAIT_S, x->route->slo_s * BUDGET_SHARE);
   arm(x, MIN(x->deadline, x->req->at + wait_s), on_budget_late);
   x->waits = true;
   x->handle = cluster_reserve(r->cluster, x->customer->name, x->reserved);
@@ -109,7 +109,7 @@
 static const ConfRoute *route_in(const Run *x, const Conf *c) {
   const char *target = x->req->target->str;
   char *path = g_strndup(target, strcspn(target, "?"));
-  const ConfRoute *route = conf_route(c, x->ask.host, path);
+  const ConfRoute *route = conf_find_route(c, x->ask.host, path);
   g_free(path);
   return route;
 }
@@ -127,7 +127,7 @@
   if (c == x->conf) return;
   const ConfRoute *route = route_in(x, c);
   if (!route) return;
-  RegionSet now = regions_in(x, route, conf_customer(c, x->ask.key));
+  RegionSet now = regions_in(x, route, conf_find_customer(c, x->ask.key));
   x->regions = regions_both(x->regions, now);
 }
 
@@ -141,14 +141,14 @@
   x->route = route_in(x, x->conf);
   if (!x->route)
     return err_set(e, ERR_NO_ROUTE, "nothing is served at %.100s", x->ask.host);
-  x->customer = conf_customer(x->conf, x->ask.key);
-  bool needs_key = !x->route->open && x->conf->customers->len > 0;
+  x->customer = conf_find_customer(x->conf, x->ask.key);
+  bool needs_key = !x->route->is_public && x->conf->customers->len > 0;
   if (needs_key && !x->customer)
     return err_set(e, ERR_UNAUTHORISED, "no customer has this key");
-  x->service_name = conf_split(x->route, g_random_double());
+  x->service_name = conf_choose_service(x->route, g_random_double());
   if (!x->service_name)
     return err_set(e, ERR_NO_ROUTE, "route %s has no service", x->route->name);
-  x->service = conf_service(x->conf, x->service_name);
+  x->service = conf_find_service(x->conf, x->service_name);
   x->regions = regions_in(x, x->route, x->customer);
   return true;
 }
@@ -269,10 +269,10 @@
 void relay_conf(Relay *r, Conf *c) {
   conf_unref(r->conf);
   r->conf = conf_ref(c);
-  CallerLimits l = {.max_header = (size_t)c->max_header,
-                    .max_body = (size_t)c->max_body,
-                    .header_s = c->header_s,
-                    .idle_s = c->idle_s};
+  CallerLimits l = {.max_header = (size_t)c->max_header_bytes,
+                    .max_body = (size_t)c->max_body_bytes,
+                    .header_s = c->header_timeout_s,
+                    .idle_s = c->idle_timeout_s};
   callers_limits(r->callers, &l);
 }
 
--- a/packages/flow/run.c
+++ b/packages/flow/run.c
@@ -23,7 +23,7 @@
 static int64_t used_tokens(const Run *x, bool whole) {
   bool taken = x->head_out || x->maybe;
   if (!taken) return 0;
-  int per_event = x->service ? MAX(x->service->event_tokens, 1) : 1;
+  int per_event = x->service ? MAX(x->service->tokens_per_event, 1) : 1;
   int64_t events = x->events.count + (whole ? 0 : EVENTS_AHEAD);
   int64_t out = events * per_event;
   return MIN(x->ask.tokens_in + MIN(out, x->ask.tokens_out), x->reserved);
@@ -43,7 +43,7 @@
   double now = run_now(x);
   run_tell_done(x);
   if (x->stream && x->events.count > 1 && x->choice.beside_long)
-    target_streamed(x->target, now, x->pause_s > x->route->pause_s);
+    target_streamed(x->target, now, x->pause_s > x->route->max_pause_s);
   target_done(x->target, now, how, x->first, x->choice.fresh, now - x->sent_at);
   x->target = NULL;
 }
@@ -83,8 +83,8 @@
        "moved", (json_int_t)x->choice.moved, "there", x->choice.load.open,
        "unread", (json_int_t)x->choice.load.tokens, "predicted",
        x->choice.wait_s, "first", x->first_s, "pause", x->pause_s, "aim",
-       x->route ? x->route->aim_s : 0, "pause_aim",
-       x->route ? x->route->pause_s : 0, "seconds", now - x->req->at, "permits",
+       x->route ? x->route->slo_s : 0, "pause_aim",
+       x->route ? x->route->max_pause_s : 0, "seconds", now - x->req->at, "permits",
        x->all_permits, "conf", (json_int_t)(x->conf ? x->conf->version : 0));
 }
 
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -125,10 +125,10 @@
   GArray *rows = g_array_new(FALSE, TRUE, sizeof(LedgerBudget));
   for (guint i = 0; i < c->customers->len; i++) {
     const ConfCustomer *u = c->customers->pdata[i];
-    LedgerBudget row = {.total = u->budget,
+    LedgerBudget row = {.total = u->budget_tokens,
                         .version = c->version,
                         .reserve_s = number("lay-up")};
-    if (u->budget == CONF_UNLIMITED) continue;
+    if (u->budget_tokens == CONF_NO_BUDGET) continue;
     g_strlcpy(row.name, u->name, sizeof row.name);
     g_array_append_val(rows, row);
   }
--- a/tests/test_conf.c
+++ b/tests/test_conf.c
@@ -1,4 +1,4 @@
-/* test_conf.c: the operators' configuration, decoded and looked up. */
+/* test_conf.c: decoding of the operators' configuration, and lookups in it. */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -20,7 +20,7 @@
     "\"tenants\":[{\"name\":\"acme\",\"api_keys\":[\"k1\",\"k2\"],\"prepaid\":"
     "500},{\"name\":\"free\",\"api_keys\":[\"k3\"]}]}";
 
-static Conf *conf(void) {
+static Conf *decode_conf(void) {
   Err e = {0};
   json_t *o = json_loads(text, 0, NULL);
   Conf *c = document_conf(o, &e);
@@ -28,49 +28,50 @@
   return c;
 }
 
-Test(conf, the_longest_prefix_of_the_host_wins) {
-  Conf *c = conf();
-  cr_assert_str_eq(conf_route(c, "a.example", "/x/1")->name, "r1");
-  cr_assert_str_eq(conf_route(c, "a.example", "/x/y/1")->name, "r2");
-  cr_assert_null(conf_route(c, "a.example", "/z/"));
-  cr_assert_null(conf_route(c, "b.example", "/x/1"));
+Test(conf, longest_prefix_of_the_host_wins) {
+  Conf *c = decode_conf();
+  cr_assert_str_eq(conf_find_route(c, "a.example", "/x/1")->name, "r1");
+  cr_assert_str_eq(conf_find_route(c, "a.example", "/x/y/1")->name, "r2");
+  cr_assert_null(conf_find_route(c, "a.example", "/z/"));
+  cr_assert_null(conf_find_route(c, "b.example", "/x/1"));
   conf_unref(c);
 }
 
-Test(conf, kinds_times_and_attempts_are_read) {
-  Conf *c = conf();
-  const ConfRoute *r = conf_route(c, "a.example", "/x/1");
+Test(conf, kinds_times_and_attempts_are_decoded) {
+  Conf *c = decode_conf();
+  const ConfRoute *r = conf_find_route(c, "a.example", "/x/1");
   cr_assert_eq(r->kind, CONF_STREAM);
   cr_assert(r->resumable);
   cr_assert_float_eq(r->timeout_s, 12, 1e-9);
-  cr_assert_eq(r->attempts, 2);
-  r = conf_route(c, "a.example", "/x/y/1");
+  cr_assert_eq(r->max_attempts, 2);
+  r = conf_find_route(c, "a.example", "/x/y/1");
   cr_assert_eq(r->kind, CONF_UNSAFE);
-  cr_assert_eq(r->attempts, 1, "what is not said is the careful thing");
-  cr_assert_eq(c->max_body, 10);
+  cr_assert_eq(r->max_attempts, 1, "the default is the safe choice");
+  cr_assert_eq(c->max_body_bytes, 10);
   conf_unref(c);
 }
 
-Test(conf, keys_budgets_and_splits) {
-  Conf *c = conf();
-  cr_assert_str_eq(conf_customer(c, "k2")->name, "acme");
-  cr_assert_eq(conf_customer(c, "k1")->budget, 500);
-  cr_assert_eq(conf_customer(c, "k3")->budget, CONF_UNLIMITED);
-  cr_assert_null(conf_customer(c, "k4"));
-  const ConfRoute *r = conf_route(c, "a.example", "/x/1");
-  cr_assert_str_eq(conf_split(r, 0.89), "s1");
-  cr_assert_str_eq(conf_split(r, 0.91), "s2");
-  cr_assert_eq(conf_service(c, "s1")->event_tokens, 3);
-  cr_assert_float_eq(conf_service(c, "s1")->move_s, 0.001, 1e-9);
-  cr_assert_eq(conf_service(c, "s2")->move_s, 0, "not an engine");
-  cr_assert_float_eq(conf_service(c, "s1")->cold_rate, 6.6, 1e-9);
-  cr_assert_eq(conf_service(c, "s2")->cold_rate, 0, "not said");
-  cr_assert_float_eq(conf_service(c, "s1")->pause_s, 1, 1e-9);
-  cr_assert_not(conf_service(c, "s2")->engine);
+Test(conf, keys_budgets_and_splits_are_decoded) {
+  Conf *c = decode_conf();
+  cr_assert_str_eq(conf_find_customer(c, "k2")->name, "acme");
+  cr_assert_eq(conf_find_customer(c, "k1")->budget_tokens, 500);
+  cr_assert_eq(conf_find_customer(c, "k3")->budget_tokens, CONF_NO_BUDGET);
+  cr_assert_null(conf_find_customer(c, "k4"));
+  const ConfRoute *r = conf_find_route(c, "a.example", "/x/1");
+  cr_assert_str_eq(conf_choose_service(r, 0.89), "s1");
+  cr_assert_str_eq(conf_choose_service(r, 0.91), "s2");
+  cr_assert_eq(conf_find_service(c, "s1")->tokens_per_event, 3);
+  cr_assert_float_eq(conf_find_service(c, "s1")->move_s_per_token, 0.001, 1e-9);
+  cr_assert_eq(conf_find_service(c, "s2")->move_s_per_token, 0,
+               "not an engine");
+  cr_assert_float_eq(conf_find_service(c, "s1")->cold_max_per_s, 6.6, 1e-9);
+  cr_assert_eq(conf_find_service(c, "s2")->cold_max_per_s, 0, "not specified");
+  cr_assert_float_eq(conf_find_service(c, "s1")->max_pause_s, 1, 1e-9);
+  cr_assert_not(conf_find_service(c, "s2")->engine);
   conf_unref(c);
 }
 
-Test(conf, a_damaged_one_is_refused) {
+Test(conf, incomplete_configuration_is_rejected) {
   Err e = {0};
   json_t *o = json_loads("{\"version\":1}", 0, NULL);
   cr_assert_null(document_conf(o, &e));
@@ -78,7 +79,7 @@
   json_decref(o);
 }
 
-Test(conf, a_target_is_read) {
+Test(conf, target_is_decoded) {
   json_t *o = json_loads(
       "{\"meta\":{\"name\":\"i-1\",\"revision\":5},\"spec\":{\"service\":"
       "\"s1\","
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -108,7 +108,7 @@
              rows[i].json, rows[i].json);
     json_t *o = json_loads(text, 0, NULL);
     Conf *c = document_conf(o, &e);
-    char **lists[] = {conf_route(c, "h", "/")->regions,
+    char **lists[] = {conf_find_route(c, "h", "/")->regions,
                       ((ConfCustomer *)c->customers->pdata[0])->regions};
     for (size_t k = 0; k < G_N_ELEMENTS(lists); k++) {
       cr_assert_eq(lists[k] == NULL, rows[i].names == NULL, "row %zu", i);
