--- a/packages/conf/conf.h
+++ b/packages/conf/conf.h
@@ -17,11 +17,11 @@
 /* Properties of a service's targets; 0: not specified. */
 typedef struct ConfService {
   char *name;
-  bool engine;             /* the targets are model engines */
-  int batch_slots;         /* engine: requests in one batch */
-  int tokens_per_event;    /* engine: tokens in one event of a stream */
-  double cold_max_per_s;   /* requests per second that a cold target, one that
-                              has just started, can serve; 0: no limit */
+  bool engine;           /* the targets are model engines */
+  int batch_slots;       /* engine: requests in one batch */
+  int tokens_per_event;  /* engine: tokens in one event of a stream */
+  double cold_max_per_s; /* requests per second that a cold target, one that is
+                            still slow, can serve; 0: as a warm one */
   double move_s_per_token; /* engine: time to move the memory of one token to
                               another target; 0: it can't be moved */
   double max_pause_s;      /* shortest max_pause_s of its stream routes; 0: it
--- a/packages/once/wish.c
+++ b/packages/once/wish.c
@@ -12,9 +12,9 @@
 #define HOME_SALT 0x636c61696dULL
 
 void claimquery_free(gpointer p) {
-  ClaimQuery *w = p;
-  once_answer_clear(&w->answer);
-  g_free(w);
+  ClaimQuery *query = p;
+  once_answer_clear(&query->answer);
+  g_free(query);
 }
 
 static ClaimQuery *find_query(const Once *o, uint64_t nonce) {
@@ -28,8 +28,8 @@
 /* == choice of the home == */
 
 static bool is_unresponsive(const Once *o, int shard, const char *id) {
-  const UnresponsiveHome *q = &o->unresponsive[shard];
-  return o->now < q->until && strcmp(q->id, id) == 0;
+  const UnresponsiveHome *home = &o->unresponsive[shard];
+  return o->now < home->until && strcmp(home->id, id) == 0;
 }
 
 /* Picks the shard's home in the whole fleet; if that one is unresponsive or
@@ -51,49 +51,49 @@
   return o->self;
 }
 
-static void send_query(Once *o, ClaimQuery *w) {
-  OnceMsg m = {.kind = w->kind,
-               .key = w->key,
-               .nonce = w->nonce,
-               .digest = w->digest,
-               .answer = once_answer_copy(&w->answer, LIMIT_CLAIM_ANSWER)};
-  w->sent_at = o->now;
-  once_send(o, w->to, &m);
+static void send_query(Once *o, ClaimQuery *query) {
+  OnceMsg m = {.kind = query->kind,
+               .key = query->key,
+               .nonce = query->nonce,
+               .digest = query->digest,
+               .answer = once_answer_copy(&query->answer, LIMIT_CLAIM_ANSWER)};
+  query->sent_at = o->now;
+  once_send(o, query->to, &m);
 }
 
-static void assign_home(Once *o, ClaimQuery *w, const char *id) {
-  w->sent_to_several |= w->to[0] && strcmp(w->to, id) != 0;
-  g_strlcpy(w->to, id, sizeof w->to);
-  w->assigned_at = o->now;
-  w->queued = false;
-  w->resend_s = ONCE_RESEND;
-  send_query(o, w);
+static void assign_home(Once *o, ClaimQuery *query, const char *id) {
+  query->sent_to_several |= query->to[0] && strcmp(query->to, id) != 0;
+  g_strlcpy(query->to, id, sizeof query->to);
+  query->assigned_at = o->now;
+  query->queued = false;
+  query->resend_s = ONCE_RESEND;
+  send_query(o, query);
 }
 
-static void assign_next_home(Once *o, ClaimQuery *w) {
-  if (strcmp(w->to, o->self) == 0) { /* all were queried: start again */
-    assign_home(o, w, pick_home(o, w->key, ""));
+static void assign_next_home(Once *o, ClaimQuery *query) {
+  if (strcmp(query->to, o->self) == 0) { /* all were queried: start again */
+    assign_home(o, query, pick_home(o, query->key, ""));
     return;
   }
-  UnresponsiveHome *q = &o->unresponsive[claim_shard_index(w->key)];
-  if (!w->queued) {
-    g_strlcpy(q->id, w->to, sizeof q->id);
-    q->until = o->now + UNRESPONSIVE_S;
+  UnresponsiveHome *home = &o->unresponsive[claim_shard_index(query->key)];
+  if (!query->queued) {
+    g_strlcpy(home->id, query->to, sizeof home->id);
+    home->until = o->now + UNRESPONSIVE_S;
   }
-  assign_home(o, w, pick_home(o, w->key, w->to));
+  assign_home(o, query, pick_home(o, query->key, query->to));
 }
 
 /* == queries == */
 
 static ClaimQuery *add_query(Once *o, const Run *r, OnceMsgKind kind) {
-  ClaimQuery *w = g_new0(ClaimQuery, 1);
-  *w = (ClaimQuery){.kind = kind,
-                    .key = r->key,
-                    .nonce = r->nonce,
-                    .digest = r->digest,
-                    .handle = r->handle};
-  g_hash_table_replace(o->queries, &w->nonce, w);
-  return w;
+  ClaimQuery *query = g_new0(ClaimQuery, 1);
+  *query = (ClaimQuery){.kind = kind,
+                        .key = r->key,
+                        .nonce = r->nonce,
+                        .digest = r->digest,
+                        .handle = r->handle};
+  g_hash_table_replace(o->queries, &query->nonce, query);
+  return query;
 }
 
 void claimquery_claim(Once *o, const Run *r) {
@@ -101,85 +101,89 @@
 }
 
 void claimquery_outcome(Once *o, const Run *r) {
-  ClaimQuery *w = add_query(o, r, ONCE_OUTCOME);
+  ClaimQuery *query = add_query(o, r, ONCE_OUTCOME);
   const OnceAnswer *a = &r->answer;
-  w->answer =
+  query->answer =
       r->unknown ? (OnceAnswer){0} : once_answer_copy(a, LIMIT_CLAIM_ANSWER);
-  bool text = w->answer.body &&
-              g_utf8_validate(w->answer.body, (gssize)w->answer.len, NULL);
+  bool text =
+      query->answer.body &&
+      g_utf8_validate(query->answer.body, (gssize)query->answer.len, NULL);
   if (!text) {
-    g_clear_pointer(&w->answer.body, g_free);
-    w->answer.len = 0;
+    g_clear_pointer(&query->answer.body, g_free);
+    query->answer.len = 0;
   }
-  assign_home(o, w, pick_home(o, r->key, ""));
+  assign_home(o, query, pick_home(o, r->key, ""));
 }
 
 void claimquery_release(Once *o, const Run *r) {
-  ClaimQuery *w = find_query(o, r->nonce);
-  if (!w) {
+  ClaimQuery *query = find_query(o, r->nonce);
+  if (!query) {
     assign_home(o, add_query(o, r, ONCE_RELEASE), pick_home(o, r->key, ""));
     return;
   }
-  w->kind = ONCE_RELEASE; /* goes first to the home that has the claim */
-  assign_home(o, w, w->to);
+  query->kind = ONCE_RELEASE; /* goes first to the home that has the claim */
+  assign_home(o, query, query->to);
 }
 
 /* == replies == */
 
-static void clear_unresponsive(Once *o, const ClaimQuery *w, const char *from) {
-  UnresponsiveHome *q = &o->unresponsive[claim_shard_index(w->key)];
-  if (strcmp(q->id, from) == 0) q->until = 0;
+static void clear_unresponsive(Once *o, const ClaimQuery *query,
+                               const char *from) {
+  UnresponsiveHome *home = &o->unresponsive[claim_shard_index(query->key)];
+  if (strcmp(home->id, from) == 0) home->until = 0;
 }
 
 void claimquery_decided(Once *o, const char *from, const OnceMsg *m) {
-  ClaimQuery *w = find_query(o, m->nonce);
-  if (!w || w->kind != ONCE_CLAIM) return; /* late reply to a released claim */
-  clear_unresponsive(o, w, from);
-  uint64_t handle = w->handle, nonce = w->nonce;
+  ClaimQuery *query = find_query(o, m->nonce);
+  if (!query || query->kind != ONCE_CLAIM)
+    return; /* late reply to a released claim */
+  clear_unresponsive(o, query, from);
+  uint64_t handle = query->handle, nonce = query->nonce;
   /* This home refused the claim, but another one may still store it: release
      it. */
-  if (m->verdict == ONCE_NO_CLAIM && w->sent_to_several) {
-    w->kind = ONCE_RELEASE;
-    assign_home(o, w, w->to);
+  if (m->verdict == ONCE_NO_CLAIM && query->sent_to_several) {
+    query->kind = ONCE_RELEASE;
+    assign_home(o, query, query->to);
   } else
     drop_query(o, nonce);
   run_claim_decided(o, handle, nonce, m->verdict, &m->answer);
 }
 
 void claimquery_queued(Once *o, const char *from, const OnceMsg *m) {
-  ClaimQuery *w = find_query(o, m->nonce);
-  if (!w || strcmp(w->to, from) != 0) return;
-  clear_unresponsive(o, w, from);
-  w->queued = true;
+  ClaimQuery *query = find_query(o, m->nonce);
+  if (!query || strcmp(query->to, from) != 0) return;
+  clear_unresponsive(o, query, from);
+  query->queued = true;
 }
 
 void claimquery_stored(Once *o, const char *from, const OnceMsg *m) {
-  const ClaimQuery *w = find_query(o, m->nonce);
-  if (!w || w->kind == ONCE_CLAIM) return;
-  clear_unresponsive(o, w, from);
+  const ClaimQuery *query = find_query(o, m->nonce);
+  if (!query || query->kind == ONCE_CLAIM) return;
+  clear_unresponsive(o, query, from);
   drop_query(o, m->nonce);
 }
 
 /* == time == */
 
-static double wait_limit_s(const ClaimQuery *w) {
-  if (!w->queued) return NO_REPLY_WAIT_S;
-  return w->kind == ONCE_CLAIM ? QUEUED_CLAIM_WAIT_S : QUEUED_OUTCOME_WAIT_S;
+static double wait_limit_s(const ClaimQuery *query) {
+  if (!query->queued) return NO_REPLY_WAIT_S;
+  return query->kind == ONCE_CLAIM ? QUEUED_CLAIM_WAIT_S
+                                   : QUEUED_OUTCOME_WAIT_S;
 }
 
-static void tick_query(Once *o, ClaimQuery *w) {
-  bool us = strcmp(w->to, o->self) == 0;
-  if (!us && !view_find(o->view, w->to)) {
-    assign_home(o, w, pick_home(o, w->key, ""));
+static void tick_query(Once *o, ClaimQuery *query) {
+  bool us = strcmp(query->to, o->self) == 0;
+  if (!us && !view_find(o->view, query->to)) {
+    assign_home(o, query, pick_home(o, query->key, ""));
     return;
   }
-  if (o->now - w->assigned_at >= wait_limit_s(w)) {
-    assign_next_home(o, w);
+  if (o->now - query->assigned_at >= wait_limit_s(query)) {
+    assign_next_home(o, query);
     return;
   }
-  if (o->now - w->sent_at < w->resend_s) return;
-  w->resend_s = MIN(w->resend_s * 2, MAX_RESEND_S);
-  send_query(o, w);
+  if (o->now - query->sent_at < query->resend_s) return;
+  query->resend_s = MIN(query->resend_s * 2, MAX_RESEND_S);
+  send_query(o, query);
 }
 
 void claimquery_tick(Once *o) {
