--- a/packages/once/claim.c
+++ b/packages/once/claim.c
@@ -81,10 +81,11 @@
 
 static bool apply_claim(Once *o, ClaimShard *s, QueuedClaim *c) {
   const ClaimEntry *e = find_entry(o, s, c->key);
-  bool ours = e && e->nonce == c->nonce;
+  bool same_run = e && e->nonce == c->nonce;
   once_answer_clear(&c->answer);
-  if (ours) { /* an earlier write succeeded unnoticed, or the run
-                released its claim since */
+  /* The reply to an earlier write was lost, or the run has released its claim
+     since. */
+  if (same_run) {
     c->verdict = e->state == CLAIM_RELEASED ? ONCE_NO_CLAIM : ONCE_RUN;
     return false;
   }
@@ -118,9 +119,9 @@
    run must not take effect, because no instance would ever run it. */
 static bool apply_release(Once *o, ClaimShard *s, const QueuedClaim *c) {
   const ClaimEntry *e = find_entry(o, s, c->key);
-  bool ours = e && e->nonce == c->nonce;
-  if (e && !ours && e->state != CLAIM_RELEASED) return false;
-  if (ours && e->state != CLAIM_OPEN) return false;
+  bool same_run = e && e->nonce == c->nonce;
+  if (e && !same_run && e->state != CLAIM_RELEASED) return false;
+  if (same_run && e->state != CLAIM_OPEN) return false;
   ClaimEntry *new = claimdoc_edit_entry(s->doc, c->key);
   new->nonce = c->nonce;
   new->digest = c->digest;
--- a/packages/once/keeper.c
+++ b/packages/once/keeper.c
@@ -138,8 +138,8 @@
 
 void keeper_copy_acked(Once *o, const char *from, const OnceMsg *m) {
   PendingBill *b = g_hash_table_lookup(o->bills_by_key, &m->key);
-  bool ours = b && b->summary.nonce == m->nonce && b->backup;
-  if (!ours || strcmp(b->backup, from) != 0) return;
+  bool same_run = b && b->summary.nonce == m->nonce && b->backup;
+  if (!same_run || strcmp(b->backup, from) != 0) return;
   b->backup_confirmed = true;
   if (b->runner_waits) send_finish_ack(o, b->runner, m, false);
   b->runner_waits = false;
--- a/packages/once/run.c
+++ b/packages/once/run.c
@@ -65,8 +65,8 @@
 void run_claim_decided(Once *o, uint64_t handle, uint64_t nonce, OnceVerdict v,
                        const OnceAnswer *answer) {
   Run *r = find_run(o, handle);
-  bool waits = r && r->nonce == nonce && r->state == RUN_CLAIMING;
-  if (!waits) return;
+  bool is_waiting = r && r->nonce == nonce && r->state == RUN_CLAIMING;
+  if (!is_waiting) return;
   if (v == ONCE_RUN) r->claimed = true;
   if (v != ONCE_RUN) send_abort(o, r);
   answer_run(o, r, v, answer);
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -215,8 +215,8 @@
   begin_request(d, 0);
   advance(d, 1);
   cr_assert_eq(d->replayed, 1);
-  for (int i = 0; i < 200;
-       i++) { /* keeps the shard in use, so that the home does not drop it */
+  for (int i = 0; i < 200; i++) {
+    /* Keeps the shard in use, so that the home does not drop it. */
     begin_request(d, 200 + i);
     d->now += 50;
     once_tick(d->core, d->now, d->unix_s + (int64_t)d->now);
