--- a/packages/once/bill.c
+++ b/packages/once/bill.c
@@ -1,4 +1,4 @@
-/* bill.c: batches of bill lines as text. */
+/* bill.c: encoding and decoding of batches of bills. */
 #include "once/bill.h"
 
 #include <glib.h>
@@ -7,22 +7,23 @@
 
 #include "kernel/text.h"
 
-/* {"t": first, "budgets": [[budget, customer, [key, tokens, seconds after t],
-   ...], ...]}; the customer is "" where the budget's name begins with it. */
+/* Format: {"t": earliest time, "budgets": [[budget, customer, [key, tokens,
+   seconds after t], ...], ...]}. The customer is "" if the budget's name begins
+   with it. */
 
-/* == to text == */
+/* == encoding == */
 
-static bool begins_with(const char *budget, const char *customer) {
+static bool has_customer_prefix(const char *budget, const char *customer) {
   size_t n = strlen(customer);
   return strncmp(budget, customer, n) == 0 && budget[n] == '/';
 }
 
-/* The group of a line's customer and budget, made if needed. */
+/* Returns the group of a bill's customer and budget, created if needed. */
 static json_t *group_of(GHashTable *groups, json_t *budgets,
                         const BillItem *item) {
   const char *budget = item->budget;
-  bool within = begins_with(budget, item->customer);
-  const char *customer = within ? "" : item->customer;
+  bool has_prefix = has_customer_prefix(budget, item->customer);
+  const char *customer = has_prefix ? "" : item->customer;
   char *name = g_strconcat(customer, "\n", budget, NULL);
   json_t *group = g_hash_table_lookup(groups, name);
   if (group) {
@@ -35,7 +36,7 @@
   return group;
 }
 
-char *bill_text(const BillItem *list, int n) {
+char *bill_encode_batch(const BillItem *list, int n) {
   GHashTable *groups =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   json_t *budgets = json_array();
@@ -52,36 +53,37 @@
       json_pack("{s:I,s:o}", "t", (json_int_t)first, "budgets", budgets));
 }
 
-/* == from text == */
+/* == decoding == */
 
-static void each_line(json_t *group, int64_t first,
-                      void (*fn)(void *ctx, const BillItem *item), void *ctx) {
+static void decode_group(json_t *group, int64_t first,
+                         void (*fn)(void *ctx, const BillItem *item),
+                         void *ctx) {
   const char *budget = json_string_value(json_array_get(group, 0));
   const char *customer = json_string_value(json_array_get(group, 1));
   if (!customer || !budget) return;
-  char *within = customer[0] ? g_strdup(customer)
-                             : g_strndup(budget, strcspn(budget, "/"));
+  char *has_prefix = customer[0] ? g_strdup(customer)
+                                 : g_strndup(budget, strcspn(budget, "/"));
   for (size_t i = 2; i < json_array_size(group); i++) {
-    json_t *line = json_array_get(group, i);
-    BillItem x = {.key = json_string_value(json_array_get(line, 0)),
-                  .customer = within,
+    json_t *bill = json_array_get(group, i);
+    BillItem x = {.key = json_string_value(json_array_get(bill, 0)),
+                  .customer = has_prefix,
                   .budget = budget,
-                  .tokens = json_integer_value(json_array_get(line, 1)),
+                  .tokens = json_integer_value(json_array_get(bill, 1)),
                   .unix_s =
-                      first + json_integer_value(json_array_get(line, 2))};
+                      first + json_integer_value(json_array_get(bill, 2))};
     if (x.key) fn(ctx, &x);
   }
-  g_free(within);
+  g_free(has_prefix);
 }
 
-bool bill_each(const char *text, void (*fn)(void *ctx, const BillItem *item),
-               void *ctx) {
+bool bill_decode_batch(const char *text,
+                       void (*fn)(void *ctx, const BillItem *item), void *ctx) {
   json_t *o = json_loads(text, 0, NULL), *group;
   json_t *budgets = json_object_get(o, "budgets");
   bool ok = json_is_array(budgets);
   int64_t first = json_integer_value(json_object_get(o, "t"));
   size_t i;
-  json_array_foreach(budgets, i, group) each_line(group, first, fn, ctx);
+  json_array_foreach(budgets, i, group) decode_group(group, first, fn, ctx);
   json_decref(o);
   return ok;
 }
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -65,7 +65,7 @@
                .key = {1, 2},
                .nonce = 3,
                .digest = 4,
-               .doubled = true,
+               .duplicate = true,
                .answer = {.status = 200, .body = (char *)"body", .len = 4}};
   g_strlcpy(m.bill.customer, "acme", sizeof m.bill.customer);
   g_strlcpy(m.bill.budget, "acme", sizeof m.bill.budget);
@@ -288,7 +288,7 @@
 
 static void same_again(const StoredKind *k, const char *text,
                        const char *golden) {
-  char *again = k->again(text);
+  char *again = k->reencode(text);
   cr_assert_not_null(again, "%s: %s", k->name, REMEDY);
   cr_assert_str_eq(again, golden, "%s: %s", k->name, REMEDY);
   g_free(again);
