--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -224,11 +224,11 @@
   View *v = slopes_view(n);
   double h0 = slopes_heap();
   MemberSet *s = member_new(&v->list[0]);
-  for (int i = 1; i < n; i++) member_heard(s, 1, &v->list[i]);
+  for (int i = 1; i < n; i++) member_receive_heartbeat(s, 1, &v->list[i]);
   slopes_out("member bytes", n, (slopes_heap() - h0) / n);
   double t = slopes_ns();
   for (int k = 0; k < 100; k++)
-    for (int i = 1; i < n; i++) member_heard(s, 2 + k, &v->list[i]);
+    for (int i = 1; i < n; i++) member_receive_heartbeat(s, 2 + k, &v->list[i]);
   slopes_out("heartbeat taken ns", n, (slopes_ns() - t) / 100 / n);
   Ledger *l = ledger_new(v->list[1].id, v->list[1].region, 1);
   t = slopes_ns();
--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -267,7 +267,7 @@
         list, json_pack("{s:s,s:s,s:s,s:s,s:s,s:b,s:I,s:f}", "id", m->id,
                         "region", m->region, "datacentre", m->dc, "http",
                         m->http, "peer", m->peer, "leaving", (int)m->leaving,
-                        "table", (json_int_t)m->table, "stuck_s", m->stuck_s));
+                        "table", (json_int_t)m->table, "stuck_s", m->table_stale_s));
   }
   view_free(v);
   return list;
--- a/packages/fleet/cluster.c
+++ b/packages/fleet/cluster.c
@@ -137,7 +137,7 @@
 }
 
 static int rank_of_self(const Cluster *c) {
-  const char *self = gossip_me(c->members)->id;
+  const char *self = gossip_get_self(c->members)->id;
   int i = 0;
   while (i < c->view->n && strcmp(c->view->list[i].id, self) < 0) i++;
   return i;
@@ -152,12 +152,12 @@
   spread_free(c->spread);
   view_free(c->view);
   c->view = gossip_view(c->members);
-  c->spread = spread_new(c->view, gossip_me(c->members));
+  c->spread = spread_new(c->view, gossip_get_self(c->members));
   c->viewed = version;
   c->changed = now;
   log_info("view", "s:i", "members", c->view->n);
   remember_ids(c);
-  readers_view(c->readers, c->view);
+  readers_update_view(c->readers, c->view);
   tallies_view(c->tallies, now, c->view);
   c->ev.instances(c->ctx, rank_of_self(c), c->view->n);
   if (!c->settled) return;
@@ -183,9 +183,9 @@
 /* Sends what the core of members wants to be sent. */
 static void act_members(Cluster *c) {
   GossipAction a;
-  while (gossip_next(c->members, &a)) {
-    if (a.is_news)
-      peer_news(c->peer, a.to, a.id, &a.news);
+  while (gossip_take_action(c->members, &a)) {
+    if (a.is_update)
+      peer_news(c->peer, a.to, a.id, &a.update);
     else
       peer_gossip(c->peer, a.to, a.id, &a.msg);
   }
@@ -196,7 +196,7 @@
 /* Somebody has had a newer one for a while: the store is out of our reach. */
 static void ask_conf(Cluster *c) {
   double now = now_of(c);
-  const Member *newer = gossip_newer(c->members, c->conf);
+  const Member *newer = gossip_find_newer_table(c->members, c->conf);
   if (!newer) c->conf_behind = now;
   if (!newer || now - c->conf_behind < CONF_ASK_S) return;
   if (now - c->conf_asked < CONF_ASK_S) return;
@@ -244,7 +244,7 @@
 /* Hands it on to those of our region whom we are to care for. */
 static void hand_on(Cluster *c, const char *until, SendCopy send,
                     const void *msg) {
-  SpreadPart part[SPREAD_FAN];
+  SpreadPart part[SPREAD_FANOUT];
   int n = c->spread ? spread_split(c->spread, until, part) : 0;
   for (int i = 0; i < n; i++) send(c, part[i].to, part[i].until, msg);
 }
@@ -266,7 +266,7 @@
 /* One member of each other region tells the others there; `name` chooses. */
 static void tell_regions(Cluster *c, uint64_t name, SendCopy send,
                          const void *msg) {
-  const Member *me = gossip_me(c->members);
+  const Member *me = gossip_get_self(c->members);
   for (int i = 0; i < c->view->n; i++) {
     const char *region = c->view->list[i].region;
     if (strcmp(region, me->region) == 0 || region_is_known(c->view, i))
@@ -281,7 +281,7 @@
   bool to_us = feed->kind == CODEC_FEED_ASK || feed->kind == CODEC_FEED_PART;
   if (!to_us) hand_on(c, feed->until, send_feed, feed);
   if (!to_us && reader)
-    readers_heard(c->readers, now_of(c), reader, feed->word);
+    readers_note_report(c->readers, now_of(c), reader, feed->word);
   c->ev.feed(c->ctx, from, feed);
 }
 
@@ -290,7 +290,7 @@
 #define SUSPECT_HOMES 2 /* that count its marks: one may be lost with them */
 
 static bool is_self(const Cluster *c, const Member *m) {
-  return strcmp(m->id, gossip_me(c->members)->id) == 0;
+  return strcmp(m->id, gossip_get_self(c->members)->id) == 0;
 }
 
 static void tell_homes(Cluster *c, const SuspectsMsg *m) {
@@ -348,7 +348,7 @@
   Cluster *c = ctx;
   if (m->type == CODEC_NEWS || m->type == CODEC_GOSSIP) {
     if (m->type == CODEC_NEWS)
-      gossip_news(c->members, now_of(c), from, &m->news);
+      gossip_receive_update(c->members, now_of(c), from, &m->news);
     else
       gossip_receive(c->members, now_of(c), from, &m->gossip);
     act_members(c);
@@ -413,7 +413,7 @@
   (void)revents;
   Cluster *c = w->data;
   double now = now_of(c);
-  gossip_self(c->members, c->leaving, c->conf);
+  gossip_update_self(c->members, c->leaving, c->conf);
   gossip_tick(c->members, now);
   act_members(c);
   refresh_view(c);
@@ -433,7 +433,7 @@
 
 /* Only the IP counts: all instances use the same port for each other. */
 static void read_seeds(Cluster *c, const char *seeds) {
-  const char *port = strrchr(gossip_me(c->members)->peer, ':');
+  const char *port = strrchr(gossip_get_self(c->members)->peer, ':');
   char **list = g_strsplit(seeds, ",", -1);
   for (int i = 0; list[i]; i++) {
     char peer[LIMIT_NAME];
@@ -441,7 +441,7 @@
     ip[strcspn(ip, ":")] = '\0';
     if (!ip[0]) continue;
     g_snprintf(peer, sizeof peer, "tcp://%s%s", ip, port);
-    gossip_seed(c->members, now_of(c), peer);
+    gossip_add_seed(c->members, now_of(c), peer);
   }
   g_strfreev(list);
 }
@@ -513,21 +513,21 @@
   return duty;
 }
 
-void cluster_met(Cluster *c, ReadersWord word) {
-  readers_met(c->readers, now_of(c), word);
+void cluster_met(Cluster *c, ReadersStoreResult word) {
+  readers_note_own_call(c->readers, now_of(c), word);
 }
 
 bool cluster_knocks(Cluster *c) {
-  return readers_knocks(c->readers, now_of(c));
+  return readers_probe_is_due(c->readers, now_of(c));
 }
 
 bool cluster_asks(Cluster *c) {
-  return readers_asks(c->readers, now_of(c));
+  return readers_request_is_due(c->readers, now_of(c));
 }
 
 /* The next other instance of our region from *i on; NULL: none. */
 static const Member *next_near(const Cluster *c, int *i) {
-  const Member *me = gossip_me(c->members);
+  const Member *me = gossip_get_self(c->members);
   while (*i < c->view->n) {
     const Member *m = &c->view->list[(*i)++];
     bool near = strcmp(m->region, me->region) == 0;
@@ -538,7 +538,7 @@
 
 void cluster_feed(Cluster *c, const CodecFeed *feed) {
   CodecFeed ours = *feed;
-  ours.reader = text_hash(gossip_me(c->members)->id);
+  ours.reader = text_hash(gossip_get_self(c->members)->id);
   ours.until[0] = '\0';
   hand_on(c, ours.until, send_feed, &ours);
 }
@@ -547,7 +547,7 @@
   const Member *m = view_find(c->view, id);
   CodecFeed copy = *feed;
   if (!m) return;
-  spread_alone(m, copy.until);
+  spread_single_end(m, copy.until);
   peer_feed(c->peer, m->peer, m->id, &copy);
 }
 
@@ -633,7 +633,7 @@
 
 void cluster_drain(Cluster *c) {
   c->leaving = true;
-  gossip_self(c->members, true, c->conf);
+  gossip_update_self(c->members, true, c->conf);
   ledger_drain(c->ledger, now_of(c));
 }
 
--- a/packages/fleet/cluster.h
+++ b/packages/fleet/cluster.h
@@ -61,7 +61,7 @@
 /* Whether this instance reads the store, and for whom. */
 ReadersDuty cluster_duty(Cluster *c);
 /* How the store met a call of the one who reads it. */
-void cluster_met(Cluster *c, ReadersWord word);
+void cluster_met(Cluster *c, ReadersStoreResult word);
 /* readers_knocks and readers_asks, of our readers. */
 bool cluster_knocks(Cluster *c);
 bool cluster_asks(Cluster *c);
--- a/packages/fleet/fleet.c
+++ b/packages/fleet/fleet.c
@@ -86,7 +86,7 @@
   char id[LIMIT_ID];
   if (m->type == CODEC_BEAT) {
     pthread_mutex_lock(&f->lock);
-    f->changed |= member_heard(f->members, clock_now(), &m->beat);
+    f->changed |= member_receive_heartbeat(f->members, clock_now(), &m->beat);
     pthread_mutex_unlock(&f->lock);
     return;
   }
@@ -136,7 +136,7 @@
 static void refresh_view(Fleet *f) {
   pthread_mutex_lock(&f->lock);
   double now = clock_now();
-  f->changed |= member_self(f->members, f->leaving, f->table);
+  f->changed |= member_update_self(f->members, f->leaving, f->table);
   f->changed |= member_tick(f->members, now);
   if (!f->changed && now - f->viewed < VIEW_S) {
     pthread_mutex_unlock(&f->lock);
@@ -146,7 +146,7 @@
   f->viewed = now;
   View *v = member_view(f->members, now);
   /* Table versions change far more often than members; no core needs them. */
-  bool same = view_same(v, f->view);
+  bool same = view_same_members(v, f->view);
   view_free(f->view);
   f->view = v;
   if (!same) remember_ids(f, v);
@@ -160,13 +160,13 @@
 }
 
 static void send_beats(Fleet *f) {
-  GArray *due = g_array_new(FALSE, FALSE, sizeof(MemberBeat));
+  GArray *due = g_array_new(FALSE, FALSE, sizeof(MemberHeartbeat));
   pthread_mutex_lock(&f->lock);
-  member_beats(f->members, clock_now(), due);
-  Member me = *member_me(f->members);
+  member_collect_heartbeats(f->members, clock_now(), due);
+  Member me = *member_get_self(f->members);
   for (guint i = 0; i < due->len; i++) {
-    const MemberBeat *b = &g_array_index(due, MemberBeat, i);
-    me.every_s = b->every_s;
+    const MemberHeartbeat *b = &g_array_index(due, MemberHeartbeat, i);
+    me.heartbeat_interval_s = b->heartbeat_interval_s;
     peer_beat(f->peer, b->to, &me);
   }
   pthread_mutex_unlock(&f->lock);
@@ -302,7 +302,7 @@
 
 void fleet_listed(Fleet *f, const MemberSeed *list, int n) {
   pthread_mutex_lock(&f->lock);
-  f->changed |= member_listed(f->members, clock_now(), list, n);
+  f->changed |= member_apply_list(f->members, clock_now(), list, n);
   pthread_mutex_unlock(&f->lock);
 }
 
@@ -422,7 +422,7 @@
 void fleet_drain(Fleet *f) {
   pthread_mutex_lock(&f->lock);
   f->leaving = true;
-  member_urgent(f->members);
+  member_expedite_heartbeats(f->members);
   pthread_mutex_unlock(&f->lock);
   refresh_view(f);
   send_beats(f);
--- a/packages/ledger/home.c
+++ b/packages/ledger/home.c
@@ -406,7 +406,7 @@
 static bool our_duty(const Ledger *l, const ShardState *s,
                      const ShardGrant *g) {
   if (strcmp(g->region, l->region) == 0) return ledger_ours(l, s->index);
-  if (view_count(l->view, g->region) > 0) return false;
+  if (view_count_members(l->view, g->region) > 0) return false;
   const Member *m = view_home(l->view, NULL, l->keys[s->index], 0);
   return m && strcmp(m->id, l->self) == 0;
 }
--- a/packages/ledger/ledger.c
+++ b/packages/ledger/ledger.c
@@ -176,8 +176,8 @@
   bool small = v->n <= MEMBER_SMALL;
   l->account_s = small ? LEDGER_ACCOUNT_SMALL : LEDGER_ACCOUNT_S;
   l->agreed_s = small ? LEDGER_ACCOUNT_SMALL : LEDGER_AGREED_S;
-  l->regions = view_regions(v);
-  l->near = view_count(v, l->region);
+  l->regions = view_count_regions(v);
+  l->near = view_count_members(v, l->region);
   l->views++;
   finish(l);
 }
--- a/packages/member/catchup.c
+++ b/packages/member/catchup.c
@@ -3,52 +3,56 @@
 
 #include <math.h>
 
-void catchup_start(Catchup *c, double now, double stale_s) {
-  double never = now - fmax(stale_s, CATCHUP_AWAY_S);
-  *c = (Catchup){
-      .stale_s = stale_s, .told = never, .read = never, .away = never};
+void catchup_init(Catchup *c, double now, double stale_s) {
+  double never = now - fmax(stale_s, CATCHUP_UNAVAILABLE_S);
+  *c = (Catchup){.stale_s = stale_s,
+                 .contiguous_at = never,
+                 .read_at = never,
+                 .unavailable_at = never};
 }
 
-void catchup_told(Catchup *c, double now, bool leads_on) {
-  c->read = now;
+void catchup_note_read(Catchup *c, double now, bool leads_on) {
+  c->read_at = now;
   if (leads_on) {
-    c->told = now;
-    c->since = 0;
-  } else if (c->since == 0) {
-    c->since = now;
+    c->contiguous_at = now;
+    c->missing_since = 0;
+  } else if (c->missing_since == 0) {
+    c->missing_since = now;
   }
 }
 
-void catchup_away(Catchup *c, double now) {
-  c->away = now;
+void catchup_note_unavailable(Catchup *c, double now) {
+  c->unavailable_at = now;
 }
 
-void catchup_missed(Catchup *c, double now) {
-  c->told = now - c->stale_s;
-  if (c->since == 0) c->since = now;
+void catchup_note_gap(Catchup *c, double now) {
+  c->contiguous_at = now - c->stale_s;
+  if (c->missing_since == 0) c->missing_since = now;
 }
 
-void catchup_answered(Catchup *c) {
-  c->since = 0;
+void catchup_note_answer(Catchup *c) {
+  c->missing_since = 0;
 }
 
-bool catchup_is_behind(const Catchup *c) {
-  return c->since > 0;
+bool catchup_is_lagging(const Catchup *c) {
+  return c->missing_since > 0;
 }
 
 /* One word that something was read outweighs any number that nothing was: who
    hears one reader that is cut off and two that are not must not wait. */
-bool catchup_store_is_away(const Catchup *c, double now) {
-  return now - c->away < CATCHUP_AWAY_S && now - c->read >= c->stale_s;
+bool catchup_store_is_unavailable(const Catchup *c, double now) {
+  return now - c->unavailable_at < CATCHUP_UNAVAILABLE_S &&
+         now - c->read_at >= c->stale_s;
 }
 
 /* Who is behind asks as long as anybody reads. Where nobody does, one more
    question would not be answered either, and each is priced. */
-bool catchup_rests(const Catchup *c, double now) {
-  if (now - c->told < c->stale_s) return !catchup_is_behind(c);
-  return catchup_store_is_away(c, now);
+bool catchup_can_skip_store(const Catchup *c, double now) {
+  if (now - c->contiguous_at < c->stale_s) return !catchup_is_lagging(c);
+  return catchup_store_is_unavailable(c, now);
 }
 
-double catchup_until(const Catchup *c) {
-  return fmax(c->told + c->stale_s, c->away + CATCHUP_AWAY_S);
+double catchup_skip_until(const Catchup *c) {
+  return fmax(c->contiguous_at + c->stale_s,
+              c->unavailable_at + CATCHUP_UNAVAILABLE_S);
 }
--- a/packages/member/catchup.h
+++ b/packages/member/catchup.h
@@ -8,33 +8,34 @@
 
 /* Seconds for which a reader's word counts that the store does not answer it:
    two such words, and the way. */
-#define CATCHUP_AWAY_S 1.5
+#define CATCHUP_UNAVAILABLE_S 1.5
 
 typedef struct Catchup {
-  double stale_s; /* a reader's message counts for so long */
-  double told;    /* the last one that led on from what is known here */
-  double read;    /* the last one at all */
-  double away;    /* a reader last said that the store does not answer it */
-  double since;   /* something is missing from then on; 0: nothing is */
+  double stale_s;       /* a reader's message counts for so long */
+  double contiguous_at; /* the last one that led on from what is known here */
+  double read_at;       /* the last one at all */
+  double
+      unavailable_at; /* a reader last said that the store does not answer it */
+  double missing_since; /* something is missing from then on; 0: nothing is */
 } Catchup;
 
-void catchup_start(Catchup *c, double now, double stale_s);
+void catchup_init(Catchup *c, double now, double stale_s);
 /* A reader told what it read; `leads_on`: nothing is missing between what is
    known here and that. */
-void catchup_told(Catchup *c, double now, bool leads_on);
+void catchup_note_read(Catchup *c, double now, bool leads_on);
 /* A reader said that the store does not answer it. */
-void catchup_away(Catchup *c, double now);
+void catchup_note_unavailable(Catchup *c, double now);
 /* We stood still, and may have missed anything. */
-void catchup_missed(Catchup *c, double now);
+void catchup_note_gap(Catchup *c, double now);
 /* The store answered us: nothing is missing. */
-void catchup_answered(Catchup *c);
+void catchup_note_answer(Catchup *c);
 
-bool catchup_is_behind(const Catchup *c);
+bool catchup_is_lagging(const Catchup *c);
 /* All readers that are heard say that the store does not answer. */
-bool catchup_store_is_away(const Catchup *c, double now);
+bool catchup_store_is_unavailable(const Catchup *c, double now);
 /* There is nothing to ask the store at present. */
-bool catchup_rests(const Catchup *c, double now);
+bool catchup_can_skip_store(const Catchup *c, double now);
 /* Until then, unless a message comes. */
-double catchup_until(const Catchup *c);
+double catchup_skip_until(const Catchup *c);
 
 #endif
--- a/packages/member/gossip.c
+++ b/packages/member/gossip.c
@@ -105,7 +105,7 @@
 }
 
 static bool is_there(const Entry *e) {
-  return e->state != GOSSIP_GONE;
+  return e->state != GOSSIP_DEAD;
 }
 
 static void changed(Gossip *g) {
@@ -130,11 +130,11 @@
   return false;
 }
 
-static Entry *add_entry(Gossip *g, const GossipNews *n) {
+static Entry *add_entry(Gossip *g, const GossipUpdate *n) {
   Entry *e = g_new0(Entry, 1);
   e->m = n->m;
   e->hash = text_hash(n->m.id);
-  e->life = n->life;
+  e->life = n->generation;
   e->state = n->state;
   g_hash_table_insert(g->entries, &e->hash, e);
   return e;
@@ -282,15 +282,16 @@
 
 static void send_news(Gossip *g, const char *to, uint64_t id, const Entry *e) {
   GossipAction *a = act(g, to, id);
-  a->is_news = true;
-  a->news = (GossipNews){.m = e->m, .life = e->life, .state = e->state};
+  a->is_update = true;
+  a->update =
+      (GossipUpdate){.m = e->m, .generation = e->life, .state = e->state};
 }
 
 static void send_msg(Gossip *g, const char *to, uint64_t id, GossipKind kind,
                      uint64_t about) {
   GossipAction *a = act(g, to, id);
   a->msg = (GossipMsg){.kind = kind,
-                       .about = about,
+                       .subject = about,
                        .digest = digest(g),
                        .table = g->self->m.table};
 }
@@ -319,9 +320,9 @@
   g_hash_table_iter_init(&it, g->entries);
   while (g_hash_table_iter_next(&it, NULL, &v))
     send_news(g, to->m.peer, to->hash, v);
-  send_msg(g, to->m.peer, to->hash, GOSSIP_ALL, 0);
+  send_msg(g, to->m.peer, to->hash, GOSSIP_FULL_STATE, 0);
   GossipAction *last = g_queue_peek_tail(&g->actions);
-  last->msg.answer = answer;
+  last->msg.is_reply = answer;
 }
 
 static void send_some(Gossip *g, const Entry *to) {
@@ -334,10 +335,10 @@
 /* == what is said of members == */
 
 /* Only we can say that we are there after all, or that we leave. */
-static void about_self(Gossip *g, const GossipNews *n) {
+static void about_self(Gossip *g, const GossipUpdate *n) {
   Entry *self = g->self;
-  if (n->life < self->life || n->state == GOSSIP_ALIVE) return;
-  self->life = n->life + 1;
+  if (n->generation < self->life || n->state == GOSSIP_ALIVE) return;
+  self->life = n->generation + 1;
   freshen(g, self);
 }
 
@@ -350,17 +351,17 @@
     Entry *e = v;
     if (e == now_there || e == g->self || !is_there(e)) continue;
     if (strcmp(e->m.peer, now_there->m.peer) != 0) continue;
-    enter(g, e, GOSSIP_GONE);
+    enter(g, e, GOSSIP_DEAD);
     changed(g);
   }
 }
 
-static bool counts_more(const GossipNews *n, const Entry *e) {
-  if (n->life != e->life) return n->life > e->life;
+static bool counts_more(const GossipUpdate *n, const Entry *e) {
+  if (n->generation != e->life) return n->generation > e->life;
   return n->state > e->state;
 }
 
-static Entry *take_news(Gossip *g, const GossipNews *n) {
+static Entry *take_news(Gossip *g, const GossipUpdate *n) {
   Entry *e = find(g, text_hash(n->m.id));
   if (!e) {
     e = add_entry(g, n);
@@ -373,13 +374,14 @@
   uint64_t table = e->m.table;
   e->m = n->m;
   e->m.table = table;
-  e->life = n->life;
+  e->life = n->generation;
   enter(g, e, n->state);
   if (was != is_there(e) || left != e->m.leaving) changed(g);
   return e;
 }
 
-void gossip_news(Gossip *g, double now, uint64_t from, const GossipNews *n) {
+void gossip_receive_update(Gossip *g, double now, uint64_t from,
+                           const GossipUpdate *n) {
   uint64_t hash = text_hash(n->m.id);
   g->now = now;
   if (hash == g->self->hash) {
@@ -388,7 +390,7 @@
   }
   bool known = find(g, hash) != NULL;
   Entry *e = take_news(g, n);
-  if (e->life == n->life && e->state == n->state) note_teller(e, from);
+  if (e->life == n->generation && e->state == n->state) note_teller(e, from);
   if (hash != from) return;
   if (!is_there(e)) { /* it does not know yet that it counts as lost */
     send_news(g, n->m.peer, hash, e);
@@ -417,7 +419,8 @@
     Favour f = g_array_index(g->favours, Favour, i);
     if (f.about != hash) continue;
     const Entry *asker = find(g, f.asker);
-    if (asker) send_msg(g, asker->m.peer, asker->hash, GOSSIP_SEEN, f.about);
+    if (asker)
+      send_msg(g, asker->m.peer, asker->hash, GOSSIP_INDIRECT_ACK, f.about);
     g_array_remove_index_fast(g->favours, i);
   }
 }
@@ -436,8 +439,8 @@
     g->differs = 0;
     return;
   }
-  if (m->kind == GOSSIP_ALL) {
-    if (!m->answer) send_all(g, with, true);
+  if (m->kind == GOSSIP_FULL_STATE) {
+    if (!m->is_reply) send_all(g, with, true);
     return;
   }
   if (g->differs == 0) g->differs = g->now;
@@ -455,10 +458,10 @@
   do_favours(g, from);
   switch (m->kind) {
   case GOSSIP_PING: send_word(g, e, GOSSIP_ACK); break;
-  case GOSSIP_HELP: help(g, from, m->about); return;
-  case GOSSIP_SEEN: drop_probe(g, m->about); return;
+  case GOSSIP_PING_REQUEST: help(g, from, m->subject); return;
+  case GOSSIP_INDIRECT_ACK: drop_probe(g, m->subject); return;
   case GOSSIP_ACK:
-  case GOSSIP_ALL:
+  case GOSSIP_FULL_STATE:
   case GOSSIP_KINDS: break;
   }
   if (is_there(e)) compare(g, e, m);
@@ -470,7 +473,7 @@
   for (int i = 0; i < HELPERS; i++) {
     const Entry *e = anyone(g);
     if (e && e != about)
-      send_msg(g, e->m.peer, e->hash, GOSSIP_HELP, about->hash);
+      send_msg(g, e->m.peer, e->hash, GOSSIP_PING_REQUEST, about->hash);
   }
 }
 
@@ -505,7 +508,7 @@
   for (guint i = 0; i < g->ring->len; i++) {
     Entry *e = g->ring->pdata[i];
     if (e->state != GOSSIP_SUSPECT || g->now < e->until) continue;
-    enter(g, e, GOSSIP_GONE);
+    enter(g, e, GOSSIP_DEAD);
     changed(g);
   }
 }
@@ -522,7 +525,7 @@
   (void)key;
   const Entry *e = value;
   const Gossip *g = ctx;
-  return e->state == GOSSIP_GONE && !e->fresh && g->now >= e->until;
+  return e->state == GOSSIP_DEAD && !e->fresh && g->now >= e->until;
 }
 
 static void sweep(Gossip *g) {
@@ -618,7 +621,7 @@
   sweep(g);
 }
 
-bool gossip_next(Gossip *g, GossipAction *a) {
+bool gossip_take_action(Gossip *g, GossipAction *a) {
   GossipAction *next = g_queue_pop_head(&g->actions);
   if (!next) return false;
   *a = *next;
@@ -630,7 +633,7 @@
 
 Gossip *gossip_new(const Member *self, uint32_t seed) {
   Gossip *g = g_new0(Gossip, 1);
-  GossipNews n = {.m = *self, .life = 1, .state = GOSSIP_ALIVE};
+  GossipUpdate n = {.m = *self, .generation = 1, .state = GOSSIP_ALIVE};
   g->rng = g_rand_new_with_seed(seed);
   g->entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
   g->ring = g_ptr_array_new();
@@ -660,14 +663,14 @@
   g_free(g);
 }
 
-void gossip_seed(Gossip *g, double now, const char *peer) {
+void gossip_add_seed(Gossip *g, double now, const char *peer) {
   Seed s = {.since = now, .next_at = now, .wait_s = SEED_FIRST_S};
   if (strcmp(peer, g->self->m.peer) == 0) return;
   g_strlcpy(s.peer, peer, sizeof s.peer);
   g_array_append_val(g->seeds, s);
 }
 
-void gossip_self(Gossip *g, bool leaving, uint64_t table) {
+void gossip_update_self(Gossip *g, bool leaving, uint64_t table) {
   Entry *self = g->self;
   self->m.table = table;
   if (self->m.leaving == leaving) return;
@@ -679,7 +682,7 @@
 
 /* == look-ups == */
 
-const Member *gossip_me(const Gossip *g) {
+const Member *gossip_get_self(const Gossip *g) {
   return &g->self->m;
 }
 
@@ -699,7 +702,7 @@
 
 /* At random, since the newest may be the one that has just died: it would be
    asked in vain until it counts as lost, 3 s. */
-const Member *gossip_newer(Gossip *g, uint64_t table) {
+const Member *gossip_find_newer_table(Gossip *g, uint64_t table) {
   const Entry *pick = NULL;
   int n = 0;
   for (guint i = 0; i < g->ring->len; i++) {
--- a/packages/member/handover.c
+++ b/packages/member/handover.c
@@ -5,48 +5,49 @@
 
 #include <glib.h>
 
-bool handover_heard(Handover *h, double now, const char *neighbour) {
-  if (h->from[0]) return false;
-  g_strlcpy(h->from, neighbour, sizeof h->from);
-  h->next = (HandoverAsk){0};
-  h->asked = now;
+bool handover_try_neighbour(Handover *h, double now, const char *neighbour) {
+  if (h->source[0]) return false;
+  g_strlcpy(h->source, neighbour, sizeof h->source);
+  h->next = (HandoverRequest){0};
+  h->requested_at = now;
   h->tries = 1;
   return true;
 }
 
-bool handover_overdue(Handover *h, double now) {
-  if (!h->from[0] || now - h->asked < HANDOVER_AGAIN_S) return false;
-  if (h->tries == HANDOVER_TRIES) {
-    h->from[0] = '\0';
-    h->silent++;
+bool handover_retry_if_overdue(Handover *h, double now) {
+  if (!h->source[0] || now - h->requested_at < HANDOVER_RETRY_S) return false;
+  if (h->tries == HANDOVER_MAX_TRIES) {
+    h->source[0] = '\0';
+    h->unresponsive++;
     return false;
   }
   h->tries++;
-  h->asked = now;
+  h->requested_at = now;
   return true;
 }
 
-HandoverTake handover_took(Handover *h, double now, const char *from,
-                           uint64_t part, uint64_t at, bool more) {
+HandoverResult handover_receive_part(Handover *h, double now, const char *from,
+                                     uint64_t part, uint64_t at, bool more) {
   bool first = part == 0;
-  bool awaited = part == h->next.part && at == h->next.at;
-  if (strcmp(from, h->from) != 0 || !(first || awaited)) return HANDOVER_STRAY;
-  h->next = (HandoverAsk){.part = part + 1, .at = at};
-  h->asked = now;
+  bool awaited = part == h->next.part && at == h->next.revision;
+  if (strcmp(from, h->source) != 0 || !(first || awaited))
+    return HANDOVER_UNEXPECTED;
+  h->next = (HandoverRequest){.part = part + 1, .revision = at};
+  h->requested_at = now;
   h->tries = 1;
-  h->silent = 0;
-  if (!more) return HANDOVER_WHOLE;
-  return first ? HANDOVER_FIRST : HANDOVER_PART;
+  h->unresponsive = 0;
+  if (!more) return HANDOVER_LAST_PART;
+  return first ? HANDOVER_FIRST_PART : HANDOVER_NEXT_PART;
 }
 
-void handover_not_yet(Handover *h, const char *from) {
-  if (strcmp(from, h->from) != 0) return;
-  h->from[0] = '\0';
-  h->silent = 0;
+void handover_note_no_list(Handover *h, const char *from) {
+  if (strcmp(from, h->source) != 0) return;
+  h->source[0] = '\0';
+  h->unresponsive = 0;
 }
 
-bool handover_alone(const Handover *h, double now, double since,
-                    double chance) {
-  if (h->silent >= HANDOVER_SILENT) return true;
-  return now - since > HANDOVER_ALONE_S * (1 + chance);
+bool handover_must_read_store(const Handover *h, double now, double since,
+                              double chance) {
+  if (h->unresponsive >= HANDOVER_MAX_UNRESPONSIVE) return true;
+  return now - since > HANDOVER_FALLBACK_S * (1 + chance);
 }
--- a/packages/member/handover.h
+++ b/packages/member/handover.h
@@ -18,48 +18,50 @@
 
 /* A part that does not come is asked for again after so many seconds, once;
    then another neighbour is asked, and after two such the store. */
-#define HANDOVER_AGAIN_S 0.6
-#define HANDOVER_TRIES 2
-#define HANDOVER_SILENT 2
+#define HANDOVER_RETRY_S 0.6
+#define HANDOVER_MAX_TRIES 2
+#define HANDOVER_MAX_UNRESPONSIVE 2
 /* Nobody could give it for so long, in seconds, and up to twice as long: each
    by its own chance, so that they do not all ask the store at once. */
-#define HANDOVER_ALONE_S 8.0
+#define HANDOVER_FALLBACK_S 8.0
 /* One list is given out for so long, in seconds; what changed since is told
    with it. Its parts are made once for all who ask. */
-#define HANDOVER_KEEP_S 5.0
+#define HANDOVER_LIST_TTL_S 5.0
 
 /* What is asked for: a part, of the list as of a revision. */
-typedef struct HandoverAsk {
-  uint64_t part; /* 0 first */
-  uint64_t at;   /* of the list; 0 with part 0: any */
-} HandoverAsk;
+typedef struct HandoverRequest {
+  uint64_t part;     /* 0 first */
+  uint64_t revision; /* of the list; 0 with part 0: any */
+} HandoverRequest;
 
 /* Who takes. */
 typedef struct Handover {
-  char from[LIMIT_ID]; /* who is asked; "": nobody */
-  HandoverAsk next;    /* the part that is awaited */
-  double asked;
+  char source[LIMIT_ID]; /* who is asked; "": nobody */
+  HandoverRequest next;  /* the part that is awaited */
+  double requested_at;
   int tries;
-  int silent; /* neighbours that did not answer, in a row */
+  int unresponsive; /* neighbours that did not answer, in a row */
 } Handover;
 
 typedef enum {
-  HANDOVER_STRAY, /* it was not asked for: passed over */
-  HANDOVER_PART,  /* take it in, and ask for the next */
-  HANDOVER_FIRST, /* the same; what was taken in before is of another list */
-  HANDOVER_WHOLE  /* take it in: it is the last */
-} HandoverTake;
+  HANDOVER_UNEXPECTED, /* it was not asked for: passed over */
+  HANDOVER_NEXT_PART,  /* take it in, and ask for the next */
+  HANDOVER_FIRST_PART, /* the same; what was taken in before is of another list
+                        */
+  HANDOVER_LAST_PART   /* take it in: it is the last */
+} HandoverResult;
 
 /* A word came by way of this neighbour: whether to ask it (for `h->next`). */
-bool handover_heard(Handover *h, double now, const char *neighbour);
+bool handover_try_neighbour(Handover *h, double now, const char *neighbour);
 /* Whether to ask `h->from` once more. */
-bool handover_overdue(Handover *h, double now);
+bool handover_retry_if_overdue(Handover *h, double now);
 /* A part came. */
-HandoverTake handover_took(Handover *h, double now, const char *from,
-                           uint64_t part, uint64_t at, bool more);
+HandoverResult handover_receive_part(Handover *h, double now, const char *from,
+                                     uint64_t part, uint64_t at, bool more);
 /* It answered that it has nothing yet. */
-void handover_not_yet(Handover *h, const char *from);
+void handover_note_no_list(Handover *h, const char *from);
 /* Whether to ask the store. `chance` from 0 to 1, the same at each call. */
-bool handover_alone(const Handover *h, double now, double since, double chance);
+bool handover_must_read_store(const Handover *h, double now, double since,
+                              double chance);
 
 #endif
--- a/packages/member/member.c
+++ b/packages/member/member.c
@@ -85,7 +85,7 @@
   return dropped;
 }
 
-bool member_heard(MemberSet *s, double now, const Member *m) {
+bool member_receive_heartbeat(MemberSet *s, double now, const Member *m) {
   if (strcmp(m->id, s->self.id) == 0) return false;
   Peer *p = g_hash_table_lookup(s->peers, m->id);
   bool changed = !p;
@@ -115,7 +115,7 @@
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Peer *p = v;
     if (p->m.table >= s->self.table) p->moved = now;
-    double every_s = MAX(p->m.every_s, MEMBER_BEAT);
+    double every_s = MAX(p->m.heartbeat_interval_s, MEMBER_BEAT);
     if (now - p->heard < every_s * MEMBER_SILENT) continue;
     g_hash_table_iter_remove(&it);
     changed = true;
@@ -152,7 +152,7 @@
   return false;
 }
 
-void member_introduced(MemberSet *s, double now, const Member *m) {
+void member_add_introduced(MemberSet *s, double now, const Member *m) {
   if (known(s, m->peer) || s->seeds->len >= STRANGERS) return;
   MemberSeed seed = {0};
   g_strlcpy(seed.name, m->id, sizeof seed.name);
@@ -160,7 +160,8 @@
   add_seed(s, now, &seed)->stranger = true;
 }
 
-const Member *member_introduce(MemberSet *s, double now, const char *to) {
+const Member *member_pick_introduction(MemberSet *s, double now,
+                                       const char *to) {
   guint n = g_hash_table_size(s->peers);
   if (n < 2 || now - s->changed > INTRODUCE_S) return NULL;
   guint skip = ++s->introduced % n;
@@ -175,7 +176,8 @@
   return NULL;
 }
 
-bool member_listed(MemberSet *s, double now, const MemberSeed *list, int n) {
+bool member_apply_list(MemberSet *s, double now, const MemberSeed *list,
+                       int n) {
   bool changed = false;
   GPtrArray *old = s->seeds;
   s->seeds = g_ptr_array_new_with_free_func(g_free);
@@ -205,14 +207,14 @@
   return changed;
 }
 
-bool member_self(MemberSet *s, bool leaving, uint64_t table) {
+bool member_update_self(MemberSet *s, bool leaving, uint64_t table) {
   bool changed = s->self.leaving != leaving || s->self.table != table;
   s->self.leaving = leaving;
   s->self.table = table;
   return changed;
 }
 
-const Member *member_me(const MemberSet *s) {
+const Member *member_get_self(const MemberSet *s) {
   return &s->self;
 }
 
@@ -228,7 +230,7 @@
     const Peer *p = v;
     Member m = p->m;
     m.leaving = m.leaving || p->list_leaving;
-    m.stuck_s = m.table < s->self.table ? now - p->moved : 0;
+    m.table_stale_s = m.table < s->self.table ? now - p->moved : 0;
     g_array_append_val(all, m);
   }
   View *view = view_new((Member *)(void *)all->data, (int)all->len);
@@ -247,7 +249,7 @@
 }
 
 static void add_beat(GArray *out, const char *to, double every_s) {
-  MemberBeat b = {to, every_s};
+  MemberHeartbeat b = {to, every_s};
   g_array_append_val(out, b);
 }
 
@@ -290,7 +292,7 @@
   return false;
 }
 
-void member_beats(MemberSet *s, double now, GArray *out) {
+void member_collect_heartbeats(MemberSet *s, double now, GArray *out) {
   bool near = now >= s->next_near, far = now >= s->next_far;
   bool greet = s->greet && now >= s->next_greet;
   bool seeds = seed_due(s, now);
@@ -321,7 +323,7 @@
   if (far) s->next_far = now + far_s;
 }
 
-void member_urgent(MemberSet *s) {
+void member_expedite_heartbeats(MemberSet *s) {
   s->next_near = s->next_far = 0;
   for (guint i = 0; i < s->seeds->len; i++)
     ((Seed *)s->seeds->pdata[i])->next_at = 0;
--- a/packages/member/member.h
+++ b/packages/member/member.h
@@ -16,10 +16,10 @@
 } MemberSeed;
 
 /* A heartbeat to be sent; `to` is owned by the set until its next event. */
-typedef struct MemberBeat {
+typedef struct MemberHeartbeat {
   const char *to;
-  double every_s; /* what it promises */
-} MemberBeat;
+  double heartbeat_interval_s; /* what it promises */
+} MemberHeartbeat;
 
 typedef struct MemberSet MemberSet;
 
@@ -27,27 +27,28 @@
 void member_free(MemberSet *s);
 
 /* Events; true when the view changed. */
-bool member_heard(MemberSet *s, double now, const Member *m);
+bool member_receive_heartbeat(MemberSet *s, double now, const Member *m);
 bool member_tick(MemberSet *s, double now);
 /* Somebody else told us of `m`: it is greeted, and counts once it speaks. */
-void member_introduced(MemberSet *s, double now, const Member *m);
+void member_add_introduced(MemberSet *s, double now, const Member *m);
 /* Whom to tell the instance at `to` of with this heartbeat, NULL: nobody. For
    a while after the view changed each heartbeat introduces one other. */
-const Member *member_introduce(MemberSet *s, double now, const char *to);
+const Member *member_pick_introduction(MemberSet *s, double now,
+                                       const char *to);
 /* The list as read; a failed read is no event. */
-bool member_listed(MemberSet *s, double now, const MemberSeed *list, int n);
+bool member_apply_list(MemberSet *s, double now, const MemberSeed *list, int n);
 /* What we say of ourselves. */
-bool member_self(MemberSet *s, bool leaving, uint64_t table);
+bool member_update_self(MemberSet *s, bool leaving, uint64_t table);
 
-const Member *member_me(const MemberSet *s);
+const Member *member_get_self(const MemberSet *s);
 /* A copy of the present view, to be freed with view_free. */
 View *member_view(const MemberSet *s, double now);
 /* Adds the heartbeats that are due to `out` (MemberBeat): often within the
    region, rarely beyond, at once to whoever is new. Up to MEMBER_SMALL
    instances all hear alike, MEMBER_BEAT apart or as MEMBER_BYTES allow; a
    larger fleet spends MEMBER_NEAR and MEMBER_FAR. */
-void member_beats(MemberSet *s, double now, GArray *out);
+void member_collect_heartbeats(MemberSet *s, double now, GArray *out);
 /* All are due again: there is something that everybody should hear soon. */
-void member_urgent(MemberSet *s);
+void member_expedite_heartbeats(MemberSet *s);
 
 #endif
--- a/packages/member/readers.c
+++ b/packages/member/readers.c
@@ -30,7 +30,7 @@
   int members;             /* of the fleet */
   bool small;              /* the fleet */
   int n;
-  char choice[VIEW_HOMES][LIMIT_ID]; /* the first ones, of `n` */
+  char choice[VIEW_MAX_HOMES][LIMIT_ID]; /* the first ones, of `n` */
 };
 
 Readers *readers_new(const char *self, const char *region) {
@@ -60,42 +60,43 @@
 
 /* Seconds of a round in which each instance asks the store once. */
 static double round_s(const Readers *r) {
-  return MAX(READERS_KNOCK_S, r->members / READERS_TRIES);
+  return MAX(READERS_PROBE_INTERVAL_S, r->members / READERS_FLEET_CALLS_PER_S);
 }
 
 /* The store takes connections and does not answer there. */
 static void note_refused(Readers *r, double now) {
-  bool first = now - r->refused >= READERS_SILENT;
+  bool first = now - r->refused >= READERS_TIMEOUT_S;
   if (first) r->ask_at = now + r->phase * round_s(r);
   r->refused = now;
 }
 
-void readers_heard(Readers *r, double now, const char *id, ReadersWord word) {
+void readers_note_report(Readers *r, double now, const char *id,
+                         ReadersStoreResult word) {
   Word *w = word_of(r, now, id);
-  if (word == READERS_READ) {
+  if (word == READERS_STORE_ANSWERED) {
     w->well = w->read = now;
     w->away = 0;
     return;
   }
-  if (word == READERS_REFUSED) note_refused(r, now);
-  w->well = now - READERS_SILENT;
+  if (word == READERS_STORE_REFUSED) note_refused(r, now);
+  w->well = now - READERS_TIMEOUT_S;
   w->read = 0;
   w->away = now;
 }
 
-void readers_met(Readers *r, double now, ReadersWord word) {
-  if (word == READERS_READ) r->served = now;
-  if (word == READERS_REFUSED) note_refused(r, now);
+void readers_note_own_call(Readers *r, double now, ReadersStoreResult word) {
+  if (word == READERS_STORE_ANSWERED) r->served = now;
+  if (word == READERS_STORE_REFUSED) note_refused(r, now);
 }
 
-bool readers_knocks(Readers *r, double now) {
+bool readers_probe_is_due(Readers *r, double now) {
   if (now < r->knock_at) return false;
-  r->knock_at = now + READERS_KNOCK_S;
+  r->knock_at = now + READERS_PROBE_INTERVAL_S;
   return true;
 }
 
-bool readers_asks(Readers *r, double now) {
-  bool refused = now - r->refused < READERS_SILENT;
+bool readers_request_is_due(Readers *r, double now) {
+  bool refused = now - r->refused < READERS_TIMEOUT_S;
   if (refused && now < r->ask_at) return false;
   r->ask_at = now + round_s(r);
   return true;
@@ -107,11 +108,11 @@
   return *(double *)now - MAX(w->well, w->away) > FORGET_S;
 }
 
-void readers_view(Readers *r, const View *v) {
-  const Member *first[VIEW_HOMES];
+void readers_update_view(Readers *r, const View *v) {
+  const Member *first[VIEW_MAX_HOMES];
   r->members = v->n;
   r->small = v->n < FLEET_SMALL;
-  r->n = view_homes(v, r->region, KEY, first, VIEW_HOMES);
+  r->n = view_homes(v, r->region, KEY, first, VIEW_MAX_HOMES);
   for (int i = 0; i < r->n; i++)
     g_strlcpy(r->choice[i], first[i]->id, LIMIT_ID);
 }
@@ -122,31 +123,32 @@
   int before = 0;
   GHashTableIter it;
   gpointer id, word;
-  if (now - r->served >= READERS_SILENT) return false;
+  if (now - r->served >= READERS_TIMEOUT_S) return false;
   g_hash_table_iter_init(&it, r->heard);
   while (g_hash_table_iter_next(&it, &id, &word)) {
     const Word *w = word;
-    bool reads = w->read > 0 && now - w->read < READERS_SILENT;
+    bool reads = w->read > 0 && now - w->read < READERS_TIMEOUT_S;
     before += reads && strcmp(id, r->self) < 0;
   }
-  return before < READERS;
+  return before < READERS_PER_REGION;
 }
 
 ReadersDuty readers_duty(Readers *r, double now) {
   int well = 0, away = 0;
-  if (r->small) return READERS_OWN;
+  if (r->small) return READERS_DUTY_OWN;
   g_hash_table_foreach_remove(r->heard, is_old, &now);
-  for (int i = 0; well < READERS && well + away < READERS_MOST; i++) {
+  for (int i = 0; well < READERS_PER_REGION && well + away < READERS_MAX_TRYING;
+       i++) {
     /* We leave, or nobody of the first choices is heard. */
-    if (i == r->n) return READERS_OWN;
-    if (strcmp(r->choice[i], r->self) == 0) return READERS_ALL;
+    if (i == r->n) return READERS_DUTY_OWN;
+    if (strcmp(r->choice[i], r->self) == 0) return READERS_DUTY_ALL;
     /* Whoever was not looked for before has its time to speak. */
     const Word *w = word_of(r, now, r->choice[i]);
-    well += now - w->well < READERS_SILENT;
-    away += w->away > 0 && now - w->away < READERS_SILENT;
+    well += now - w->well < READERS_TIMEOUT_S;
+    away += w->away > 0 && now - w->away < READERS_TIMEOUT_S;
   }
   /* Only the first choices' own words count here: at the end of an outage all
      instances are answered at once, and would all begin to read. */
-  if (well < READERS && steps_in(r, now)) return READERS_ALL;
-  return READERS_NOTHING;
+  if (well < READERS_PER_REGION && steps_in(r, now)) return READERS_DUTY_ALL;
+  return READERS_DUTY_NONE;
 }
--- a/packages/member/spread.c
+++ b/packages/member/spread.c
@@ -5,22 +5,22 @@
 #include <string.h>
 
 typedef struct Place {
-  char name[SPREAD_PLACE]; /* "data centre/id" */
+  char name[SPREAD_PLACE_BYTES]; /* "data centre/id" */
   const Member *m;
 } Place;
 
 struct Spread {
   GArray *ring; /* Place, of the others of our region, in order from ours on */
-  char self[SPREAD_PLACE];
+  char self[SPREAD_PLACE_BYTES];
 };
 
 static void name_place(const Member *m, char *out) {
-  g_snprintf(out, SPREAD_PLACE, "%s/%s", m->dc, m->id);
+  g_snprintf(out, SPREAD_PLACE_BYTES, "%s/%s", m->dc, m->id);
 }
 
-void spread_alone(const Member *to, char out[SPREAD_PLACE]) {
+void spread_single_end(const Member *to, char out[SPREAD_PLACE_BYTES]) {
   name_place(to, out);
-  g_strlcat(out, "!", SPREAD_PLACE); /* nothing stands between */
+  g_strlcat(out, "!", SPREAD_PLACE_BYTES); /* nothing stands between */
 }
 
 /* The order of the ring as seen from `self`: whoever comes after it first. */
@@ -65,8 +65,8 @@
 }
 
 int spread_split(const Spread *s, const char *until,
-                 SpreadPart out[SPREAD_FAN]) {
-  guint n = before(s, until), parts = MIN(n, SPREAD_FAN);
+                 SpreadPart out[SPREAD_FANOUT]) {
+  guint n = before(s, until), parts = MIN(n, SPREAD_FANOUT);
   const char *end = until[0] ? until : s->self;
   for (guint i = 0; i < parts; i++) {
     const Place *first = &g_array_index(s->ring, Place, n * i / parts);
--- a/packages/member/spread.h
+++ b/packages/member/spread.h
@@ -10,21 +10,21 @@
 
 /* Copies that one instance sends: 295 instances are reached by three hands at
    most, and a lost one costs 17 others a message. */
-#define SPREAD_FAN 16
+#define SPREAD_FANOUT 16
 /* Bytes of the name of a place in the order of all. */
-#define SPREAD_PLACE (LIMIT_NAME + LIMIT_ID)
+#define SPREAD_PLACE_BYTES (LIMIT_NAME + LIMIT_ID)
 
 /* Who gets the message next, and the place before which its part ends. */
 typedef struct SpreadPart {
   const Member *to;
-  char until[SPREAD_PLACE];
+  char until[SPREAD_PLACE_BYTES];
 } SpreadPart;
 
 typedef struct Spread Spread;
 
 /* The end of a part in which nobody is, as `to` sees it: for a message that is
    meant for it alone. */
-void spread_alone(const Member *to, char out[SPREAD_PLACE]);
+void spread_single_end(const Member *to, char out[SPREAD_PLACE_BYTES]);
 
 /* The members of our region in `v`, which has to outlive it. Data centres stand
    together, so that a message crosses to each once or twice. */
@@ -33,6 +33,6 @@
 /* Fills `out` with whom we hand a message on to; their number. `until`: the end
    of our part, as we were told it; "": we are the first, all are ours. */
 int spread_split(const Spread *s, const char *until,
-                 SpreadPart out[SPREAD_FAN]);
+                 SpreadPart out[SPREAD_FANOUT]);
 
 #endif
--- a/packages/member/view.c
+++ b/packages/member/view.c
@@ -28,7 +28,7 @@
   g_free(v);
 }
 
-bool view_same(const View *a, const View *b) {
+bool view_same_members(const View *a, const View *b) {
   if (a->n != b->n) return false;
   for (int i = 0; i < a->n; i++) {
     const Member *x = &a->list[i], *y = &b->list[i];
@@ -75,9 +75,9 @@
 
 int view_homes(const View *v, const char *region, uint64_t key,
                const Member **out, int most) {
-  uint64_t top[VIEW_HOMES];
+  uint64_t top[VIEW_MAX_HOMES];
   int n = 0;
-  assert(most <= VIEW_HOMES);
+  assert(most <= VIEW_MAX_HOMES);
   for (int i = 0; i < v->n; i++) {
     const Member *m = &v->list[i];
     if (!eligible(m, region)) continue;
@@ -94,7 +94,7 @@
   return n;
 }
 
-int view_regions(const View *v) {
+int view_count_regions(const View *v) {
   int count = 0;
   for (int i = 0; i < v->n; i++) {
     int j = 0;
@@ -104,7 +104,7 @@
   return count;
 }
 
-int view_count(const View *v, const char *region) {
+int view_count_members(const View *v, const char *region) {
   int count = 0;
   for (int i = 0; i < v->n; i++)
     if (eligible(&v->list[i], region)) count++;
--- a/packages/member/view.h
+++ b/packages/member/view.h
@@ -14,10 +14,11 @@
   char peer[LIMIT_NAME]; /* tcp://ip:port of the peer socket */
   char http[LIMIT_NAME]; /* ip:port for callers and operators */
   bool leaving;
-  uint64_t table; /* table version in force there */
-  double every_s; /* it promises its next heartbeat within this time */
-  double stuck_s; /* seconds that it has had an older table than we, without
-                     moving on; not sent */
+  uint64_t table;              /* table version in force there */
+  double heartbeat_interval_s; /* it promises its next heartbeat within this
+                                  time */
+  double table_stale_s; /* seconds that it has had an older table than we,
+                     without moving on; not sent */
 } Member;
 
 typedef struct View {
@@ -25,13 +26,13 @@
   Member list[]; /* by id */
 } View;
 
-#define VIEW_HOMES 16 /* choices that view_homes finds at most */
+#define VIEW_MAX_HOMES 16 /* choices that view_homes finds at most */
 
 View *view_new(const Member *list, int n);
 View *view_copy(const View *v);
 void view_free(View *v);
 /* The same members, as far as homes go; table versions may differ. */
-bool view_same(const View *a, const View *b);
+bool view_same_members(const View *a, const View *b);
 const Member *view_find(const View *v, const char *id);
 /* The `rank`-th choice (0 first) for `key` among members that are not leaving,
    within `region` (NULL: anywhere). NULL when there are too few. A member that
@@ -43,7 +44,7 @@
 int view_homes(const View *v, const char *region, uint64_t key,
                const Member **out, int most);
 /* Regions that have a member. */
-int view_regions(const View *v);
-int view_count(const View *v, const char *region);
+int view_count_regions(const View *v);
+int view_count_members(const View *v, const char *region);
 
 #endif
--- a/packages/node/feed.h
+++ b/packages/node/feed.h
@@ -45,7 +45,7 @@
      freed with free. */
   char *(*part)(void *ctx, RosterAt *at, bool *more);
   /* How the store met a call of it. */
-  void (*met)(void *ctx, ReadersWord word);
+  void (*met)(void *ctx, ReadersStoreResult word);
   /* readers_knocks and readers_asks. */
   bool (*knocks)(void *ctx);
   bool (*asks)(void *ctx);
--- a/packages/node/giving.c
+++ b/packages/node/giving.c
@@ -48,9 +48,9 @@
 }
 
 /* A list that is about to be too old is kept for those who have begun. */
-static bool begins_anew(const Giving *g, double now, const HandoverAsk *ask) {
+static bool begins_anew(const Giving *g, double now, const HandoverRequest *ask) {
   if (g->at == 0) return true;
-  return ask->part == 0 && now - g->made > HANDOVER_KEEP_S;
+  return ask->part == 0 && now - g->made > HANDOVER_LIST_TTL_S;
 }
 
 static void make_part(Giving *g) {
@@ -61,15 +61,15 @@
   g_array_append_val(g->parts, part);
 }
 
-bool giving_part(Giving *g, double now, uint64_t known, const HandoverAsk *ask,
+bool giving_part(Giving *g, double now, uint64_t known, const HandoverRequest *ask,
                  CodecFeed *m) {
-  HandoverAsk wanted = *ask;
+  HandoverRequest wanted = *ask;
   if (begins_anew(g, now, ask)) {
     forget(g);
     g->made = now;
     g->at = known;
   }
-  if (wanted.part > 0 && wanted.at != g->at) wanted.part = 0;
+  if (wanted.part > 0 && wanted.revision != g->at) wanted.part = 0;
   if (wanted.part > g->parts->len) return false;
   if (wanted.part == g->parts->len) {
     bool ended =
--- a/packages/node/giving.h
+++ b/packages/node/giving.h
@@ -18,7 +18,7 @@
 /* The part that is asked for, of the list as it is given out now; `known`: the
    revision that is known here. False: there is no such part. `m` is borrowed.
  */
-bool giving_part(Giving *g, double now, uint64_t known, const HandoverAsk *ask,
+bool giving_part(Giving *g, double now, uint64_t known, const HandoverRequest *ask,
                  CodecFeed *m);
 /* A word that was heard, or told, from revision to revision. */
 void giving_note(Giving *g, const CodecFeed *m);
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -307,7 +307,7 @@
   return roster_part(n->targets, loopclock_now(n->loop), at, more);
 }
 
-static void on_met(void *ctx, ReadersWord word) {
+static void on_met(void *ctx, ReadersStoreResult word) {
   Node *n = ctx;
   cluster_met(n->cluster, word);
 }
--- a/packages/peer/codec.h
+++ b/packages/peer/codec.h
@@ -53,13 +53,13 @@
 
 /* What a reader of the store learned of one kind of objects. */
 typedef struct CodecFeed {
-  uint64_t reader;          /* text_hash of its id */
-  char until[SPREAD_PLACE]; /* the receiver cares for those before this */
-  ReadersWord word;         /* how the store met the reader */
-  int kind;                 /* the sender's number of it */
-  uint64_t from, at;        /* revisions that this leads from and to */
-  bool lapsed;              /* the store was away just before */
-  Packed changes;           /* packed_free */
+  uint64_t reader;                /* text_hash of its id */
+  char until[SPREAD_PLACE_BYTES]; /* the receiver cares for those before this */
+  ReadersStoreResult word;        /* how the store met the reader */
+  int kind;                       /* the sender's number of it */
+  uint64_t from, at;              /* revisions that this leads from and to */
+  bool lapsed;                    /* the store was away just before */
+  Packed changes;                 /* packed_free */
 } CodecFeed;
 
 /* A copy with changes of its own, and its end. */
@@ -76,13 +76,13 @@
                              there is no list yet */
 
 typedef struct CodecSuspect {
-  char until[SPREAD_PLACE]; /* as CodecFeed.until; not of a mark */
+  char until[SPREAD_PLACE_BYTES]; /* as CodecFeed.until; not of a mark */
   SuspectsMsg msg;
 } CodecSuspect;
 
 typedef struct CodecLimit {
-  bool to_all;              /* from who counts; else to it */
-  char until[SPREAD_PLACE]; /* as CodecFeed.until */
+  bool to_all;                    /* from who counts; else to it */
+  char until[SPREAD_PLACE_BYTES]; /* as CodecFeed.until */
   TallyLimit msg;
 } CodecLimit;
 
@@ -97,7 +97,7 @@
   TargetWork work;
   TargetsPoolWord pool;
   TargetParts parts;
-  GossipNews news;
+  GossipUpdate news;
   GossipMsg gossip;
   TallyAsk tally_ask;
   TallyWord tally_word;
@@ -110,7 +110,7 @@
 
 void codec_put_head(msgpack_sbuffer *b, const CodecHead *h);
 void codec_put_beat(msgpack_sbuffer *b, const Member *m);
-void codec_put_news(msgpack_sbuffer *b, const GossipNews *n);
+void codec_put_news(msgpack_sbuffer *b, const GossipUpdate *n);
 void codec_put_gossip(msgpack_sbuffer *b, const GossipMsg *m);
 void codec_put_ledger(msgpack_sbuffer *b, const LedgerMsg *m);
 void codec_put_once(msgpack_sbuffer *b, const OnceMsg *m);
--- a/packages/peer/decode.c
+++ b/packages/peer/decode.c
@@ -75,26 +75,26 @@
   get_str(r, m->http, sizeof m->http);
   m->leaving = get_small(r, 2);
   m->table = get_u64(r);
-  m->every_s = get_small(r, EVERY_MAX_MS) / 1000.0;
+  m->heartbeat_interval_s = get_small(r, EVERY_MAX_MS) / 1000.0;
 }
 
-static void get_news(Reader *r, GossipNews *n) {
+static void get_news(Reader *r, GossipUpdate *n) {
   get_str(r, n->m.id, sizeof n->m.id);
   get_str(r, n->m.region, sizeof n->m.region);
   get_str(r, n->m.dc, sizeof n->m.dc);
   get_str(r, n->m.peer, sizeof n->m.peer);
   n->m.leaving = get_small(r, 2);
-  n->life = (uint32_t)get_small(r, INT32_MAX);
+  n->generation = (uint32_t)get_small(r, INT32_MAX);
   n->state = (GossipState)get_small(r, GOSSIP_STATES);
   r->bad |= n->m.id[0] == '\0' || n->m.peer[0] == '\0';
 }
 
 static void get_gossip(Reader *r, GossipMsg *m) {
   m->kind = (GossipKind)get_small(r, GOSSIP_KINDS);
-  m->about = get_u64(r);
+  m->subject = get_u64(r);
   m->digest = get_u64(r);
   m->table = get_u64(r);
-  m->answer = get_small(r, 2);
+  m->is_reply = get_small(r, 2);
 }
 
 static void get_ledger(Reader *r, LedgerMsg *m) {
@@ -196,7 +196,7 @@
 static void get_feed(Reader *r, CodecFeed *m) {
   m->reader = get_u64(r);
   get_str(r, m->until, sizeof m->until);
-  m->word = (ReadersWord)get_small(r, READERS_WORDS);
+  m->word = (ReadersStoreResult)get_small(r, READERS_STORE_RESULTS);
   m->kind = get_small(r, CODEC_FEED_KINDS);
   m->from = get_u64(r);
   m->at = get_u64(r);
--- a/packages/peer/encode.c
+++ b/packages/peer/encode.c
@@ -33,10 +33,10 @@
   put_str(&p, m->http);
   msgpack_pack_uint8(&p, m->leaving);
   msgpack_pack_uint64(&p, m->table);
-  msgpack_pack_uint32(&p, (uint32_t)(m->every_s * 1000));
+  msgpack_pack_uint32(&p, (uint32_t)(m->heartbeat_interval_s * 1000));
 }
 
-void codec_put_news(msgpack_sbuffer *b, const GossipNews *n) {
+void codec_put_news(msgpack_sbuffer *b, const GossipUpdate *n) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 8);
@@ -46,7 +46,7 @@
   put_str(&p, n->m.dc);
   put_str(&p, n->m.peer);
   msgpack_pack_uint8(&p, n->m.leaving);
-  msgpack_pack_uint32(&p, n->life);
+  msgpack_pack_uint32(&p, n->generation);
   msgpack_pack_uint8(&p, (uint8_t)n->state);
 }
 
@@ -56,10 +56,10 @@
   msgpack_pack_array(&p, 6);
   msgpack_pack_uint8(&p, CODEC_GOSSIP);
   msgpack_pack_uint8(&p, (uint8_t)m->kind);
-  msgpack_pack_uint64(&p, m->about);
+  msgpack_pack_uint64(&p, m->subject);
   msgpack_pack_uint64(&p, m->digest);
   msgpack_pack_uint64(&p, m->table);
-  msgpack_pack_uint8(&p, m->answer);
+  msgpack_pack_uint8(&p, m->is_reply);
 }
 
 void codec_put_ledger(msgpack_sbuffer *b, const LedgerMsg *m) {
--- a/packages/peer/peer.c
+++ b/packages/peer/peer.c
@@ -175,7 +175,7 @@
   unlock(p);
 }
 
-void peer_news(Peer *p, const char *addr, uint64_t to, const GossipNews *n) {
+void peer_news(Peer *p, const char *addr, uint64_t to, const GossipUpdate *n) {
   codec_put_news(lock_frame(p, addr, to), n);
   unlock(p);
 }
--- a/packages/peer/peer.h
+++ b/packages/peer/peer.h
@@ -26,7 +26,7 @@
 void peer_once(Peer *p, const char *addr, const char *id, const OnceMsg *m);
 void peer_load(Peer *p, const char *addr, const char *id, const LoadsMsg *m);
 /* To the instance with that text_hash of its id, 0: whoever is at `addr`. */
-void peer_news(Peer *p, const char *addr, uint64_t to, const GossipNews *n);
+void peer_news(Peer *p, const char *addr, uint64_t to, const GossipUpdate *n);
 void peer_gossip(Peer *p, const char *addr, uint64_t to, const GossipMsg *m);
 /* Heartbeat to whoever is at `addr`. */
 void peer_beat(Peer *p, const char *addr, const Member *m);
--- a/packages/route/loads.c
+++ b/packages/route/loads.c
@@ -76,14 +76,14 @@
     near += w->duty && w->near;
     far += w->duty && !w->near;
   }
-  int others = me ? view_count(l->view, me->region) - 1 : 0;
+  int others = me ? view_count_members(l->view, me->region) - 1 : 0;
   l->far_s = MAX(EVERY_S, far / MAX(RATE - near, 1.0));
   l->tell_s = MAX(EVERY_S, (double)(near + far) * MAX(others, 0) *
                                TELL_MSG_BYTES / TELL_BYTES);
 }
 
 void loads_view(Loads *l, const View *v) {
-  if (view_same(v, l->view)) return;
+  if (view_same_members(v, l->view)) return;
   view_free(l->view);
   l->view = view_copy(v);
   assign(l);
--- a/scenario/world.c
+++ b/scenario/world.c
@@ -191,7 +191,7 @@
 
 static void take_view(World *w, int node) {
   Node *n = &w->nodes[node];
-  member_self(n->members, n->draining, 1);
+  member_update_self(n->members, n->draining, 1);
   View *v = member_view(n->members, w->now);
   ledger_view(n->ledger, w->now, v);
   once_view(n->once, w->now, v);
@@ -200,12 +200,12 @@
 
 static void on_beat(World *w, int node) {
   Node *n = &w->nodes[node];
-  member_self(n->members, n->draining, 1);
-  const Member *me = member_me(n->members);
+  member_update_self(n->members, n->draining, 1);
+  const Member *me = member_get_self(n->members);
   for (int i = 0; i < w->n; i++) {
     Node *o = &w->nodes[i];
     bool hears = i != node && o->up && !o->paused && linked(w, n, o);
-    if (hears && member_heard(o->members, w->now, me)) {
+    if (hears && member_receive_heartbeat(o->members, w->now, me)) {
       take_view(w, i);
       world_after(w, i);
     }
--- a/tests/test_catchup.c
+++ b/tests/test_catchup.c
@@ -17,49 +17,50 @@
 static Catchup c;
 
 static void start(double now) {
-  catchup_start(&c, now, STALE_S);
+  catchup_init(&c, now, STALE_S);
 }
 
 Test(catchup, who_is_told_of_everything_asks_nothing) {
   start(10);
-  cr_assert(!catchup_rests(&c, 10), "nobody was heard yet");
+  cr_assert(!catchup_can_skip_store(&c, 10), "nobody was heard yet");
   for (double t = 10; t < 20; t += READ_EVERY_S) {
-    catchup_told(&c, t, true);
-    cr_assert(catchup_rests(&c, t + READ_EVERY_S));
-    cr_assert(!catchup_is_behind(&c));
+    catchup_note_read(&c, t, true);
+    cr_assert(catchup_can_skip_store(&c, t + READ_EVERY_S));
+    cr_assert(!catchup_is_lagging(&c));
   }
-  cr_assert(!catchup_rests(&c, 21), "the readers have fallen silent");
+  cr_assert(!catchup_can_skip_store(&c, 21), "the readers have fallen silent");
 }
 
 Test(catchup, who_is_behind_asks_until_the_store_answers) {
   start(10);
-  catchup_told(&c, 11, false);
-  cr_assert(catchup_is_behind(&c));
-  cr_assert(!catchup_rests(&c, 11));
-  catchup_answered(&c);
-  catchup_told(&c, 11.5, true);
-  cr_assert(catchup_rests(&c, 12));
+  catchup_note_read(&c, 11, false);
+  cr_assert(catchup_is_lagging(&c));
+  cr_assert(!catchup_can_skip_store(&c, 11));
+  catchup_note_answer(&c);
+  catchup_note_read(&c, 11.5, true);
+  cr_assert(catchup_can_skip_store(&c, 12));
 }
 
 Test(catchup, who_stood_still_asks_whatever_was_told_before) {
   start(10);
-  catchup_told(&c, 11, true);
-  cr_assert(catchup_rests(&c, 11.1));
-  catchup_missed(&c, 11.2);
-  cr_assert(catchup_is_behind(&c));
-  cr_assert(!catchup_rests(&c, 11.2));
-  catchup_answered(&c);
-  catchup_told(&c, 11.4, true);
-  cr_assert(catchup_rests(&c, 11.5));
+  catchup_note_read(&c, 11, true);
+  cr_assert(catchup_can_skip_store(&c, 11.1));
+  catchup_note_gap(&c, 11.2);
+  cr_assert(catchup_is_lagging(&c));
+  cr_assert(!catchup_can_skip_store(&c, 11.2));
+  catchup_note_answer(&c);
+  catchup_note_read(&c, 11.4, true);
+  cr_assert(catchup_can_skip_store(&c, 11.5));
 }
 
 Test(catchup, a_gap_ends_with_a_message_that_leads_on) {
   start(10);
-  catchup_told(&c, 11, true);
-  catchup_told(&c, 11.2, false);
-  cr_assert(!catchup_rests(&c, 11.2), "though it was told just before");
-  catchup_told(&c, 11.4, true);
-  cr_assert(catchup_rests(&c, 11.4));
+  catchup_note_read(&c, 11, true);
+  catchup_note_read(&c, 11.2, false);
+  cr_assert(!catchup_can_skip_store(&c, 11.2),
+            "though it was told just before");
+  catchup_note_read(&c, 11.4, true);
+  cr_assert(catchup_can_skip_store(&c, 11.4));
 }
 
 /* Two readers read, the third says that the store is away, its word first. */
@@ -68,30 +69,30 @@
   start(10);
   for (double t = 10; t < 22; t += 0.05) {
     if (t >= away_at) {
-      catchup_away(&c, t);
+      catchup_note_unavailable(&c, t);
       away_at += AWAY_EVERY_S;
     }
     if (t >= read_at) {
-      catchup_told(&c, t, false);
+      catchup_note_read(&c, t, false);
       read_at += READ_EVERY_S;
     }
-    if (catchup_is_behind(&c))
-      cr_assert(!catchup_rests(&c, t), "held up at %.2f", t);
-    cr_assert(t < 10.5 || !catchup_store_is_away(&c, t));
+    if (catchup_is_lagging(&c))
+      cr_assert(!catchup_can_skip_store(&c, t), "held up at %.2f", t);
+    cr_assert(t < 10.5 || !catchup_store_is_unavailable(&c, t));
   }
 }
 
 Test(catchup, in_an_outage_of_all_nobody_asks_with_a_gap_either) {
   start(10);
-  catchup_told(&c, 11, false);
+  catchup_note_read(&c, 11, false);
   double t = 11;
-  for (; t < 11 + STALE_S; t += AWAY_EVERY_S) catchup_away(&c, t);
+  for (; t < 11 + STALE_S; t += AWAY_EVERY_S) catchup_note_unavailable(&c, t);
   for (; t < 30; t += AWAY_EVERY_S) {
-    catchup_away(&c, t);
-    cr_assert(catchup_rests(&c, t + AWAY_EVERY_S / 2), "%.2f", t);
-    cr_assert(catchup_store_is_away(&c, t));
-    cr_assert_leq(catchup_until(&c), t + CATCHUP_AWAY_S);
+    catchup_note_unavailable(&c, t);
+    cr_assert(catchup_can_skip_store(&c, t + AWAY_EVERY_S / 2), "%.2f", t);
+    cr_assert(catchup_store_is_unavailable(&c, t));
+    cr_assert_leq(catchup_skip_until(&c), t + CATCHUP_UNAVAILABLE_S);
   }
-  catchup_told(&c, t, false);
-  cr_assert(!catchup_rests(&c, t), "a reader reads again");
+  catchup_note_read(&c, t, false);
+  cr_assert(!catchup_can_skip_store(&c, t), "a reader reads again");
 }
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -31,7 +31,8 @@
 
 Test(codec, loads_and_heartbeats_round_trip) {
   LoadsMsg l = {.target = UINT64_MAX, .running = 7, .waiting = 300};
-  Member beat = {.id = "n.1", .region = "r", .table = 9, .every_s = 187.5};
+  Member beat = {
+      .id = "n.1", .region = "r", .table = 9, .heartbeat_interval_s = 187.5};
   msgpack_sbuffer b;
   CodecMsg m;
   msgpack_sbuffer_init(&b);
@@ -47,15 +48,15 @@
 }
 
 Test(codec, news_of_members_round_trip) {
-  GossipNews n = {
+  GossipUpdate n = {
       .m = {.id = "n.1", .region = "r", .dc = "d", .peer = "tcp://a"},
-      .life = 7,
+      .generation = 7,
       .state = GOSSIP_SUSPECT};
-  GossipMsg g = {.kind = GOSSIP_ALL,
-                 .about = UINT64_MAX,
+  GossipMsg g = {.kind = GOSSIP_FULL_STATE,
+                 .subject = UINT64_MAX,
                  .digest = 3,
                  .table = 9,
-                 .answer = true};
+                 .is_reply = true};
   msgpack_sbuffer b;
   CodecMsg m;
   msgpack_sbuffer_init(&b);
@@ -66,8 +67,8 @@
   msgpack_sbuffer_clear(&b);
   codec_put_gossip(&b, &g);
   cr_assert(same(&b, &m));
-  cr_assert(m.gossip.kind == g.kind && m.gossip.about == g.about);
-  cr_assert(m.gossip.digest == 3 && m.gossip.table == 9 && m.gossip.answer);
+  cr_assert(m.gossip.kind == g.kind && m.gossip.subject == g.subject);
+  cr_assert(m.gossip.digest == 3 && m.gossip.table == 9 && m.gossip.is_reply);
   msgpack_sbuffer_clear(&b);
   n.m.peer[0] = '\0';
   codec_put_news(&b, &n);
@@ -191,7 +192,7 @@
 Test(codec, what_was_read_round_trips) {
   CodecFeed f = {.reader = 77,
                  .until = "dc/n.1",
-                 .word = READERS_REFUSED,
+                 .word = READERS_STORE_REFUSED,
                  .kind = 1,
                  .from = 5,
                  .at = UINT64_MAX,
@@ -209,7 +210,7 @@
   cr_assert_eq(m.type, CODEC_FEED);
   cr_assert(m.feed.kind == 1 && m.feed.from == 5 && m.feed.lapsed);
   cr_assert_eq(m.feed.at, UINT64_MAX);
-  cr_assert(m.feed.reader == 77 && m.feed.word == READERS_REFUSED);
+  cr_assert(m.feed.reader == 77 && m.feed.word == READERS_STORE_REFUSED);
   cr_assert_str_eq(m.feed.until, "dc/n.1");
   char *text = packed_text(&m.feed.changes);
   cr_assert_str_eq(text, "[{\"gone\":true}]");
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -20,27 +20,27 @@
               .http = "1.2.3.4:6",
               .leaving = true,
               .table = 9,
-              .every_s = 0.5};
+              .heartbeat_interval_s = 0.5};
   codec_put_beat(b, &m);
 }
 
 static void put_news(msgpack_sbuffer *b) {
-  GossipNews n = {.m = {.id = "n.1",
-                        .region = "r",
-                        .dc = "d",
-                        .peer = "tcp://1.2.3.4:5",
-                        .leaving = true},
-                  .life = 3,
-                  .state = (GossipState)1};
+  GossipUpdate n = {.m = {.id = "n.1",
+                          .region = "r",
+                          .dc = "d",
+                          .peer = "tcp://1.2.3.4:5",
+                          .leaving = true},
+                    .generation = 3,
+                    .state = (GossipState)1};
   codec_put_news(b, &n);
 }
 
 static void put_gossip(msgpack_sbuffer *b) {
   GossipMsg m = {.kind = (GossipKind)1,
-                 .about = 2,
+                 .subject = 2,
                  .digest = UINT64_MAX,
                  .table = 3,
-                 .answer = true};
+                 .is_reply = true};
   codec_put_gossip(b, &m);
 }
 
@@ -87,7 +87,7 @@
 static void put_feed(msgpack_sbuffer *b) {
   CodecFeed m = {.reader = 1,
                  .until = "d n.1",
-                 .word = (ReadersWord)1,
+                 .word = (ReadersStoreResult)1,
                  .kind = 2,
                  .from = 3,
                  .at = 4,
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -71,7 +71,7 @@
   for (int s = 0; s < SEEDS; s++) {
     char peer[LIMIT_NAME];
     address(s * w.n / SEEDS, peer);
-    gossip_seed(x->g, w.now, peer);
+    gossip_add_seed(x->g, w.now, peer);
   }
 }
 
@@ -108,9 +108,9 @@
 static void send_all(int i) {
   Node *x = &w.node[i];
   GossipAction a;
-  while (gossip_next(x->g, &a)) {
+  while (gossip_take_action(x->g, &a)) {
     int to = at_address(a.to);
-    x->bytes += a.is_news ? NEWS_BYTES : MSG_BYTES;
+    x->bytes += a.is_update ? NEWS_BYTES : MSG_BYTES;
     x->sent++;
     g_hash_table_add(x->partners, GINT_TO_POINTER(to + 1));
     if (!reaches(x, &w.node[to]) || g_rand_double(w.rng) < w.loss) continue;
@@ -125,8 +125,8 @@
   Node *x = &w.node[p->to];
   if (!x->g || x->frozen) return;
   if (p->id != 0 && p->id != text_hash(x->m.id)) return;
-  if (p->a.is_news)
-    gossip_news(x->g, w.now, p->from, &p->a.news);
+  if (p->a.is_update)
+    gossip_receive_update(x->g, w.now, p->from, &p->a.update);
   else
     gossip_receive(x->g, w.now, p->from, &p->a.msg);
   send_all(p->to);
@@ -381,7 +381,7 @@
 
 Test(gossip, who_leaves_is_known_within_half_a_second) {
   started(300, 13);
-  gossip_self(w.node[44].g, true, 7);
+  gossip_update_self(w.node[44].g, true, 7);
   run(0.5);
   int told = 0;
   for (int i = 0; i < 300; i++) {
@@ -395,12 +395,13 @@
 
 Test(gossip, a_newer_configuration_is_seen_at_a_neighbour) {
   started(30, 14);
-  gossip_self(w.node[3].g, false, 9);
+  gossip_update_self(w.node[3].g, false, 9);
   run(2.5);
   int see = 0;
-  for (int i = 0; i < 30; i++) see += gossip_newer(w.node[i].g, 8) != NULL;
+  for (int i = 0; i < 30; i++)
+    see += gossip_find_newer_table(w.node[i].g, 8) != NULL;
   cr_assert_geq(see, 5, "%d", see);
-  cr_assert_null(gossip_newer(w.node[5].g, 9));
+  cr_assert_null(gossip_find_newer_table(w.node[5].g, 9));
   teardown();
 }
 
@@ -409,14 +410,14 @@
 static bool has_action(Gossip *g) {
   GossipAction a;
   bool any = false;
-  while (gossip_next(g, &a)) any = true;
+  while (gossip_take_action(g, &a)) any = true;
   return any;
 }
 
 Test(gossip, words_of_strangers_change_nothing) {
   Member me = {.id = "a.1", .region = "r", .peer = "tcp://10.0.0.1:7340"};
   Gossip *g = gossip_new(&me, 1);
-  GossipMsg m = {.kind = GOSSIP_ALL, .digest = 5};
+  GossipMsg m = {.kind = GOSSIP_FULL_STATE, .digest = 5};
   uint64_t before = gossip_version(g);
   gossip_receive(g, 1, 77, &m);
   cr_assert_eq(gossip_version(g), before);
@@ -426,18 +427,18 @@
 
 Test(gossip, we_object_to_our_own_end) {
   Member me = {.id = "a.1", .region = "r", .peer = "tcp://10.0.0.1:7340"};
-  GossipNews other = {.m = {.id = "b.1", .peer = "tcp://10.0.0.2:7340"},
-                      .life = 1};
-  GossipNews bad = {.m = me, .life = 40, .state = GOSSIP_GONE};
+  GossipUpdate other = {.m = {.id = "b.1", .peer = "tcp://10.0.0.2:7340"},
+                        .generation = 1};
+  GossipUpdate bad = {.m = me, .generation = 40, .state = GOSSIP_DEAD};
   GossipAction a;
   uint32_t life = 0;
   Gossip *g = gossip_new(&me, 1);
-  gossip_news(g, 1, text_hash("b.1"), &other);
-  gossip_news(g, 1, text_hash("b.1"), &bad);
+  gossip_receive_update(g, 1, text_hash("b.1"), &other);
+  gossip_receive_update(g, 1, text_hash("b.1"), &bad);
   gossip_tick(g, 1.1);
-  while (gossip_next(g, &a))
-    if (a.is_news && strcmp(a.news.m.id, "a.1") == 0)
-      life = MAX(life, a.news.life);
+  while (gossip_take_action(g, &a))
+    if (a.is_update && strcmp(a.update.m.id, "a.1") == 0)
+      life = MAX(life, a.update.generation);
   cr_assert_eq(life, 41);
   View *v = gossip_view(g);
   cr_assert_eq(v->n, 2);
@@ -447,16 +448,17 @@
 
 Test(gossip, old_news_bring_nobody_back) {
   Member me = {.id = "a.1", .region = "r", .peer = "tcp://10.0.0.1:7340"};
-  GossipNews n = {.m = {.id = "b.1", .peer = "tcp://10.0.0.2:7340"}, .life = 3};
+  GossipUpdate n = {.m = {.id = "b.1", .peer = "tcp://10.0.0.2:7340"},
+                    .generation = 3};
   Gossip *g = gossip_new(&me, 1);
-  gossip_news(g, 1, 9, &n);
-  n.state = GOSSIP_GONE;
-  gossip_news(g, 1, 9, &n);
+  gossip_receive_update(g, 1, 9, &n);
+  n.state = GOSSIP_DEAD;
+  gossip_receive_update(g, 1, 9, &n);
   n.state = GOSSIP_ALIVE;
-  gossip_news(g, 1.1, 9, &n);
-  n.life = 2;
+  gossip_receive_update(g, 1.1, 9, &n);
+  n.generation = 2;
   n.state = GOSSIP_SUSPECT;
-  gossip_news(g, 1.1, 9, &n);
+  gossip_receive_update(g, 1.1, 9, &n);
   View *v = gossip_view(g);
   cr_assert_eq(v->n, 1);
   view_free(v);
@@ -472,19 +474,19 @@
   Gossip *g = gossip_new(&self, 1);
   int asked[3] = {0};
   for (int i = 0; i < 3; i++) {
-    GossipNews n = {.m = {.region = "r", .dc = "a"}, .life = 1};
+    GossipUpdate n = {.m = {.region = "r", .dc = "a"}, .generation = 1};
     GossipMsg m = {.kind = GOSSIP_ACK, .table = tables[i]};
     g_strlcpy(n.m.id, ids[i], sizeof n.m.id);
     snprintf(n.m.peer, sizeof n.m.peer, "tcp://1.1.1.%d:1", i);
-    gossip_news(g, 1, text_hash(ids[i]), &n);
+    gossip_receive_update(g, 1, text_hash(ids[i]), &n);
     gossip_receive(g, 1, text_hash(ids[i]), &m);
   }
   for (int k = 0; k < 40; k++) {
-    const Member *m = gossip_newer(g, 5);
+    const Member *m = gossip_find_newer_table(g, 5);
     for (int i = 0; i < 3; i++) asked[i] += strcmp(m->id, ids[i]) == 0;
   }
   cr_assert(asked[0] > 0 && asked[1] > 0, "%d and %d", asked[0], asked[1]);
   cr_assert_eq(asked[2], 0);
-  cr_assert_null(gossip_newer(g, 9));
+  cr_assert_null(gossip_find_newer_table(g, 9));
   gossip_free(g);
 }
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -111,44 +111,51 @@
 
 Test(handover, one_neighbour_is_asked_at_a_time_and_part_by_part) {
   Handover h = {0};
-  cr_assert(handover_heard(&h, 1, "n1"));
-  cr_assert_not(handover_heard(&h, 1.1, "n2"), "one is asked");
-  cr_assert_eq(handover_took(&h, 1.2, "n2", 0, 50, true), HANDOVER_STRAY);
-  cr_assert_eq(handover_took(&h, 1.2, "n1", 3, 50, true), HANDOVER_STRAY);
-  cr_assert_eq(handover_took(&h, 1.2, "n1", 0, 50, true), HANDOVER_FIRST);
-  cr_assert(h.next.part == 1 && h.next.at == 50);
-  cr_assert_eq(handover_took(&h, 1.3, "n1", 1, 50, true), HANDOVER_PART);
-  cr_assert_eq(handover_took(&h, 1.3, "n1", 1, 50, true), HANDOVER_STRAY);
-  cr_assert_eq(handover_took(&h, 1.4, "n1", 2, 49, true), HANDOVER_STRAY);
-  cr_assert_eq(handover_took(&h, 1.4, "n1", 0, 60, true), HANDOVER_FIRST,
-               "the list was made anew");
-  cr_assert_eq(handover_took(&h, 1.5, "n1", 1, 60, false), HANDOVER_WHOLE);
+  cr_assert(handover_try_neighbour(&h, 1, "n1"));
+  cr_assert_not(handover_try_neighbour(&h, 1.1, "n2"), "one is asked");
+  cr_assert_eq(handover_receive_part(&h, 1.2, "n2", 0, 50, true),
+               HANDOVER_UNEXPECTED);
+  cr_assert_eq(handover_receive_part(&h, 1.2, "n1", 3, 50, true),
+               HANDOVER_UNEXPECTED);
+  cr_assert_eq(handover_receive_part(&h, 1.2, "n1", 0, 50, true),
+               HANDOVER_FIRST_PART);
+  cr_assert(h.next.part == 1 && h.next.revision == 50);
+  cr_assert_eq(handover_receive_part(&h, 1.3, "n1", 1, 50, true),
+               HANDOVER_NEXT_PART);
+  cr_assert_eq(handover_receive_part(&h, 1.3, "n1", 1, 50, true),
+               HANDOVER_UNEXPECTED);
+  cr_assert_eq(handover_receive_part(&h, 1.4, "n1", 2, 49, true),
+               HANDOVER_UNEXPECTED);
+  cr_assert_eq(handover_receive_part(&h, 1.4, "n1", 0, 60, true),
+               HANDOVER_FIRST_PART, "the list was made anew");
+  cr_assert_eq(handover_receive_part(&h, 1.5, "n1", 1, 60, false),
+               HANDOVER_LAST_PART);
 }
 
 Test(handover, silence_leads_to_another_neighbour_and_then_to_the_store) {
   Handover h = {0};
   double now = 1;
-  for (int k = 0; k < HANDOVER_SILENT; k++) {
+  for (int k = 0; k < HANDOVER_MAX_UNRESPONSIVE; k++) {
     int asked = 1;
-    cr_assert_not(handover_alone(&h, now, 1, 0));
-    cr_assert(handover_heard(&h, now, k ? "n2" : "n1"));
-    for (; h.from[0]; now += 0.2) asked += handover_overdue(&h, now);
-    cr_assert_eq(asked, HANDOVER_TRIES);
+    cr_assert_not(handover_must_read_store(&h, now, 1, 0));
+    cr_assert(handover_try_neighbour(&h, now, k ? "n2" : "n1"));
+    for (; h.source[0]; now += 0.2) asked += handover_retry_if_overdue(&h, now);
+    cr_assert_eq(asked, HANDOVER_MAX_TRIES);
   }
-  cr_assert(handover_alone(&h, now, 1, 1));
+  cr_assert(handover_must_read_store(&h, now, 1, 1));
   cr_assert_lt(now, 5, "the balancer waits");
 }
 
 Test(handover, who_has_nothing_yet_is_no_reason_to_ask_the_store) {
   Handover h = {0};
   for (int k = 0; k < 20; k++) {
-    cr_assert(handover_heard(&h, k * 0.3, "n1"));
-    handover_not_yet(&h, "n2");
-    cr_assert_str_eq(h.from, "n1", "it was not asked");
-    handover_not_yet(&h, "n1");
-    cr_assert_not(handover_alone(&h, k * 0.3, 0, 0.5));
+    cr_assert(handover_try_neighbour(&h, k * 0.3, "n1"));
+    handover_note_no_list(&h, "n2");
+    cr_assert_str_eq(h.source, "n1", "it was not asked");
+    handover_note_no_list(&h, "n1");
+    cr_assert_not(handover_must_read_store(&h, k * 0.3, 0, 0.5));
   }
-  cr_assert(handover_alone(&h, 2 * HANDOVER_ALONE_S + 0.1, 0, 1));
+  cr_assert(handover_must_read_store(&h, 2 * HANDOVER_FALLBACK_S + 0.1, 0, 1));
 }
 
 /* == what is handed out == */
@@ -174,13 +181,13 @@
   Giving *x = giving_new(make, &g);
   CodecFeed m;
   for (int child = 0; child < 16; child++) {
-    HandoverAsk ask = {0};
+    HandoverRequest ask = {0};
     bool more = true;
     while (more) {
       cr_assert(giving_part(x, NOW + child * 0.1, 700, &ask, &m));
       cr_assert(m.from == ask.part && m.at == 700);
       more = m.lapsed;
-      ask = (HandoverAsk){.part = ask.part + 1, .at = 700};
+      ask = (HandoverRequest){.part = ask.part + 1, .revision = 700};
     }
     cr_assert_not(giving_part(x, NOW, 700, &ask, &m), "there are no more");
   }
@@ -193,7 +200,7 @@
   Giver g = {.targets = some(10)};
   Giving *x = giving_new(make, &g);
   CodecFeed m, word = {.kind = 1, .from = 700, .at = 705};
-  HandoverAsk first = {0}, stale = {.part = 1, .at = 600};
+  HandoverRequest first = {0}, stale = {.part = 1, .revision = 600};
   int words = 0;
   giving_note(x, &word); /* nobody asked yet */
   cr_assert(giving_part(x, NOW, 700, &first, &m));
@@ -204,7 +211,7 @@
   cr_assert_eq(words, 1);
   cr_assert(giving_part(x, NOW + 1, 710, &stale, &m));
   cr_assert(m.from == 0 && m.at == 700, "from its beginning");
-  cr_assert(giving_part(x, NOW + HANDOVER_KEEP_S + 1, 720, &first, &m));
+  cr_assert(giving_part(x, NOW + HANDOVER_LIST_TTL_S + 1, 720, &first, &m));
   cr_assert_eq(m.at, 720);
   words = 0;
   giving_words(x, count, &words);
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -46,13 +46,13 @@
 
 Test(view, the_first_choices_are_those_by_rank) {
   Member list[40];
-  const Member *first[VIEW_HOMES];
+  const Member *first[VIEW_MAX_HOMES];
   for (int i = 0; i < 40; i++) list[i] = member(i);
   list[4].leaving = true;
   View *v = view_new(list, 40);
   for (uint64_t k = 0; k < 50; k++) {
-    int n = view_homes(v, "r0", k, first, VIEW_HOMES);
-    cr_assert_eq(n, VIEW_HOMES);
+    int n = view_homes(v, "r0", k, first, VIEW_MAX_HOMES);
+    cr_assert_eq(n, VIEW_MAX_HOMES);
     for (int i = 0; i < n; i++)
       cr_assert_eq(first[i], view_home(v, "r0", k, i), "key %d rank %d", (int)k,
                    i);
@@ -64,11 +64,11 @@
 Test(member, silence_ends_a_member_and_a_restart_the_older_one) {
   Member self = member(0), other = member(1);
   MemberSet *s = member_new(&self);
-  cr_assert(member_heard(s, 1, &other));
-  cr_assert_not(member_heard(s, 2, &other), "nothing new");
+  cr_assert(member_receive_heartbeat(s, 1, &other));
+  cr_assert_not(member_receive_heartbeat(s, 2, &other), "nothing new");
   Member again = other;
   snprintf(again.id, sizeof again.id, "n1.2");
-  cr_assert(member_heard(s, 3, &again));
+  cr_assert(member_receive_heartbeat(s, 3, &again));
   View *v = member_view(s, 3);
   cr_assert_eq(v->n, 2);
   cr_assert_null(view_find(v, "n1.1"));
@@ -81,9 +81,9 @@
 Test(member, the_platform_says_who_leaves) {
   Member self = member(0), other = member(1);
   MemberSet *s = member_new(&self);
-  member_heard(s, 1, &other);
+  member_receive_heartbeat(s, 1, &other);
   MemberSeed seed = {.name = "n1", .leaving = true};
-  cr_assert(member_listed(s, 1, &seed, 1));
+  cr_assert(member_apply_list(s, 1, &seed, 1));
   View *v = member_view(s, 3);
   cr_assert(view_find(v, "n1.1")->leaving);
   cr_assert_not(view_find(v, "n0.1")->leaving);
@@ -95,26 +95,26 @@
 Test(member, who_keeps_an_older_table_is_told_from_who_is_on_the_way) {
   Member self = member(0), other = member(1);
   MemberSet *s = member_new(&self);
-  member_heard(s, 1, &other);
-  member_self(s, false, 7);
+  member_receive_heartbeat(s, 1, &other);
+  member_update_self(s, false, 7);
   View *v = member_view(s, 1.5);
-  cr_assert_float_eq(view_find(v, "n1.1")->stuck_s, 0.5, 1e-9);
+  cr_assert_float_eq(view_find(v, "n1.1")->table_stale_s, 0.5, 1e-9);
   view_free(v);
   other.table = 5; /* behind, but moving */
-  member_heard(s, 9, &other);
+  member_receive_heartbeat(s, 9, &other);
   v = member_view(s, 10);
-  cr_assert_float_eq(view_find(v, "n1.1")->stuck_s, 1, 1e-9);
+  cr_assert_float_eq(view_find(v, "n1.1")->table_stale_s, 1, 1e-9);
   view_free(v);
-  member_heard(s, 20, &other);
+  member_receive_heartbeat(s, 20, &other);
   v = member_view(s, 21);
-  cr_assert_float_eq(view_find(v, "n1.1")->stuck_s, 12, 1e-9);
-  cr_assert_eq(view_find(v, "n0.1")->stuck_s, 0);
+  cr_assert_float_eq(view_find(v, "n1.1")->table_stale_s, 12, 1e-9);
+  cr_assert_eq(view_find(v, "n0.1")->table_stale_s, 0);
   view_free(v);
   other.table = 7;
-  member_heard(s, 22, &other);
-  member_self(s, false, 8); /* a new edit: it was level a moment ago */
+  member_receive_heartbeat(s, 22, &other);
+  member_update_self(s, false, 8); /* a new edit: it was level a moment ago */
   v = member_view(s, 23);
-  cr_assert_float_eq(view_find(v, "n1.1")->stuck_s, 1, 1e-9);
+  cr_assert_float_eq(view_find(v, "n1.1")->table_stale_s, 1, 1e-9);
   view_free(v);
   member_free(s);
 }
@@ -123,12 +123,12 @@
 
 /* Heartbeats due at `now`; of those to members of our region in *near. */
 static int beats(MemberSet *s, double now, int *near) {
-  GArray *due = g_array_new(FALSE, FALSE, sizeof(MemberBeat));
-  member_beats(s, now, due);
+  GArray *due = g_array_new(FALSE, FALSE, sizeof(MemberHeartbeat));
+  member_collect_heartbeats(s, now, due);
   int n = (int)due->len;
   *near = 0;
   for (int i = 0; i < n; i++)
-    *near += g_array_index(due, MemberBeat, i).every_s < 10;
+    *near += g_array_index(due, MemberHeartbeat, i).heartbeat_interval_s < 10;
   g_array_free(due, TRUE);
   return n;
 }
@@ -140,8 +140,8 @@
   for (int i = 1; i < 350; i++) {
     Member m = member(i);
     snprintf(m.region, sizeof m.region, "g%d", i % 7);
-    m.every_s = i % 7 == 0 ? 5.4 : 187;
-    member_heard(s, 1, &m);
+    m.heartbeat_interval_s = i % 7 == 0 ? 5.4 : 187;
+    member_receive_heartbeat(s, 1, &m);
   }
   return s;
 }
@@ -185,15 +185,15 @@
   greetings(s, 1);
   Member m = member(400);
   snprintf(m.region, sizeof m.region, "g3");
-  member_heard(s, 4, &m);
+  member_receive_heartbeat(s, 4, &m);
   cr_assert_eq(beats(s, 4, &near), 1);
   cr_assert_eq(greetings(s, 4), 3, "and some times more");
   MemberSeed seed = {.name = "n500", .peer = "tcp://10.0.9.9:1"};
-  member_listed(s, 6.1, &seed, 1);
+  member_apply_list(s, 6.1, &seed, 1);
   cr_assert_eq(beats(s, 6.1, &near), 1);
-  member_listed(s, 6.2, &seed, 1);
+  member_apply_list(s, 6.2, &seed, 1);
   cr_assert_eq(beats(s, 6.2, &near), 0, "not with each reading of the list");
-  member_urgent(s);
+  member_expedite_heartbeats(s);
   cr_assert_eq(beats(s, 6.3, &near), 351, "all hear what is urgent");
   member_free(s);
 }
@@ -201,7 +201,7 @@
 Test(member, a_small_fleet_beats_twice_a_second) {
   Member self = member(0), other = member(1);
   MemberSet *s = member_new(&self);
-  member_heard(s, 1, &other);
+  member_receive_heartbeat(s, 1, &other);
   int near, n = 0;
   for (int i = 0; i < 40; i++) n += beats(s, 1 + i * 0.25, &near);
   cr_assert_eq(n, 20);
@@ -212,16 +212,16 @@
   Member self = member(0), other = member(1);
   MemberSet *s = member_new(&self);
   int near;
-  member_introduced(s, 1, &other);
+  member_add_introduced(s, 1, &other);
   View *v = member_view(s, 1);
   cr_assert_eq(v->n, 1, "a word of others is not its own");
   view_free(v);
   cr_assert_eq(beats(s, 1, &near), 1);
-  member_heard(s, 1.1, &other);
+  member_receive_heartbeat(s, 1.1, &other);
   v = member_view(s, 1.2);
   cr_assert_eq(v->n, 2);
   view_free(v);
-  member_introduced(s, 2, &self);
+  member_add_introduced(s, 2, &self);
   cr_assert_eq(beats(s, 1.2, &near), 1, "only the greeting of who is new");
   member_free(s);
 }
@@ -229,17 +229,19 @@
 Test(member, a_change_of_the_view_is_told_with_heartbeats) {
   Member self = member(0), a = member(1), b = member(2);
   MemberSet *s = member_new(&self);
-  member_heard(s, 1, &a);
-  cr_assert_null(member_introduce(s, 1, a.peer), "nobody else is known");
-  member_heard(s, 1, &b);
+  member_receive_heartbeat(s, 1, &a);
+  cr_assert_null(member_pick_introduction(s, 1, a.peer),
+                 "nobody else is known");
+  member_receive_heartbeat(s, 1, &b);
   bool told = false;
   for (int i = 0; i < 4; i++) {
-    const Member *m = member_introduce(s, 2, a.peer);
+    const Member *m = member_pick_introduction(s, 2, a.peer);
     if (m) cr_assert_str_eq(m->id, b.id, "nobody is introduced to itself");
     told |= m != NULL;
   }
   cr_assert(told);
-  cr_assert_null(member_introduce(s, 60, a.peer), "a view at rest is not told");
+  cr_assert_null(member_pick_introduction(s, 60, a.peer),
+                 "a view at rest is not told");
   member_free(s);
 }
 
@@ -250,7 +252,7 @@
   MemberSet *s = member_new(&self);
   MemberSeed seed = {.name = "seed", .peer = "tcp://10.0.9.9:1"};
   int near, n = 0;
-  member_listed(s, 1, &seed, 1);
+  member_apply_list(s, 1, &seed, 1);
   for (int i = 0; i < 20; i++) n += beats(s, 1 + i * 0.1, &near);
   cr_assert_geq(n, 9, "each 0.2 s, while all may be starting: %d", n);
   n = 0;
--- a/tests/test_readers.c
+++ b/tests/test_readers.c
@@ -27,7 +27,7 @@
     away[i] = false;
   }
   view = view_new(list, n);
-  for (int i = 0; i < n; i++) readers_view(all[i], view);
+  for (int i = 0; i < n; i++) readers_update_view(all[i], view);
 }
 
 static void stop(int n) {
@@ -36,7 +36,7 @@
 }
 
 static bool reads(int i, double now) {
-  return readers_duty(all[i], now) == READERS_ALL;
+  return readers_duty(all[i], now) == READERS_DUTY_ALL;
 }
 
 /* A second in which those that read tell all that are up; how many did. */
@@ -48,7 +48,7 @@
     id_of(i, id);
     reading++;
     for (int k = 0; k < n; k++)
-      if (up[k] && k != i) readers_heard(all[k], now, id, away[i]);
+      if (up[k] && k != i) readers_note_report(all[k], now, id, away[i]);
   }
   return reading;
 }
@@ -57,13 +57,14 @@
   start(FLEET_SMALL - 1);
   cr_assert_eq(second(1, FLEET_SMALL - 1), 0);
   for (int i = 0; i < FLEET_SMALL - 1; i++)
-    cr_assert_eq(readers_duty(all[i], 2), READERS_OWN);
+    cr_assert_eq(readers_duty(all[i], 2), READERS_DUTY_OWN);
   stop(FLEET_SMALL - 1);
 }
 
 Test(readers, a_few_read_for_a_large_fleet) {
   start(FLEET);
-  for (int t = 1; t < 100; t++) cr_assert_eq(second(t, FLEET), READERS);
+  for (int t = 1; t < 100; t++)
+    cr_assert_eq(second(t, FLEET), READERS_PER_REGION);
   stop(FLEET);
 }
 
@@ -74,10 +75,11 @@
     up[i] = !reads(i, 10); /* all readers are lost */
   int n = 0;
   for (int t = 10; t < 15; t++) n = second(t, FLEET);
-  cr_assert_eq(n, READERS, "%d read after five seconds", n);
+  cr_assert_eq(n, READERS_PER_REGION, "%d read after five seconds", n);
   for (int i = 0; i < FLEET; i++) up[i] = true;
   second(16, FLEET);
-  cr_assert_eq(second(17, FLEET), READERS, "the first choices are back");
+  cr_assert_eq(second(17, FLEET), READERS_PER_REGION,
+               "the first choices are back");
   stop(FLEET);
 }
 
@@ -88,10 +90,10 @@
   for (int i = 0; i < FLEET; i++) away[i] = true;
   int n = 0;
   for (int t = 10; t < 30; t++) n = second(t, FLEET);
-  cr_assert_eq(n, READERS_MOST, "%d try", n);
+  cr_assert_eq(n, READERS_MAX_TRYING, "%d try", n);
   for (int i = 0; i < FLEET; i++) away[i] = false;
   second(31, FLEET);
-  cr_assert_eq(second(32, FLEET), READERS, "it is back");
+  cr_assert_eq(second(32, FLEET), READERS_PER_REGION, "it is back");
   stop(FLEET);
 }
 
@@ -102,8 +104,9 @@
   int n = 0, served = 0;
   for (int t = 10; t < 20; t++) n = second(t, FLEET);
   for (int i = 0; i < FLEET; i++) served += reads(i, 20) && !away[i];
-  cr_assert_eq(served, READERS, "%d of %d that read are served", served, n);
-  cr_assert_leq(n, READERS_MOST);
+  cr_assert_eq(served, READERS_PER_REGION, "%d of %d that read are served",
+               served, n);
+  cr_assert_leq(n, READERS_MAX_TRYING);
   stop(FLEET);
 }
 
@@ -141,7 +144,7 @@
     g_strlcpy(list[i].region, "r", LIMIT_NAME);
   }
   View *v = view_new(list, size);
-  for (int i = 0; i < size; i++) readers_view(fleet[i].readers, v);
+  for (int i = 0; i < size; i++) readers_update_view(fleet[i].readers, v);
   view_free(v);
   g_free(list);
 }
@@ -169,12 +172,12 @@
   for (int i = 0; i < size; i++) readers_free(fleet[i].readers);
 }
 
-static void tell_all(const Instance *x, ReadersWord word) {
+static void tell_all(const Instance *x, ReadersStoreResult word) {
   for (int i = 0; i < size; i++) {
     Instance *y = &fleet[i];
     if (y == x) continue;
-    readers_heard(y->readers, clock_s, x->id, word);
-    if (word != READERS_READ) {
+    readers_note_report(y->readers, clock_s, x->id, word);
+    if (word != READERS_STORE_ANSWERED) {
       y->away = clock_s;
       continue;
     }
@@ -185,26 +188,26 @@
 
 /* One call; those who read tell of it. */
 static void ask_store(Instance *x) {
-  static const ReadersWord words[] = {READERS_READ, READERS_REFUSED,
-                                      READERS_UNREACHED};
+  static const ReadersStoreResult words[] = {
+      READERS_STORE_ANSWERED, READERS_STORE_REFUSED, READERS_STORE_UNREACHABLE};
   if (x->way != CUT_OFF) calls++;
   if (x->way == ANSWERS) x->version = newest;
-  readers_met(x->readers, clock_s, words[x->way]);
-  if (readers_duty(x->readers, clock_s) == READERS_ALL)
+  readers_note_own_call(x->readers, clock_s, words[x->way]);
+  if (readers_duty(x->readers, clock_s) == READERS_DUTY_ALL)
     tell_all(x, words[x->way]);
 }
 
 static void look(Instance *x) {
   if (x->knocked && x->way != CUT_OFF) {
     x->knocked = false;
-    if (readers_asks(x->readers, clock_s)) ask_store(x);
+    if (readers_request_is_due(x->readers, clock_s)) ask_store(x);
     return;
   }
-  x->knocked = readers_knocks(x->readers, clock_s) || x->knocked;
+  x->knocked = readers_probe_is_due(x->readers, clock_s) || x->knocked;
 }
 
 static void step(Instance *x) {
-  bool reads = readers_duty(x->readers, clock_s) != READERS_NOTHING;
+  bool reads = readers_duty(x->readers, clock_s) != READERS_DUTY_NONE;
   bool told = clock_s - x->told < STALE_S;
   bool away = clock_s - x->away < STALE_S;
   if (!reads && told) return;
@@ -303,7 +306,7 @@
   begin_all(86);
   run_until(10);
   leave_out(TURNS_AWAY, few, 1);
-  run_until(10 + 86 / READERS_TRIES + 3);
+  run_until(10 + 86 / READERS_FLEET_CALLS_PER_S + 3);
   newest = 2;
   run_until(clock_s + 2);
   cr_assert_eq(fleet[few[0]].version, 2);
@@ -324,7 +327,7 @@
 }
 
 Test(readers, calls_of_an_outage_do_not_grow_with_the_fleet) {
-  double most = 10 * (READERS_MOST / READ_S + READERS_TRIES);
+  double most = 10 * (READERS_MAX_TRYING / READ_S + READERS_FLEET_CALLS_PER_S);
   int small = calls_of_outage(86, TURNS_AWAY);
   int large = calls_of_outage(MOST, TURNS_AWAY);
   cr_assert_leq(small, most * 1.1, "%d calls", small);
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -27,7 +27,7 @@
 }
 
 static void hand_on(int i, const char *until, int hop) {
-  SpreadPart part[SPREAD_FAN];
+  SpreadPart part[SPREAD_FANOUT];
   if (!seen[i]) return;
   Member self = member(i);
   Spread *s = spread_new(seen[i], &self);
@@ -66,7 +66,7 @@
   for (int i = 0; i < n; i++) {
     bool near = i % 50 != 49;
     cr_assert_eq(got[i], near && i != n / 2, "%d of %d got %d", i, n, got[i]);
-    cr_assert_leq(sent[i], SPREAD_FAN);
+    cr_assert_leq(sent[i], SPREAD_FANOUT);
     cr_assert_leq(hops[i], most_hops, "%d of %d: %d hops", i, n, hops[i]);
   }
   stop(n);
@@ -120,12 +120,12 @@
   start(295, NULL);
   int crossed = 0;
   Member root = member(0);
-  SpreadPart part[SPREAD_FAN];
+  SpreadPart part[SPREAD_FANOUT];
   Spread *s = spread_new(seen[0], &root);
   int n = spread_split(s, "", part);
   for (int k = 0; k < n; k++) {
     Spread *t = spread_new(seen[index_of(part[k].to)], part[k].to);
-    SpreadPart next[SPREAD_FAN];
+    SpreadPart next[SPREAD_FANOUT];
     int m = spread_split(t, part[k].until, next);
     crossed += strcmp(part[k].to->dc, root.dc) != 0;
     for (int j = 0; j < m; j++)
