--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -428,7 +428,7 @@
   codec_put_head(&b, &head);
   size_of("frame head bytes", &b);
   View *v = slopes_view(1);
-  codec_put_beat(&b, &v->list[0]);
+  codec_put_heartbeat(&b, &v->list[0]);
   size_of("heartbeat bytes", &b);
   view_free(v);
   LedgerMsg l = {.kind = LEDGER_REPORT,
--- a/packages/fleet/cluster.c
+++ b/packages/fleet/cluster.c
@@ -114,7 +114,7 @@
     switch (a.what) {
     case LEDGER_DO_SEND:
       m = view_find(c->view, a.to);
-      if (m) peer_ledger(c->peer, m->peer, m->id, &a.msg);
+      if (m) peer_send_ledger(c->peer, m->peer, m->id, &a.msg);
       break;
     case LEDGER_DO_GET:
     case LEDGER_DO_PUT: call_store(c, &a); break;
@@ -185,9 +185,9 @@
   GossipAction a;
   while (gossip_take_action(c->members, &a)) {
     if (a.is_update)
-      peer_news(c->peer, a.to, a.id, &a.update);
+      peer_send_member_update(c->peer, a.to, a.id, &a.update);
     else
-      peer_gossip(c->peer, a.to, a.id, &a.msg);
+      peer_send_gossip(c->peer, a.to, a.id, &a.msg);
   }
 }
 
@@ -203,7 +203,7 @@
   c->conf_asked = now;
   log_info("configuration-asked", "s:s,s:I,s:I", "of", newer->id, "theirs",
            (json_int_t)newer->table, "ours", (json_int_t)c->conf);
-  peer_conf(c->peer, newer->peer, newer->id, c->conf, &(Packed){0});
+  peer_send_config(c->peer, newer->peer, newer->id, c->conf, &(Packed){0});
 }
 
 /* After a restart of many each of them may ask: the work is done once. */
@@ -215,7 +215,7 @@
   return &c->conf_text;
 }
 
-static void unpack_conf(Cluster *c, const char *from, const CodecConf *m) {
+static void unpack_conf(Cluster *c, const char *from, const CodecConfig *m) {
   char *text = packed_text(&m->text);
   if (text)
     c->ev.conf(c->ctx, text);
@@ -225,14 +225,14 @@
   g_free(text);
 }
 
-static void take_conf(Cluster *c, const char *from, const CodecConf *m) {
+static void take_conf(Cluster *c, const char *from, const CodecConfig *m) {
   if (m->text.size > 0) {
     if (m->version > c->conf) unpack_conf(c, from, m);
     return;
   }
   const Member *asker = view_find(c->view, from);
   if (asker && c->conf > m->version)
-    peer_conf(c->peer, asker->peer, asker->id, c->conf, pack_conf(c));
+    peer_send_config(c->peer, asker->peer, asker->id, c->conf, pack_conf(c));
 }
 
 /* == what readers of the store tell == */
@@ -253,7 +253,7 @@
                       const void *msg) {
   CodecFeed copy = *(const CodecFeed *)msg;
   g_strlcpy(copy.until, until, sizeof copy.until);
-  peer_feed(c->peer, to->peer, to->id, &copy);
+  peer_send_feed(c->peer, to->peer, to->id, &copy);
 }
 
 /* Whether a member before the `i`-th is of its region. */
@@ -278,10 +278,10 @@
 
 static void take_feed(Cluster *c, const char *from, const CodecFeed *feed) {
   const char *reader = g_hash_table_lookup(c->ids, &feed->reader);
-  bool to_us = feed->kind == CODEC_FEED_ASK || feed->kind == CODEC_FEED_PART;
+  bool to_us = feed->kind == CODEC_FEED_PART_REQUEST || feed->kind == CODEC_FEED_PART;
   if (!to_us) hand_on(c, feed->until, send_feed, feed);
   if (!to_us && reader)
-    readers_note_report(c->readers, now_of(c), reader, feed->word);
+    readers_note_report(c->readers, now_of(c), reader, feed->store_result);
   c->ev.feed(c->ctx, from, feed);
 }
 
@@ -301,7 +301,7 @@
     if (is_self(c, homes[i]))
       c->ev.suspect(c->ctx, m);
     else
-      peer_suspect(c->peer, homes[i]->peer, homes[i]->id, &word);
+      peer_send_suspect(c->peer, homes[i]->peer, homes[i]->id, &word);
   }
 }
 
@@ -309,7 +309,7 @@
                          const void *msg) {
   CodecSuspect copy = *(const CodecSuspect *)msg;
   g_strlcpy(copy.until, until, sizeof copy.until);
-  peer_suspect(c->peer, to->peer, to->id, &copy);
+  peer_send_suspect(c->peer, to->peer, to->id, &copy);
 }
 
 static void take_suspect(Cluster *c, const CodecSuspect *word) {
@@ -324,7 +324,7 @@
                        const void *msg) {
   CodecLimit copy = *(const CodecLimit *)msg;
   g_strlcpy(copy.until, until, sizeof copy.until);
-  peer_limit(c->peer, to->peer, to->id, &copy);
+  peer_send_limit(c->peer, to->peer, to->id, &copy);
 }
 
 static void take_limit(Cluster *c, const CodecLimit *word) {
@@ -346,9 +346,9 @@
 
 static void on_message(void *ctx, uint64_t from, CodecMsg *m) {
   Cluster *c = ctx;
-  if (m->type == CODEC_NEWS || m->type == CODEC_GOSSIP) {
-    if (m->type == CODEC_NEWS)
-      gossip_receive_update(c->members, now_of(c), from, &m->news);
+  if (m->type == CODEC_MEMBER_UPDATE || m->type == CODEC_GOSSIP) {
+    if (m->type == CODEC_MEMBER_UPDATE)
+      gossip_receive_update(c->members, now_of(c), from, &m->member_update);
     else
       gossip_receive(c->members, now_of(c), from, &m->gossip);
     act_members(c);
@@ -359,8 +359,8 @@
     count_add(COUNT_PEER_DROPPED, 1);
     return;
   }
-  if (m->type == CODEC_CONF) {
-    take_conf(c, id, &m->conf);
+  if (m->type == CODEC_CONFIG) {
+    take_conf(c, id, &m->config);
   } else if (m->type == CODEC_WORK) {
     c->ev.work(c->ctx, from, &m->work);
   } else if (m->type == CODEC_PARTS) {
@@ -385,7 +385,7 @@
   (void)loop;
   (void)revents;
   Cluster *c = w->data;
-  peer_turn(c->peer, on_message, c);
+  peer_receive(c->peer, on_message, c);
 }
 
 /* Before the loop sleeps: messages of one turn leave together. Sending may
@@ -395,7 +395,7 @@
   (void)revents;
   Cluster *c = w->data;
   if (!peer_flush(c->peer)) return;
-  peer_turn(c->peer, on_message, c);
+  peer_receive(c->peer, on_message, c);
   peer_flush(c->peer);
 }
 
@@ -468,7 +468,7 @@
   c->ctx = ctx;
   c->peer = peer;
   c->started = loopclock_now(loop);
-  peer_on_demand(peer);
+  peer_use_on_demand_links(peer);
   c->members = gossip_new(&o->self, o->seed);
   TalliesEvents tallies = {ev->tally, ev->permit};
   c->tallies = tallies_new(peer, o->self.id, o->regions, &tallies, ctx);
@@ -548,21 +548,21 @@
   CodecFeed copy = *feed;
   if (!m) return;
   spread_single_end(m, copy.until);
-  peer_feed(c->peer, m->peer, m->id, &copy);
+  peer_send_feed(c->peer, m->peer, m->id, &copy);
 }
 
 void cluster_work(Cluster *c, const TargetWork *work) {
   const Member *m;
   if (cluster_is_large(c)) return;
   for (int i = 0; (m = next_near(c, &i));)
-    peer_work(c->peer, m->peer, m->id, work);
+    peer_send_work(c->peer, m->peer, m->id, work);
 }
 
 void cluster_parts(Cluster *c, const TargetParts *parts) {
   const Member *m;
   if (cluster_is_large(c)) return;
   for (int i = 0; (m = next_near(c, &i));)
-    peer_parts(c->peer, m->peer, m->id, parts);
+    peer_send_parts(c->peer, m->peer, m->id, parts);
 }
 
 bool cluster_is_large(const Cluster *c) {
@@ -603,7 +603,7 @@
   const Member *m;
   if (cluster_is_large(c)) return;
   for (int i = 0; (m = next_near(c, &i));)
-    peer_pool(c->peer, m->peer, m->id, word);
+    peer_send_pool(c->peer, m->peer, m->id, word);
 }
 
 void cluster_away(Cluster *c, bool away) {
--- a/packages/fleet/fleet.c
+++ b/packages/fleet/fleet.c
@@ -84,9 +84,9 @@
 static void on_message(void *ctx, uint64_t from, CodecMsg *m) {
   Fleet *f = ctx;
   char id[LIMIT_ID];
-  if (m->type == CODEC_BEAT) {
+  if (m->type == CODEC_HEARTBEAT) {
     pthread_mutex_lock(&f->lock);
-    f->changed |= member_receive_heartbeat(f->members, clock_now(), &m->beat);
+    f->changed |= member_receive_heartbeat(f->members, clock_now(), &m->heartbeat);
     pthread_mutex_unlock(&f->lock);
     return;
   }
@@ -167,7 +167,7 @@
   for (guint i = 0; i < due->len; i++) {
     const MemberHeartbeat *b = &g_array_index(due, MemberHeartbeat, i);
     me.heartbeat_interval_s = b->heartbeat_interval_s;
-    peer_beat(f->peer, b->to, &me);
+    peer_send_heartbeat(f->peer, b->to, &me);
   }
   pthread_mutex_unlock(&f->lock);
   g_array_free(due, TRUE);
@@ -273,7 +273,7 @@
     const Member *x = &f->view->list[i];
     bool other = strcmp(x->id, self->id) != 0;
     if (other && strcmp(x->region, self->region) == 0)
-      peer_load(f->peer, x->peer, x->id, m);
+      peer_send_load(f->peer, x->peer, x->id, m);
   }
   pthread_mutex_unlock(&f->lock);
 }
--- a/packages/fleet/lane.c
+++ b/packages/fleet/lane.c
@@ -43,7 +43,7 @@
     switch (a.what) {
     case LEDGER_DO_SEND:
       if (l->host->address(l->host->ctx, a.to, addr))
-        peer_ledger(l->host->peer, addr, a.to, &a.msg);
+        peer_send_ledger(l->host->peer, addr, a.to, &a.msg);
       break;
     case LEDGER_DO_GET:
     case LEDGER_DO_PUT:
@@ -68,7 +68,7 @@
     switch (a.what) {
     case ONCE_DO_SEND:
       if (l->host->address(l->host->ctx, a.to, addr))
-        peer_once(l->host->peer, addr, a.to, &a.msg);
+        peer_send_once(l->host->peer, addr, a.to, &a.msg);
       break;
     case ONCE_DO_GET:
     case ONCE_DO_PUT:
--- a/packages/fleet/tallies.c
+++ b/packages/fleet/tallies.c
@@ -84,7 +84,7 @@
   if (!is_self(t, m)) {
     TallyAsk out = *a;
     out.parts = parts_to(t, m, &a->parts, a->regions);
-    peer_tally_ask(t->peer, m->peer, m->id, &out);
+    peer_send_tally_query(t->peer, m->peer, m->id, &out);
     return;
   }
   TallyWord w = tally_word(t->tally, now, a);
@@ -100,14 +100,14 @@
   }
   TallyRun out = *r;
   out.parts = parts_to(t, m, &r->parts, r->regions);
-  peer_tally_run(t->peer, m->peer, m->id, &out);
+  peer_send_tally_run(t->peer, m->peer, m->id, &out);
 }
 
 void tallies_ask_permit(Tallies *t, double now, const TallyPermitAsk *a) {
   const Member *m = counter_of(t, a->counter);
   if (!m) return;
   if (!is_self(t, m)) {
-    peer_permit_ask(t->peer, m->peer, m->id, a);
+    peer_send_permit_request(t->peer, m->peer, m->id, a);
     return;
   }
   TallyPermit p = tally_permit(t->tally, now, t->hash, a);
@@ -122,7 +122,7 @@
     return;
   }
   CodecLimit word = {.msg = *m};
-  peer_limit(t->peer, to->peer, to->id, &word);
+  peer_send_limit(t->peer, to->peer, to->id, &word);
 }
 
 bool tallies_limit_news(Tallies *t, double now, double again_s, TallyLimit *m) {
@@ -135,18 +135,18 @@
                             const TallyPermitAsk *a) {
   if (!count_for(t, a->counter)) return;
   TallyPermit p = tally_permit(t->tally, now, text_hash(from->id), a);
-  peer_permit(t->peer, from->peer, from->id, &p);
+  peer_send_permit(t->peer, from->peer, from->id, &p);
 }
 
 bool tallies_take(Tallies *t, double now, const Member *from,
                   const CodecMsg *m) {
-  if (m->type == CODEC_TALLY_ASK) {
-    TallyWord w = tally_word(t->tally, now, &m->tally_ask);
-    peer_tally_word(t->peer, from->peer, from->id, &w);
-  } else if (m->type == CODEC_TALLY_WORD) {
-    t->ev.word(t->ctx, &m->tally_word);
-  } else if (m->type == CODEC_PERMIT_ASK) {
-    take_permit_ask(t, now, from, &m->permit_ask);
+  if (m->type == CODEC_TALLY_QUERY) {
+    TallyWord w = tally_word(t->tally, now, &m->tally_query);
+    peer_send_tally_report(t->peer, from->peer, from->id, &w);
+  } else if (m->type == CODEC_TALLY_REPORT) {
+    t->ev.word(t->ctx, &m->tally_report);
+  } else if (m->type == CODEC_PERMIT_REQUEST) {
+    take_permit_ask(t, now, from, &m->permit_request);
   } else if (m->type == CODEC_PERMIT) {
     t->ev.permit(t->ctx, &m->permit);
   } else if (m->type == CODEC_LIMIT && !m->limit.to_all) {
--- a/packages/node/giving.c
+++ b/packages/node/giving.c
@@ -80,14 +80,14 @@
   const Part *part = &g_array_index(g->parts, Part, wanted.part);
   *m = (CodecFeed){.kind = CODEC_FEED_PART,
                    .from = wanted.part,
-                   .at = g->at,
+                   .revision = g->at,
                    .lapsed = part->more,
                    .changes = part->text};
   return true;
 }
 
 void giving_note(Giving *g, const CodecFeed *m) {
-  if (g->at == 0 || m->at <= m->from) return;
+  if (g->at == 0 || m->revision <= m->from) return;
   if (g->bytes + m->changes.n > WORDS_MOST) {
     forget(g);
     return;
--- a/packages/peer/codec.h
+++ b/packages/peer/codec.h
@@ -19,22 +19,22 @@
 #include "route/targets.h"
 
 typedef enum {
-  CODEC_BEAT,
+  CODEC_HEARTBEAT,
   CODEC_LEDGER,
   CODEC_ONCE,
   CODEC_LOAD,
-  CODEC_CONF,
+  CODEC_CONFIG,
   CODEC_FEED,
   CODEC_WORK,
   CODEC_POOL,
   CODEC_PARTS,
-  CODEC_NEWS,
+  CODEC_MEMBER_UPDATE,
   CODEC_GOSSIP,
-  CODEC_TALLY_ASK,
-  CODEC_TALLY_WORD,
+  CODEC_TALLY_QUERY,
+  CODEC_TALLY_REPORT,
   CODEC_TALLY_RUN,
   CODEC_SUSPECT,
-  CODEC_PERMIT_ASK,
+  CODEC_PERMIT_REQUEST,
   CODEC_PERMIT,
   CODEC_LIMIT,
   CODEC_TYPES
@@ -46,18 +46,18 @@
 
 /* Without text: the sender has this version and asks for a newer one. With it:
    the operators' configuration. */
-typedef struct CodecConf {
+typedef struct CodecConfig {
   uint64_t version;
   Packed text; /* packed_free */
-} CodecConf;
+} CodecConfig;
 
 /* What a reader of the store learned of one kind of objects. */
 typedef struct CodecFeed {
   uint64_t reader;                /* text_hash of its id */
   char until[SPREAD_PLACE_BYTES]; /* the receiver cares for those before this */
-  ReadersStoreResult word;        /* how the store met the reader */
+  ReadersStoreResult store_result;        /* how the store met the reader */
   int kind;                       /* the sender's number of it */
-  uint64_t from, at;              /* revisions that this leads from and to */
+  uint64_t from, revision;              /* revisions that this leads from and to */
   bool lapsed;                    /* the store was away just before */
   Packed changes;                 /* packed_free */
 } CodecFeed;
@@ -69,7 +69,7 @@
 #define CODEC_FEED_KINDS 8
 /* Two kinds of words that are not of a reader, but of a neighbour. An instance
    that does not know them passes them over. */
-#define CODEC_FEED_ASK 6 /* it asks for a part of the list of targets */
+#define CODEC_FEED_PART_REQUEST 6 /* it asks for a part of the list of targets */
 #define CODEC_FEED_PART                                                        \
   7 /* the part: `from` is its number, `at` the list's                         \
        revision, `lapsed`: another part follows; `at` 0:                       \
@@ -88,42 +88,42 @@
 
 typedef struct CodecMsg {
   CodecType type;
-  Member beat;
+  Member heartbeat;
   LedgerMsg ledger;
   OnceMsg once; /* answer.body is owned by the receiver */
   LoadsMsg load;
-  CodecConf conf;
+  CodecConfig config;
   CodecFeed feed;
   TargetWork work;
   TargetsPoolWord pool;
   TargetParts parts;
-  GossipUpdate news;
+  GossipUpdate member_update;
   GossipMsg gossip;
-  TallyAsk tally_ask;
-  TallyWord tally_word;
+  TallyAsk tally_query;
+  TallyWord tally_report;
   TallyRun tally_run;
   CodecSuspect suspect;
-  TallyPermitAsk permit_ask;
+  TallyPermitAsk permit_request;
   TallyPermit permit;
   CodecLimit limit;
 } CodecMsg;
 
 void codec_put_head(msgpack_sbuffer *b, const CodecHead *h);
-void codec_put_beat(msgpack_sbuffer *b, const Member *m);
-void codec_put_news(msgpack_sbuffer *b, const GossipUpdate *n);
+void codec_put_heartbeat(msgpack_sbuffer *b, const Member *m);
+void codec_put_member_update(msgpack_sbuffer *b, const GossipUpdate *n);
 void codec_put_gossip(msgpack_sbuffer *b, const GossipMsg *m);
 void codec_put_ledger(msgpack_sbuffer *b, const LedgerMsg *m);
 void codec_put_once(msgpack_sbuffer *b, const OnceMsg *m);
 void codec_put_load(msgpack_sbuffer *b, const LoadsMsg *m);
-void codec_put_conf(msgpack_sbuffer *b, uint64_t version, const Packed *text);
+void codec_put_config(msgpack_sbuffer *b, uint64_t version, const Packed *text);
 void codec_put_work(msgpack_sbuffer *b, const TargetWork *m);
 void codec_put_pool(msgpack_sbuffer *b, const TargetsPoolWord *m);
 void codec_put_parts(msgpack_sbuffer *b, const TargetParts *m);
-void codec_put_tally_ask(msgpack_sbuffer *b, const TallyAsk *m);
-void codec_put_tally_word(msgpack_sbuffer *b, const TallyWord *m);
+void codec_put_tally_query(msgpack_sbuffer *b, const TallyAsk *m);
+void codec_put_tally_report(msgpack_sbuffer *b, const TallyWord *m);
 void codec_put_tally_run(msgpack_sbuffer *b, const TallyRun *m);
 void codec_put_suspect(msgpack_sbuffer *b, const CodecSuspect *m);
-void codec_put_permit_ask(msgpack_sbuffer *b, const TallyPermitAsk *m);
+void codec_put_permit_request(msgpack_sbuffer *b, const TallyPermitAsk *m);
 void codec_put_permit(msgpack_sbuffer *b, const TallyPermit *m);
 void codec_put_limit(msgpack_sbuffer *b, const CodecLimit *m);
 void codec_put_feed(msgpack_sbuffer *b, const CodecFeed *m);
--- a/packages/peer/decode.c
+++ b/packages/peer/decode.c
@@ -130,7 +130,7 @@
   return p;
 }
 
-static void get_conf(Reader *r, CodecConf *m) {
+static void get_conf(Reader *r, CodecConfig *m) {
   m->version = get_u64(r);
   m->text = get_packed(r);
 }
@@ -196,10 +196,10 @@
 static void get_feed(Reader *r, CodecFeed *m) {
   m->reader = get_u64(r);
   get_str(r, m->until, sizeof m->until);
-  m->word = (ReadersStoreResult)get_small(r, READERS_STORE_RESULTS);
+  m->store_result = (ReadersStoreResult)get_small(r, READERS_STORE_RESULTS);
   m->kind = get_small(r, CODEC_FEED_KINDS);
   m->from = get_u64(r);
-  m->at = get_u64(r);
+  m->revision = get_u64(r);
   m->lapsed = get_small(r, 2);
   m->changes = get_packed(r);
 }
@@ -335,7 +335,7 @@
 
 void codec_clear(CodecMsg *m) {
   once_message_clear(&m->once);
-  packed_free(&m->conf.text);
+  packed_free(&m->config.text);
   packed_free(&m->feed.changes);
 }
 
@@ -348,22 +348,22 @@
   if (ok) {
     m->type = get_type(&r);
     switch (m->type) {
-    case CODEC_BEAT: get_beat(&r, &m->beat); break;
+    case CODEC_HEARTBEAT: get_beat(&r, &m->heartbeat); break;
     case CODEC_LEDGER: get_ledger(&r, &m->ledger); break;
     case CODEC_ONCE: get_once(&r, &m->once); break;
     case CODEC_LOAD: get_load(&r, &m->load); break;
-    case CODEC_CONF: get_conf(&r, &m->conf); break;
+    case CODEC_CONFIG: get_conf(&r, &m->config); break;
     case CODEC_FEED: get_feed(&r, &m->feed); break;
     case CODEC_WORK: get_work(&r, &m->work); break;
     case CODEC_POOL: get_pool(&r, &m->pool); break;
     case CODEC_PARTS: get_parts(&r, &m->parts); break;
-    case CODEC_NEWS: get_news(&r, &m->news); break;
+    case CODEC_MEMBER_UPDATE: get_news(&r, &m->member_update); break;
     case CODEC_GOSSIP: get_gossip(&r, &m->gossip); break;
-    case CODEC_TALLY_ASK: get_tally_ask(&r, &m->tally_ask); break;
-    case CODEC_TALLY_WORD: get_tally_word(&r, &m->tally_word); break;
+    case CODEC_TALLY_QUERY: get_tally_ask(&r, &m->tally_query); break;
+    case CODEC_TALLY_REPORT: get_tally_word(&r, &m->tally_report); break;
     case CODEC_TALLY_RUN: get_tally_run(&r, &m->tally_run); break;
     case CODEC_SUSPECT: get_suspect(&r, &m->suspect); break;
-    case CODEC_PERMIT_ASK: get_permit_ask(&r, &m->permit_ask); break;
+    case CODEC_PERMIT_REQUEST: get_permit_ask(&r, &m->permit_request); break;
     case CODEC_PERMIT: get_permit(&r, &m->permit); break;
     case CODEC_LIMIT: get_limit_word(&r, &m->limit); break;
     case CODEC_TYPES: break;
--- a/packages/peer/encode.c
+++ b/packages/peer/encode.c
@@ -21,11 +21,11 @@
   msgpack_pack_uint64(&p, h->to);
 }
 
-void codec_put_beat(msgpack_sbuffer *b, const Member *m) {
+void codec_put_heartbeat(msgpack_sbuffer *b, const Member *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 9);
-  msgpack_pack_uint8(&p, CODEC_BEAT);
+  msgpack_pack_uint8(&p, CODEC_HEARTBEAT);
   put_str(&p, m->id);
   put_str(&p, m->region);
   put_str(&p, m->dc);
@@ -36,11 +36,11 @@
   msgpack_pack_uint32(&p, (uint32_t)(m->heartbeat_interval_s * 1000));
 }
 
-void codec_put_news(msgpack_sbuffer *b, const GossipUpdate *n) {
+void codec_put_member_update(msgpack_sbuffer *b, const GossipUpdate *n) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 8);
-  msgpack_pack_uint8(&p, CODEC_NEWS);
+  msgpack_pack_uint8(&p, CODEC_MEMBER_UPDATE);
   put_str(&p, n->m.id);
   put_str(&p, n->m.region);
   put_str(&p, n->m.dc);
@@ -131,11 +131,11 @@
   msgpack_pack_bin_body(p, text->data, text->n);
 }
 
-void codec_put_conf(msgpack_sbuffer *b, uint64_t version, const Packed *text) {
+void codec_put_config(msgpack_sbuffer *b, uint64_t version, const Packed *text) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 4);
-  msgpack_pack_uint8(&p, CODEC_CONF);
+  msgpack_pack_uint8(&p, CODEC_CONFIG);
   msgpack_pack_uint64(&p, version);
   put_packed(&p, text);
 }
@@ -181,22 +181,22 @@
   for (int i = 0; i < m->n; i++) msgpack_pack_uint64(p, m->names[i]);
 }
 
-void codec_put_tally_ask(msgpack_sbuffer *b, const TallyAsk *m) {
+void codec_put_tally_query(msgpack_sbuffer *b, const TallyAsk *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, (size_t)m->parts.n + 4);
-  msgpack_pack_uint8(&p, CODEC_TALLY_ASK);
+  msgpack_pack_uint8(&p, CODEC_TALLY_QUERY);
   msgpack_pack_uint64(&p, m->number);
   msgpack_pack_uint64(&p, m->target);
   msgpack_pack_uint8(&p, (uint8_t)m->parts.n);
   put_tally_parts(&p, &m->parts);
 }
 
-void codec_put_tally_word(msgpack_sbuffer *b, const TallyWord *m) {
+void codec_put_tally_report(msgpack_sbuffer *b, const TallyWord *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 8);
-  msgpack_pack_uint8(&p, CODEC_TALLY_WORD);
+  msgpack_pack_uint8(&p, CODEC_TALLY_REPORT);
   msgpack_pack_uint64(&p, m->number);
   msgpack_pack_uint64(&p, m->target);
   msgpack_pack_uint32(&p, (uint32_t)m->open);
@@ -226,10 +226,10 @@
   msgpack_pack_uint8(&p, CODEC_FEED);
   msgpack_pack_uint64(&p, m->reader);
   put_str(&p, m->until);
-  msgpack_pack_uint8(&p, (uint8_t)m->word);
+  msgpack_pack_uint8(&p, (uint8_t)m->store_result);
   msgpack_pack_uint8(&p, (uint8_t)m->kind);
   msgpack_pack_uint64(&p, m->from);
-  msgpack_pack_uint64(&p, m->at);
+  msgpack_pack_uint64(&p, m->revision);
   msgpack_pack_uint8(&p, m->lapsed);
   put_packed(&p, &m->changes);
 }
@@ -256,11 +256,11 @@
     msgpack_pack_nil(p);
 }
 
-void codec_put_permit_ask(msgpack_sbuffer *b, const TallyPermitAsk *m) {
+void codec_put_permit_request(msgpack_sbuffer *b, const TallyPermitAsk *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 9);
-  msgpack_pack_uint8(&p, CODEC_PERMIT_ASK);
+  msgpack_pack_uint8(&p, CODEC_PERMIT_REQUEST);
   msgpack_pack_uint64(&p, m->number);
   msgpack_pack_uint64(&p, m->target);
   msgpack_pack_uint64(&p, m->counter);
--- a/packages/peer/peer.c
+++ b/packages/peer/peer.c
@@ -104,7 +104,7 @@
 
 /* == queueing == */
 
-void peer_on_demand(Peer *p) {
+void peer_use_on_demand_links(Peer *p) {
   p->on_demand = true;
 }
 
@@ -152,104 +152,104 @@
   (void)n; /* full means that it is awake anyway */
 }
 
-void peer_ledger(Peer *p, const char *addr, const char *id,
+void peer_send_ledger(Peer *p, const char *addr, const char *id,
                  const LedgerMsg *m) {
   codec_put_ledger(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
   wake(p);
 }
 
-void peer_once(Peer *p, const char *addr, const char *id, const OnceMsg *m) {
+void peer_send_once(Peer *p, const char *addr, const char *id, const OnceMsg *m) {
   codec_put_once(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
   wake(p);
 }
 
-void peer_load(Peer *p, const char *addr, const char *id, const LoadsMsg *m) {
+void peer_send_load(Peer *p, const char *addr, const char *id, const LoadsMsg *m) {
   codec_put_load(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
-void peer_beat(Peer *p, const char *addr, const Member *m) {
-  codec_put_beat(lock_frame(p, addr, 0), m);
+void peer_send_heartbeat(Peer *p, const char *addr, const Member *m) {
+  codec_put_heartbeat(lock_frame(p, addr, 0), m);
   unlock(p);
 }
 
-void peer_news(Peer *p, const char *addr, uint64_t to, const GossipUpdate *n) {
-  codec_put_news(lock_frame(p, addr, to), n);
+void peer_send_member_update(Peer *p, const char *addr, uint64_t to, const GossipUpdate *n) {
+  codec_put_member_update(lock_frame(p, addr, to), n);
   unlock(p);
 }
 
-void peer_gossip(Peer *p, const char *addr, uint64_t to, const GossipMsg *m) {
+void peer_send_gossip(Peer *p, const char *addr, uint64_t to, const GossipMsg *m) {
   codec_put_gossip(lock_frame(p, addr, to), m);
   unlock(p);
 }
 
-void peer_conf(Peer *p, const char *addr, const char *id, uint64_t version,
+void peer_send_config(Peer *p, const char *addr, const char *id, uint64_t version,
                const Packed *text) {
-  codec_put_conf(lock_frame(p, addr, text_hash(id)), version, text);
+  codec_put_config(lock_frame(p, addr, text_hash(id)), version, text);
   unlock(p);
 }
 
-void peer_work(Peer *p, const char *addr, const char *id, const TargetWork *m) {
+void peer_send_work(Peer *p, const char *addr, const char *id, const TargetWork *m) {
   codec_put_work(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
-void peer_parts(Peer *p, const char *addr, const char *id,
+void peer_send_parts(Peer *p, const char *addr, const char *id,
                 const TargetParts *m) {
   codec_put_parts(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
-void peer_pool(Peer *p, const char *addr, const char *id,
+void peer_send_pool(Peer *p, const char *addr, const char *id,
                const TargetsPoolWord *m) {
   codec_put_pool(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
-void peer_tally_ask(Peer *p, const char *addr, const char *id,
+void peer_send_tally_query(Peer *p, const char *addr, const char *id,
                     const TallyAsk *m) {
-  codec_put_tally_ask(lock_frame(p, addr, text_hash(id)), m);
+  codec_put_tally_query(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
-void peer_tally_word(Peer *p, const char *addr, const char *id,
+void peer_send_tally_report(Peer *p, const char *addr, const char *id,
                      const TallyWord *m) {
-  codec_put_tally_word(lock_frame(p, addr, text_hash(id)), m);
+  codec_put_tally_report(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
-void peer_tally_run(Peer *p, const char *addr, const char *id,
+void peer_send_tally_run(Peer *p, const char *addr, const char *id,
                     const TallyRun *m) {
   codec_put_tally_run(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
-void peer_feed(Peer *p, const char *addr, const char *id, const CodecFeed *m) {
+void peer_send_feed(Peer *p, const char *addr, const char *id, const CodecFeed *m) {
   codec_put_feed(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
-void peer_permit_ask(Peer *p, const char *addr, const char *id,
+void peer_send_permit_request(Peer *p, const char *addr, const char *id,
                      const TallyPermitAsk *m) {
-  codec_put_permit_ask(lock_own_frame(p, addr, text_hash(id)), m);
+  codec_put_permit_request(lock_own_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
-void peer_permit(Peer *p, const char *addr, const char *id,
+void peer_send_permit(Peer *p, const char *addr, const char *id,
                  const TallyPermit *m) {
   codec_put_permit(lock_own_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
-void peer_limit(Peer *p, const char *addr, const char *id,
+void peer_send_limit(Peer *p, const char *addr, const char *id,
                 const CodecLimit *m) {
   codec_put_limit(lock_own_frame(p, addr, text_hash(id)), m);
   unlock(p);
 }
 
-void peer_suspect(Peer *p, const char *addr, const char *id,
+void peer_send_suspect(Peer *p, const char *addr, const char *id,
                   const CodecSuspect *m) {
   codec_put_suspect(lock_frame(p, addr, text_hash(id)), m);
   unlock(p);
@@ -309,7 +309,7 @@
 
 static gboolean is_idle(gpointer addr, gpointer link, gpointer now) {
   (void)addr;
-  return *(double *)now - ((PeerLink *)link)->used >= PEER_IDLE_S;
+  return *(double *)now - ((PeerLink *)link)->used >= PEER_IDLE_CLOSE_S;
 }
 
 static void close_idle(Peer *p, double now) {
@@ -372,7 +372,7 @@
   return fd;
 }
 
-void peer_turn(Peer *p, PeerHandler h, void *ctx) {
+void peer_receive(Peer *p, PeerHandler h, void *ctx) {
   int events = 0;
   size_t n = sizeof events;
   /* Asking for the events lets the library take in what came. */
--- a/packages/peer/peer.h
+++ b/packages/peer/peer.h
@@ -7,7 +7,7 @@
 
 /* Seconds; a request's home is spoken to some times in it, and a link costs
    70 KB at both ends while it stands. */
-#define PEER_IDLE_S 10.0
+#define PEER_IDLE_CLOSE_S 10.0
 
 typedef struct Peer Peer;
 
@@ -19,47 +19,47 @@
 void peer_close(Peer *p);
 /* Links are made with the first message, which waits for them, and closed after
    PEER_IDLE_S without one: for a fleet in which each speaks to few others. */
-void peer_on_demand(Peer *p);
+void peer_use_on_demand_links(Peer *p);
 
 /* Queue a message for the instance `id` at `addr`. Any thread. */
-void peer_ledger(Peer *p, const char *addr, const char *id, const LedgerMsg *m);
-void peer_once(Peer *p, const char *addr, const char *id, const OnceMsg *m);
-void peer_load(Peer *p, const char *addr, const char *id, const LoadsMsg *m);
+void peer_send_ledger(Peer *p, const char *addr, const char *id, const LedgerMsg *m);
+void peer_send_once(Peer *p, const char *addr, const char *id, const OnceMsg *m);
+void peer_send_load(Peer *p, const char *addr, const char *id, const LoadsMsg *m);
 /* To the instance with that text_hash of its id, 0: whoever is at `addr`. */
-void peer_news(Peer *p, const char *addr, uint64_t to, const GossipUpdate *n);
-void peer_gossip(Peer *p, const char *addr, uint64_t to, const GossipMsg *m);
+void peer_send_member_update(Peer *p, const char *addr, uint64_t to, const GossipUpdate *n);
+void peer_send_gossip(Peer *p, const char *addr, uint64_t to, const GossipMsg *m);
 /* Heartbeat to whoever is at `addr`. */
-void peer_beat(Peer *p, const char *addr, const Member *m);
+void peer_send_heartbeat(Peer *p, const char *addr, const Member *m);
 
 /* The operators' configuration, or without text a question for it. */
-void peer_conf(Peer *p, const char *addr, const char *id, uint64_t version,
+void peer_send_config(Peer *p, const char *addr, const char *id, uint64_t version,
                const Packed *text);
-void peer_work(Peer *p, const char *addr, const char *id, const TargetWork *m);
-void peer_parts(Peer *p, const char *addr, const char *id,
+void peer_send_work(Peer *p, const char *addr, const char *id, const TargetWork *m);
+void peer_send_parts(Peer *p, const char *addr, const char *id,
                 const TargetParts *m);
-void peer_pool(Peer *p, const char *addr, const char *id,
+void peer_send_pool(Peer *p, const char *addr, const char *id,
                const TargetsPoolWord *m);
-void peer_tally_ask(Peer *p, const char *addr, const char *id,
+void peer_send_tally_query(Peer *p, const char *addr, const char *id,
                     const TallyAsk *m);
-void peer_tally_word(Peer *p, const char *addr, const char *id,
+void peer_send_tally_report(Peer *p, const char *addr, const char *id,
                      const TallyWord *m);
-void peer_tally_run(Peer *p, const char *addr, const char *id,
+void peer_send_tally_run(Peer *p, const char *addr, const char *id,
                     const TallyRun *m);
-void peer_suspect(Peer *p, const char *addr, const char *id,
+void peer_send_suspect(Peer *p, const char *addr, const char *id,
                   const CodecSuspect *m);
 /* These travel in frames of their own: builds that do not know them drop all
    that stands behind them in a frame. */
-void peer_permit_ask(Peer *p, const char *addr, const char *id,
+void peer_send_permit_request(Peer *p, const char *addr, const char *id,
                      const TallyPermitAsk *m);
-void peer_permit(Peer *p, const char *addr, const char *id,
+void peer_send_permit(Peer *p, const char *addr, const char *id,
                  const TallyPermit *m);
-void peer_limit(Peer *p, const char *addr, const char *id, const CodecLimit *m);
-void peer_feed(Peer *p, const char *addr, const char *id, const CodecFeed *m);
+void peer_send_limit(Peer *p, const char *addr, const char *id, const CodecLimit *m);
+void peer_send_feed(Peer *p, const char *addr, const char *id, const CodecFeed *m);
 
 /* For an event loop in place of peer_poll: readable when peer_turn has
    something to hand over; peer_flush sends what is queued, false: nothing. */
 int peer_fd(const Peer *p);
-void peer_turn(Peer *p, PeerHandler h, void *ctx);
+void peer_receive(Peer *p, PeerHandler h, void *ctx);
 bool peer_flush(Peer *p);
 
 /* Peer thread only: sends what is queued, then waits up to `wait_ms` for
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -41,9 +41,9 @@
   cr_assert_eq(m.type, CODEC_LOAD);
   cr_assert_eq(memcmp(&m.load, &l, sizeof l), 0);
   msgpack_sbuffer_clear(&b);
-  codec_put_beat(&b, &beat);
+  codec_put_heartbeat(&b, &beat);
   cr_assert(same(&b, &m));
-  cr_assert_eq(memcmp(&m.beat, &beat, sizeof beat), 0);
+  cr_assert_eq(memcmp(&m.heartbeat, &beat, sizeof beat), 0);
   msgpack_sbuffer_destroy(&b);
 }
 
@@ -60,10 +60,10 @@
   msgpack_sbuffer b;
   CodecMsg m;
   msgpack_sbuffer_init(&b);
-  codec_put_news(&b, &n);
+  codec_put_member_update(&b, &n);
   cr_assert(same(&b, &m));
-  cr_assert_eq(m.type, CODEC_NEWS);
-  cr_assert_eq(memcmp(&m.news, &n, sizeof n), 0);
+  cr_assert_eq(m.type, CODEC_MEMBER_UPDATE);
+  cr_assert_eq(memcmp(&m.member_update, &n, sizeof n), 0);
   msgpack_sbuffer_clear(&b);
   codec_put_gossip(&b, &g);
   cr_assert(same(&b, &m));
@@ -71,7 +71,7 @@
   cr_assert(m.gossip.digest == 3 && m.gossip.table == 9 && m.gossip.is_reply);
   msgpack_sbuffer_clear(&b);
   n.m.peer[0] = '\0';
-  codec_put_news(&b, &n);
+  codec_put_member_update(&b, &n);
   cr_assert_not(same(&b, &m), "a member without an address is no member");
   msgpack_sbuffer_destroy(&b);
 }
@@ -163,12 +163,12 @@
   CodecMsg m;
   size_t off = 0;
   msgpack_sbuffer_init(&b);
-  codec_put_tally_word(&b, &w);
+  codec_put_tally_report(&b, &w);
   cr_assert(codec_get(b.data, b.size, &off, &m));
-  cr_assert_eq(m.type, CODEC_TALLY_WORD);
-  cr_assert(m.tally_word.target == w.target && m.tally_word.open == 5);
-  cr_assert(m.tally_word.starts == 9 && m.tally_word.tokens == 70000);
-  cr_assert(m.tally_word.known == 2 && m.tally_word.ripe == 1);
+  cr_assert_eq(m.type, CODEC_TALLY_REPORT);
+  cr_assert(m.tally_report.target == w.target && m.tally_report.open == 5);
+  cr_assert(m.tally_report.starts == 9 && m.tally_report.tokens == 70000);
+  cr_assert(m.tally_report.known == 2 && m.tally_report.ripe == 1);
   msgpack_sbuffer_destroy(&b);
 }
 
@@ -192,10 +192,10 @@
 Test(codec, what_was_read_round_trips) {
   CodecFeed f = {.reader = 77,
                  .until = "dc/n.1",
-                 .word = READERS_STORE_REFUSED,
+                 .store_result = READERS_STORE_REFUSED,
                  .kind = 1,
                  .from = 5,
-                 .at = UINT64_MAX,
+                 .revision = UINT64_MAX,
                  .lapsed = true};
   msgpack_sbuffer b;
   CodecMsg m;
@@ -209,8 +209,8 @@
   cr_assert(same(&b, &m));
   cr_assert_eq(m.type, CODEC_FEED);
   cr_assert(m.feed.kind == 1 && m.feed.from == 5 && m.feed.lapsed);
-  cr_assert_eq(m.feed.at, UINT64_MAX);
-  cr_assert(m.feed.reader == 77 && m.feed.word == READERS_STORE_REFUSED);
+  cr_assert_eq(m.feed.revision, UINT64_MAX);
+  cr_assert(m.feed.reader == 77 && m.feed.store_result == READERS_STORE_REFUSED);
   cr_assert_str_eq(m.feed.until, "dc/n.1");
   char *text = packed_text(&m.feed.changes);
   cr_assert_str_eq(text, "[{\"gone\":true}]");
@@ -245,10 +245,10 @@
   cr_assert_gt(p.size, 200000);
   cr_assert_lt(p.n, p.size / 10, "%u of %u", p.n, p.size);
   msgpack_sbuffer_init(&b);
-  codec_put_conf(&b, 7, &p);
+  codec_put_config(&b, 7, &p);
   cr_assert(same(&b, &m));
-  cr_assert_eq(m.conf.version, 7);
-  char *got = packed_text(&m.conf.text);
+  cr_assert_eq(m.config.version, 7);
+  char *got = packed_text(&m.config.text);
   cr_assert_str_eq(got, text);
   g_free(got);
   g_free(text);
@@ -311,15 +311,15 @@
     CodecMsg m;
     size_t off = 0;
     msgpack_sbuffer_init(&b);
-    codec_put_permit_ask(&b, &ask);
+    codec_put_permit_request(&b, &ask);
     codec_put_permit(&b, &permit);
     codec_put_limit(&b, &limit);
     cr_assert(codec_get(b.data, b.size, &off, &m));
-    cr_assert(m.permit_ask.number == 1 && m.permit_ask.target == UINT64_MAX);
-    cr_assert(m.permit_ask.counter == 3 && m.permit_ask.run == 4);
-    cr_assert_float_eq(m.permit_ask.bounds.cold, 14.9, 1e-9);
-    cr_assert(m.permit_ask.bounds.limit == limits[i]);
-    cr_assert(m.permit_ask.bounds.beyond_limit && m.permit_ask.reach == 0.5);
+    cr_assert(m.permit_request.number == 1 && m.permit_request.target == UINT64_MAX);
+    cr_assert(m.permit_request.counter == 3 && m.permit_request.run == 4);
+    cr_assert_float_eq(m.permit_request.bounds.cold, 14.9, 1e-9);
+    cr_assert(m.permit_request.bounds.limit == limits[i]);
+    cr_assert(m.permit_request.bounds.beyond_limit && m.permit_request.reach == 0.5);
     cr_assert(codec_get(b.data, b.size, &off, &m));
     cr_assert_eq(m.permit.verdict, TALLY_GIVEN);
     cr_assert(m.permit.number == 5 && m.permit.wait_s == 0.25);
@@ -368,7 +368,7 @@
     msgpack_sbuffer_init(&b);
     CodecHead h = {1, 2}, got;
     codec_put_head(&b, &h);
-    if (i % 4 == 0) codec_put_beat(&b, &beat);
+    if (i % 4 == 0) codec_put_heartbeat(&b, &beat);
     if (i % 4 == 1) codec_put_ledger(&b, &l);
     if (i % 4 == 2) codec_put_once(&b, &o);
     if (i % 4 == 3) codec_put_load(&b, &load);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -21,7 +21,7 @@
               .leaving = true,
               .table = 9,
               .heartbeat_interval_s = 0.5};
-  codec_put_beat(b, &m);
+  codec_put_heartbeat(b, &m);
 }
 
 static void put_news(msgpack_sbuffer *b) {
@@ -32,7 +32,7 @@
                           .leaving = true},
                     .generation = 3,
                     .state = (GossipState)1};
-  codec_put_news(b, &n);
+  codec_put_member_update(b, &n);
 }
 
 static void put_gossip(msgpack_sbuffer *b) {
@@ -81,16 +81,16 @@
 
 static void put_conf(msgpack_sbuffer *b) {
   Packed text = {.size = 10, .n = 3, .data = (void *)"abc"};
-  codec_put_conf(b, 7, &text);
+  codec_put_config(b, 7, &text);
 }
 
 static void put_feed(msgpack_sbuffer *b) {
   CodecFeed m = {.reader = 1,
                  .until = "d n.1",
-                 .word = (ReadersStoreResult)1,
+                 .store_result = (ReadersStoreResult)1,
                  .kind = 2,
                  .from = 3,
-                 .at = 4,
+                 .revision = 4,
                  .lapsed = true,
                  .changes = {.size = 10, .n = 3, .data = (void *)"abc"}};
   codec_put_feed(b, &m);
@@ -115,7 +115,7 @@
 
 static void put_tally_ask(msgpack_sbuffer *b) {
   TallyAsk m = {.number = 1, .target = 2, .parts = {2, {3, 4}}};
-  codec_put_tally_ask(b, &m);
+  codec_put_tally_query(b, &m);
 }
 
 static void put_tally_word(msgpack_sbuffer *b) {
@@ -126,7 +126,7 @@
                  .tokens = 5,
                  .known = 2,
                  .ripe = 1};
-  codec_put_tally_word(b, &m);
+  codec_put_tally_report(b, &m);
 }
 
 static void put_tally_run(msgpack_sbuffer *b) {
@@ -153,7 +153,7 @@
       .run = 4,
       .bounds = {.cold = 14.5, .limit = 1.7, .beyond_limit = true},
       .reach = 0.5};
-  codec_put_permit_ask(b, &m);
+  codec_put_permit_request(b, &m);
 }
 
 static void put_permit(msgpack_sbuffer *b) {
@@ -184,9 +184,9 @@
     {"beat",
      "9900a36e2e31a172a164af7463703a2f2f312e322e332e343a35a9312e32"
      "2e332e343a360109cd01f4",
-     CODEC_BEAT, put_beat},
+     CODEC_HEARTBEAT, put_beat},
     {"news", "9809a36e2e31a172a164af7463703a2f2f312e322e332e343a35010301",
-     CODEC_NEWS, put_news},
+     CODEC_MEMBER_UPDATE, put_news},
     {"gossip", "960a0102cfffffffffffffffff0301", CODEC_GOSSIP, put_gossip},
     {"ledger",
      "9c0102a461636d65cfffffffffffffffffcd03e8cf000001000000000003"
@@ -197,16 +197,16 @@
      "61696ec404626f6479",
      CODEC_ONCE, put_once},
     {"load", "950305ce000111700101", CODEC_LOAD, put_load},
-    {"conf", "9404070ac403616263", CODEC_CONF, put_conf},
+    {"conf", "9404070ac403616263", CODEC_CONFIG, put_conf},
     {"feed", "9a0501a564206e2e3101020304010ac403616263", CODEC_FEED, put_feed},
     {"work", "9406cfffffffffffffffff03cd4268", CODEC_WORK, put_work},
     {"pool", "9607010203cd1194ccfa", CODEC_POOL, put_pool},
     {"parts", "9508010202cfffffffffffffffff", CODEC_PARTS, put_parts},
-    {"tally_ask", "960b0102020304", CODEC_TALLY_ASK, put_tally_ask},
-    {"tally_word", "980c01020304050201", CODEC_TALLY_WORD, put_tally_word},
+    {"tally_ask", "960b0102020304", CODEC_TALLY_QUERY, put_tally_ask},
+    {"tally_word", "980c01020304050201", CODEC_TALLY_REPORT, put_tally_word},
     {"tally_run", "970d010201030104", CODEC_TALLY_RUN, put_tally_run},
     {"suspect", "980ea564206e2e310101020304cd05dc", CODEC_SUSPECT, put_suspect},
-    {"permit_ask", "990f01020304cd38a4cd06a401cd01f4", CODEC_PERMIT_ASK,
+    {"permit_ask", "990f01020304cd38a4cd06a401cd01f4", CODEC_PERMIT_REQUEST,
      put_permit_ask},
     {"permit", "9610010202ccfac0", CODEC_PERMIT, put_permit},
     {"limit", "961101a564206e2e310102cd02bc", CODEC_LIMIT, put_limit},
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -185,7 +185,7 @@
     bool more = true;
     while (more) {
       cr_assert(giving_part(x, NOW + child * 0.1, 700, &ask, &m));
-      cr_assert(m.from == ask.part && m.at == 700);
+      cr_assert(m.from == ask.part && m.revision == 700);
       more = m.lapsed;
       ask = (HandoverRequest){.part = ask.part + 1, .revision = 700};
     }
@@ -199,20 +199,20 @@
 Test(handover, what_came_since_goes_with_the_list_and_an_old_one_is_made_anew) {
   Giver g = {.targets = some(10)};
   Giving *x = giving_new(make, &g);
-  CodecFeed m, word = {.kind = 1, .from = 700, .at = 705};
+  CodecFeed m, word = {.kind = 1, .from = 700, .revision = 705};
   HandoverRequest first = {0}, stale = {.part = 1, .revision = 600};
   int words = 0;
   giving_note(x, &word); /* nobody asked yet */
   cr_assert(giving_part(x, NOW, 700, &first, &m));
   giving_note(x, &word);
-  word.from = word.at; /* nothing new */
+  word.from = word.revision; /* nothing new */
   giving_note(x, &word);
   giving_words(x, count, &words);
   cr_assert_eq(words, 1);
   cr_assert(giving_part(x, NOW + 1, 710, &stale, &m));
-  cr_assert(m.from == 0 && m.at == 700, "from its beginning");
+  cr_assert(m.from == 0 && m.revision == 700, "from its beginning");
   cr_assert(giving_part(x, NOW + HANDOVER_LIST_TTL_S + 1, 720, &first, &m));
-  cr_assert_eq(m.at, 720);
+  cr_assert_eq(m.revision, 720);
   words = 0;
   giving_words(x, count, &words);
   cr_assert_eq(words, 0);
