--- a/bench/budget.c
+++ b/bench/budget.c
@@ -96,7 +96,7 @@
   GRand *r = g_rand_new_with_seed(42 + seed);
   Result out = {0};
   bool dead[NODES] = {false};
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   for (int i = 0; i < NODES; i++) {
     snprintf(name, sizeof name, "n%d", i);
     world_node(w, name, s->halls[i % 3], s->halls[i % 3]);
--- a/bench/route.c
+++ b/bench/route.c
@@ -82,7 +82,7 @@
   s->targets = g_new0(Target, size.targets);
   RouteTarget *list = g_new0(RouteTarget, size.targets);
   for (int i = 0; i < size.targets; i++) {
-    snprintf(list[i].name, LIMIT_NAME, "t%d", i);
+    snprintf(list[i].name, LIMIT_NAME_BYTES, "t%d", i);
     list[i].slots = SLOTS;
     s->targets[i].cached = g_hash_table_new(NULL, NULL);
   }
--- a/bin/loftpathd.c
+++ b/bin/loftpathd.c
@@ -55,7 +55,7 @@
     {"debug", "LOFTPATH_DEBUG", SETTING_FLAG, "off", "Log more", 0, 0, NULL},
     {NULL, NULL, SETTING_TEXT, NULL, NULL, 0, 0, NULL}};
 
-static char self_id[LIMIT_ID];
+static char self_id[LIMIT_ID_BYTES];
 static Entry entry;
 static Kernel kernel;
 
--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -118,7 +118,7 @@
 /* == budgets == */
 
 typedef struct Names {
-  bool shards[LIMIT_SHARDS];
+  bool shards[LIMIT_BUDGET_SHARDS];
   GPtrArray *names;
 } Names;
 
@@ -157,7 +157,7 @@
 
 static bool add_shard(Platform *p, int index, const Names *n, json_t *list,
                       Err *err) {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   shard_name(index, name);
   PlatformAnswer a = platform_get(p, name);
   if (a.kind != ERR_NONE && a.kind != ERR_STORE_ABSENT)
@@ -181,7 +181,7 @@
   json_t *list = json_array();
   snapshots_read(e->snapshots, collect, &n);
   Platform *p = platform_open(e->options.platform, STORE_WAIT_S);
-  for (int i = 0; ok && i < LIMIT_SHARDS; i++)
+  for (int i = 0; ok && i < LIMIT_BUDGET_SHARDS; i++)
     if (n.shards[i]) ok = add_shard(p, i, &n, list, &err);
   platform_close(p);
   g_ptr_array_free(n.names, TRUE);
--- a/packages/entry/chat.c
+++ b/packages/entry/chat.c
@@ -218,7 +218,7 @@
   g_string_append_len(c->out, text, (gssize)len);
   if (!c->kept) return;
   g_string_append_len(c->kept, text, (gssize)len);
-  if (c->kept->len <= LIMIT_ANSWER) return;
+  if (c->kept->len <= LIMIT_KEPT_ANSWER_BYTES) return;
   g_string_free(c->kept, TRUE);
   c->kept = NULL;
 }
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -15,7 +15,7 @@
 
 void entry_headers(struct MHD_Response *m, const char *id, Ran ran) {
   if (id) MHD_add_response_header(m, "Loftpath-Request-Id", id);
-  MHD_add_response_header(m, "Loftpath-Ran", err_ran(ran));
+  MHD_add_response_header(m, "Loftpath-Ran", err_ran_name(ran));
 }
 
 struct MHD_Response *entry_text(const char *type, const char *text) {
@@ -28,7 +28,7 @@
   case ERR_BUDGET_HELD: return COUNT_REFUSED_HELD;
   case ERR_BUDGET_STORE: return COUNT_REFUSED_STORE;
   case ERR_BUDGET_CUT: return COUNT_REFUSED_CUT;
-  case ERR_CAP: return COUNT_REFUSED_CAP;
+  case ERR_CAP_REACHED: return COUNT_REFUSED_CAP;
   case ERR_OVERLOADED: return COUNT_REFUSED_OVERLOAD;
   default: return COUNT_REFUSED_OTHER;
   }
@@ -40,7 +40,7 @@
   json_t *o =
       json_pack("{s:{s:s,s:s,s:s,s:s,s:s?}}", "error", "kind", info->name,
                 "message", err->text, "remedy", info->remedy, "ran",
-                err_ran(err->ran), "request_id", id);
+                err_ran_name(err->ran), "request_id", id);
   char *s = json_dumps(o, JSON_COMPACT);
   struct MHD_Response *m = entry_text("application/json", s);
   free(s);
--- a/packages/entry/exchange.c
+++ b/packages/entry/exchange.c
@@ -185,7 +185,7 @@
   bool allowed = ran == RAN_NOT || x->service.repeat;
   if (ran != RAN_NOT) { /* what the failed run may have consumed stays paid */
     settle(x, consumed);
-    count_add(COUNT_WASTE, consumed);
+    count_add(COUNT_TOKENS_WASTED, consumed);
     allowed = allowed && reserve(x, err);
   }
   if (allowed && pool_again(x->pool, &x->ticket)) {
@@ -208,7 +208,7 @@
   g_strlcpy(bill.customer, x->customer.name, sizeof bill.customer);
   g_strlcpy(bill.budget, x->budget, sizeof bill.budget);
   bool doubled = fleet_finish(x->entry->fleet, &x->run, &bill, answer);
-  if (doubled) count_add(COUNT_WASTE, tokens);
+  if (doubled) count_add(COUNT_TOKENS_WASTED, tokens);
   count_add(COUNT_RAN, 1);
   log_info("ran", "s:s,s:s,s:s,s:I,s:f,s:b", "request", x->id, "customer",
            x->customer.name, "target", x->ticket.choice.name, "tokens",
@@ -219,7 +219,7 @@
 void exchange_unknown(Exchange *x, int64_t tokens) {
   close_exchange(x, tokens);
   fleet_unknown(x->entry->fleet, &x->run);
-  count_add(COUNT_WASTE, tokens);
+  count_add(COUNT_TOKENS_WASTED, tokens);
   log_warn("unknown", "s:s,s:s,s:s,s:I", "request", x->id, "customer",
            x->customer.name, "target", x->ticket.choice.name, "tokens",
            (json_int_t)tokens);
--- a/packages/entry/exchange.h
+++ b/packages/entry/exchange.h
@@ -11,7 +11,7 @@
   char id[80];
   EntryCustomer customer;
   EntryService service;
-  char budget[LIMIT_NAME];
+  char budget[LIMIT_NAME_BYTES];
   FleetRun run;
   int64_t reserved;
   uint64_t reservation; /* 0: nothing reserved */
--- a/packages/entry/placer.c
+++ b/packages/entry/placer.c
@@ -24,7 +24,7 @@
 
 /* One pool with targets that may be given adapters. */
 typedef struct PlacePool {
-  char name[LIMIT_NAME + 8];
+  char name[LIMIT_NAME_BYTES + 8];
   Place *core;             /* of the deciding thread */
   Plan *plan;              /* under the lock: the newest that was read, */
   uint64_t version;        /* and its version */
@@ -140,7 +140,7 @@
 /* == a look at a pool == */
 
 typedef struct Look {
-  char pool[LIMIT_NAME + 8];
+  char pool[LIMIT_NAME_BYTES + 8];
   GArray *targets; /* PlaceTarget */
   GArray *wants;   /* PlaceWant */
   bool managed;    /* some target may be given adapters */
--- a/packages/entry/plain.c
+++ b/packages/entry/plain.c
@@ -157,7 +157,7 @@
 
 struct MHD_Response *plain_handle(Entry *e, HttpReq *r, int *status) {
   Err err = {0};
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   Plain p = {.r = r};
   if (!split_path(r->path, name, sizeof name, p.path, sizeof p.path)) {
     err_set(&err, ERR_NO_SERVICE, "the path names no service");
--- a/packages/entry/pool.c
+++ b/packages/entry/pool.c
@@ -17,7 +17,7 @@
 } Turn;
 
 struct Pool {
-  char name[LIMIT_NAME + 8];
+  char name[LIMIT_NAME_BYTES + 8];
   pthread_mutex_t lock;
   Queue *queue;
   Route *route;
@@ -118,7 +118,7 @@
   pthread_mutex_lock(&p->lock);
   for (int i = 0; i < route_count(p->route); i++) {
     RouteState s = route_state(p->route, 0, i);
-    char list[LIMIT_ADAPTERS] = "";
+    char list[LIMIT_ADAPTERS_BYTES] = "";
     plan_adapters(plan, s.target.name, 1 << PLAN_LOADED, list);
     route_given(p->route, s.target.name, list);
   }
@@ -221,7 +221,7 @@
 static void add_pools(Pools *p, const Table *t) {
   for (guint i = 0; i < t->order->len; i++) {
     const TableRow *r = t->order->pdata[i];
-    char name[LIMIT_NAME + 8];
+    char name[LIMIT_NAME_BYTES + 8];
     if (r->kind != TABLE_TARGET) continue;
     pool_of_target(r, name, sizeof name);
     pthread_mutex_lock(&p->lock);
@@ -237,7 +237,7 @@
   GArray *list = g_array_new(FALSE, TRUE, sizeof(RouteTarget));
   for (guint i = 0; i < t->order->len; i++) {
     const TableRow *r = t->order->pdata[i];
-    char name[LIMIT_NAME + 8];
+    char name[LIMIT_NAME_BYTES + 8];
     if (r->kind != TABLE_TARGET) continue;
     pool_of_target(r, name, sizeof name);
     if (strcmp(name, p->name) != 0) continue;
--- a/packages/entry/snapshot.c
+++ b/packages/entry/snapshot.c
@@ -125,8 +125,8 @@
 }
 
 bool snapshots_budget(Snapshots *s, const char *customer, const char *service,
-                      char out[LIMIT_NAME]) {
-  char name[2 * LIMIT_NAME];
+                      char out[LIMIT_NAME_BYTES]) {
+  char name[2 * LIMIT_NAME_BYTES];
   rcu_read_lock();
   const Table *t = rcu_dereference(s->now)->table;
   snprintf(name, sizeof name, "%s/%s", customer, service);
@@ -136,7 +136,7 @@
     found = table_row(t, TABLE_BUDGET, name) != NULL;
   }
   rcu_read_unlock();
-  if (found) g_strlcpy(out, name, LIMIT_NAME);
+  if (found) g_strlcpy(out, name, LIMIT_NAME_BYTES);
   return found;
 }
 
--- a/packages/entry/snapshot.h
+++ b/packages/entry/snapshot.h
@@ -9,19 +9,19 @@
 
 /* The customer of a request. */
 typedef struct EntryCustomer {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   int64_t share, running, rate;
 } EntryCustomer;
 
 typedef struct EntryService {
-  char name[LIMIT_NAME];
-  char pool[LIMIT_NAME + 8]; /* "model/x" or "service/x" */
+  char name[LIMIT_NAME_BYTES];
+  char pool[LIMIT_NAME_BYTES + 8]; /* "model/x" or "service/x" */
   bool plain, repeat;
   int priority;
   double wait_s;
   int64_t output, cost;
   int64_t running;
-  char adapter[LIMIT_NAME], version[LIMIT_NAME], dcs[LIMIT_NAME];
+  char adapter[LIMIT_NAME_BYTES], version[LIMIT_NAME_BYTES], dcs[LIMIT_NAME_BYTES];
 } EntryService;
 
 Snapshots *snapshots_new(void);
@@ -35,7 +35,7 @@
 bool snapshots_service(Snapshots *s, const char *name, EntryService *out);
 /* The budget of a customer for a service; false when there is none. */
 bool snapshots_budget(Snapshots *s, const char *customer, const char *service,
-                      char out[LIMIT_NAME]);
+                      char out[LIMIT_NAME_BYTES]);
 /* Calls `fn` with the present table, which may not be kept. */
 void snapshots_read(Snapshots *s, void (*fn)(void *ctx, const Table *t),
                     void *ctx);
--- a/packages/entry/watch.c
+++ b/packages/entry/watch.c
@@ -169,7 +169,7 @@
     }
     g_free(a.text);
     for (int i = 0; i < 10 && running(w); i++)
-      g_usleep((gulong)(MEMBER_POLL * 1e5));
+      g_usleep((gulong)(MEMBER_POLL_S * 1e5));
   }
   platform_close(p);
   return NULL;
--- a/packages/fleet/cluster.c
+++ b/packages/fleet/cluster.c
@@ -436,7 +436,7 @@
   const char *port = strrchr(gossip_get_self(c->members)->peer, ':');
   char **list = g_strsplit(seeds, ",", -1);
   for (int i = 0; list[i]; i++) {
-    char peer[LIMIT_NAME];
+    char peer[LIMIT_NAME_BYTES];
     char *ip = g_strstrip(list[i]);
     ip[strcspn(ip, ":")] = '\0';
     if (!ip[0]) continue;
@@ -566,7 +566,7 @@
 }
 
 bool cluster_is_large(const Cluster *c) {
-  return c->view->n >= FLEET_SMALL;
+  return c->view->n >= FLEET_SMALL_INSTANCES;
 }
 
 void cluster_tally_ask(Cluster *c, const TallyAsk *a) {
--- a/packages/fleet/fleet.c
+++ b/packages/fleet/fleet.c
@@ -46,19 +46,19 @@
 
 /* == addresses == */
 
-static bool address_of(void *ctx, const char *id, char out[LIMIT_NAME]) {
+static bool address_of(void *ctx, const char *id, char out[LIMIT_NAME_BYTES]) {
   Fleet *f = ctx;
   pthread_mutex_lock(&f->lock);
   const Member *m = view_find(f->view, id);
-  if (m) g_strlcpy(out, m->peer, LIMIT_NAME);
+  if (m) g_strlcpy(out, m->peer, LIMIT_NAME_BYTES);
   pthread_mutex_unlock(&f->lock);
   return m != NULL;
 }
 
-static bool id_of(Fleet *f, uint64_t hash, char out[LIMIT_ID]) {
+static bool id_of(Fleet *f, uint64_t hash, char out[LIMIT_ID_BYTES]) {
   pthread_mutex_lock(&f->lock);
   const char *id = g_hash_table_lookup(f->ids, &hash);
-  if (id) g_strlcpy(out, id, LIMIT_ID);
+  if (id) g_strlcpy(out, id, LIMIT_ID_BYTES);
   pthread_mutex_unlock(&f->lock);
   return id != NULL;
 }
@@ -83,7 +83,7 @@
 
 static void on_message(void *ctx, uint64_t from, CodecMsg *m) {
   Fleet *f = ctx;
-  char id[LIMIT_ID];
+  char id[LIMIT_ID_BYTES];
   if (m->type == CODEC_HEARTBEAT) {
     pthread_mutex_lock(&f->lock);
     f->changed |= member_receive_heartbeat(f->members, clock_now(), &m->heartbeat);
--- a/packages/fleet/fleet.h
+++ b/packages/fleet/fleet.h
@@ -47,7 +47,7 @@
 typedef struct FleetRun {
   OnceKey key;
   uint64_t handle;
-  char target[LIMIT_NAME]; /* a lost run of it may go on there; "": none */
+  char target[LIMIT_NAME_BYTES]; /* a lost run of it may go on there; "": none */
 } FleetRun;
 
 OnceVerdict fleet_begin(Fleet *f, OnceKey key, uint64_t digest, bool ask,
--- a/packages/fleet/lane.c
+++ b/packages/fleet/lane.c
@@ -32,7 +32,7 @@
 
 static void do_ledger(Lane *l) {
   LedgerAction a;
-  char addr[LIMIT_NAME];
+  char addr[LIMIT_NAME_BYTES];
   while (ledger_next(l->ledger, &a)) {
     Job j = {.urgent = true,
              .done = on_ledger_stored,
@@ -61,7 +61,7 @@
 
 static void do_once(Lane *l) {
   OnceAction a;
-  char addr[LIMIT_NAME];
+  char addr[LIMIT_NAME_BYTES];
   while (once_next(l->once, &a)) {
     Job j = {.ctx = l, .shard = a.shard, .part = a.part, .version = a.version};
     g_strlcpy(j.name, a.name, sizeof j.name);
--- a/packages/fleet/lane.h
+++ b/packages/fleet/lane.h
@@ -16,7 +16,7 @@
   Peer *peer;
   Jobs *jobs;
   /* The peer address of an instance; false when it is not known. */
-  bool (*address)(void *ctx, const char *id, char out[LIMIT_NAME]);
+  bool (*address)(void *ctx, const char *id, char out[LIMIT_NAME_BYTES]);
   void *ctx;
 } LaneHost;
 
@@ -37,7 +37,7 @@
   OnceVerdict verdict;
   OnceAnswer answer;
   bool doubled;
-  char target[LIMIT_NAME];
+  char target[LIMIT_NAME_BYTES];
 } LaneWait;
 
 /* Takes over the core. */
--- a/packages/fleet/tallies.c
+++ b/packages/fleet/tallies.c
@@ -7,7 +7,7 @@
 struct Tallies {
   Peer *peer;
   const Regions *regions;
-  char self[LIMIT_ID];
+  char self[LIMIT_ID_BYTES];
   uint64_t hash; /* of `self` */
   Tally *tally;
   const View *view;
--- a/packages/flow/ask.h
+++ b/packages/flow/ask.h
@@ -18,7 +18,7 @@
 } AskPart;
 
 typedef struct Ask {
-  char id[LIMIT_ID * 2]; /* of this attempt; the answer has to echo it */
+  char id[LIMIT_ID_BYTES * 2]; /* of this attempt; the answer has to echo it */
   char host[256];
   const char *key;    /* the customer's, in the caller's head; "" if none */
   double deadline_s;  /* the caller waits this long; 0: not said */
--- a/packages/flow/breaks.c
+++ b/packages/flow/breaks.c
@@ -43,9 +43,9 @@
 
 /* A request is named or cleared by us, or by another instance. */
 static void log_suspect(const SuspectsMsg *m, const char *word) {
-  char digest[DIGEST_TEXT];
+  char digest[DIGEST_TEXT_BYTES];
   bool named = m->kind == SUSPECTS_NAMED;
-  digest_text(m->digest, digest);
+  digest_format(m->digest, digest);
   count_add(COUNT_SUSPECTS, named);
   log_info(named ? "suspect" : "suspect-cleared", "s:s,s:s,s:f", "digest",
            digest, "word", word, "age", m->age_s);
@@ -64,8 +64,8 @@
 static void take_marks(Relay *r) {
   EndsMark m;
   while (ends_next(r->ends, &m)) {
-    char digest[DIGEST_TEXT];
-    digest_text(m.digest, digest);
+    char digest[DIGEST_TEXT_BYTES];
+    digest_format(m.digest, digest);
     log_info("request-marked", "s:s", "digest", digest);
     suspects_mark(r->suspects, loopclock_now(r->loop), &m);
     relay_tried_ended(r, m.digest);
--- a/packages/flow/caller.c
+++ b/packages/flow/caller.c
@@ -79,7 +79,7 @@
   const Callers *s = c->set;
   size_t used = s->held + s->pending - c->waits;
   size_t free_bytes = s->room > used ? s->room - used : 0;
-  return CLAMP(free_bytes / 2, LIMIT_PENDING_LEAST, LIMIT_PENDING);
+  return CLAMP(free_bytes / 2, LIMIT_PENDING_MIN_BYTES, LIMIT_PENDING_MAX_BYTES);
 }
 
 /* Bytes that it has not taken. */
@@ -307,7 +307,7 @@
   c->since = loopclock_now(c->set->loop);
   caller_flush(c);
   if (!c->full || c->failed ||
-      left_over(c) + LIMIT_PENDING_STEP > caller_limit(c))
+      left_over(c) + LIMIT_PENDING_STEP_BYTES > caller_limit(c))
     return;
   c->full = false;
   if (c->data) c->set->ev.drained(c->set->ctx, c);
@@ -325,7 +325,7 @@
   http_parser_init(&c->parser, HTTP_REQUEST);
   c->parser.data = c;
   sock_user_timeout(fd, GIVE_UP_MS);
-  sock_send_bound(fd, LIMIT_SEND);
+  sock_send_bound(fd, LIMIT_SEND_BUFFER_BYTES);
   ev_io_init(&c->read, on_readable, fd, EV_READ);
   ev_io_init(&c->write, on_writable, fd, EV_WRITE);
   c->read.data = c->write.data = c;
@@ -488,7 +488,7 @@
   s->ev = *ev;
   s->ctx = ctx;
   s->limits = (CallerLimits){
-      .max_header = 32768, .max_body = LIMIT_BODY, .header_s = 5, .idle_s = 60};
+      .max_header = 32768, .max_body = LIMIT_BODY_BYTES, .header_s = 5, .idle_s = 60};
   ev_io_init(&s->accept, on_accept, fd, EV_READ);
   ev_timer_init(&s->sweep, on_sweep, SWEEP_S, SWEEP_S);
   s->accept.data = s->sweep.data = s;
--- a/packages/flow/dispatch.c
+++ b/packages/flow/dispatch.c
@@ -51,7 +51,7 @@
 }
 
 static void pass_plain(Run *x, const char *data, size_t n) {
-  size_t most = MIN(LIMIT_ANSWER_WHOLE, caller_limit(x->caller));
+  size_t most = MIN(LIMIT_PLAIN_ANSWER_BYTES, caller_limit(x->caller));
   if (!x->head_out && x->body->len + n > most) {
     put_head(x, CALLER_CHUNKED);
     caller_body(x->caller, x->body->str, x->body->len);
@@ -85,9 +85,9 @@
 
 /* `begun`: seconds since its first byte came; below 0: none did. */
 static void log_failure(Run *x, const char *why) {
-  char digest[DIGEST_TEXT];
+  char digest[DIGEST_TEXT_BYTES];
   double now = run_now(x);
-  digest_text(run_digest(x), digest);
+  digest_format(run_digest(x), digest);
   log_warn("target-failed", "s:s,s:s,s:s,s:s,s:s,s:i,s:I,s:f,s:f", "request",
            x->ask.id, "digest", digest, "target", target_id(x->target), "addr",
            target_addr(x->target), "why", why, "status", x->status, "events",
@@ -169,7 +169,7 @@
   if (!x->first) {
     target_first(x->target, x->choice.fresh, x->choice.load.tokens,
                  run_now(x) - x->sent_at);
-    count_time(COUNT_TIME_FIRST, run_now(x) - x->req->at);
+    count_observe_time(COUNT_TIME_FIRST_BYTE, run_now(x) - x->req->at);
     run_tell_read(x);
     x->first_at = run_now(x);
   }
@@ -342,7 +342,7 @@
 static void give_up_behind(Run *x) {
   Err e;
   run_stop_asking(x);
-  err_retry(&e, ERR_BEHIND, RUN_BACK_SOON_MS, "this instance stood still");
+  err_retry(&e, ERR_LAGGING, RUN_BACK_SOON_MS, "this instance stood still");
   if (x->maybe) err_set(&e, ERR_TARGET_FAILED, "this instance stood still");
   run_give_up(x, &e);
 }
--- a/packages/flow/permits.c
+++ b/packages/flow/permits.c
@@ -31,7 +31,7 @@
   (void)revents;
   Run *x = w->data;
   run_stop_asking(x);
-  count_add(COUNT_PERMITS_SILENT, 1);
+  count_add(COUNT_PERMITS_UNANSWERED, 1);
   take_own_part(x);
 }
 
--- a/packages/flow/relay.c
+++ b/packages/flow/relay.c
@@ -97,7 +97,7 @@
   Err e;
   bool sent = x->maybe || (x->link && link_sent(x->link));
   if (sent)
-    err_set(&e, ERR_LATE, "no whole answer came in time");
+    err_set(&e, ERR_TARGET_TIMEOUT, "no whole answer came in time");
   else
     err_retry(&e, ERR_OVERLOADED, RUN_BACK_SOON_MS,
               "no target took it in time");
@@ -171,7 +171,7 @@
     return err_retry(e, ERR_DRAINING, RUN_BACK_SOON_MS,
                      "this instance is stopping");
   if (r->behind)
-    return err_retry(e, ERR_BEHIND, RUN_BACK_SOON_MS,
+    return err_retry(e, ERR_LAGGING, RUN_BACK_SOON_MS,
                      "this instance stood still");
   if ((int64_t)callers_held(r->callers) > r->body_room)
     return err_retry(e, ERR_OVERLOADED, RUN_BACK_SOON_MS,
--- a/packages/flow/run.c
+++ b/packages/flow/run.c
@@ -106,7 +106,7 @@
   GString *fields = g_string_new(NULL);
   json_t *o =
       json_pack("{s:{s:s,s:s,s:s,s:s}}", "error", "kind", info->name, "message",
-                e->text, "remedy", info->remedy, "ran", err_ran(e->ran));
+                e->text, "remedy", info->remedy, "ran", err_ran_name(e->ran));
   char *text = json_dumps(o, JSON_COMPACT);
   wire_refusal(fields, id, e);
   caller_head(c, info->status, fields->str, (int64_t)strlen(text));
@@ -137,7 +137,7 @@
 void run_served(Run *x) {
   Caller *c = x->caller;
   count_add(COUNT_RAN, 1);
-  count_time(COUNT_TIME_ALL, run_now(x) - x->req->at);
+  count_observe_time(COUNT_TIME_REQUEST, run_now(x) - x->req->at);
   run_close(x, "served", x->status, "");
   caller_set(c, NULL);
   run_free(x);
--- a/packages/flow/sock.c
+++ b/packages/flow/sock.c
@@ -105,8 +105,8 @@
 
 static void empty(GString *out) {
   g_string_truncate(out, 0);
-  if (out->allocated_len <= LIMIT_BUFFER_KEPT) return;
-  out->allocated_len = LIMIT_BUFFER_KEPT;
+  if (out->allocated_len <= LIMIT_IDLE_BUFFER_BYTES) return;
+  out->allocated_len = LIMIT_IDLE_BUFFER_BYTES;
   out->str = g_realloc(out->str, out->allocated_len);
 }
 
--- a/packages/flow/trying.c
+++ b/packages/flow/trying.c
@@ -33,12 +33,12 @@
   return loopclock_now(r->loop);
 }
 
-static void name_of(const Try *t, char out[DIGEST_TEXT]) {
-  digest_text(t->trial.digest, out);
+static void name_of(const Try *t, char out[DIGEST_TEXT_BYTES]) {
+  digest_format(t->trial.digest, out);
 }
 
 static void log_try(const Try *t, const char *what) {
-  char digest[DIGEST_TEXT];
+  char digest[DIGEST_TEXT_BYTES];
   name_of(t, digest);
   log_warn("trial", "s:s,s:s,s:i", "digest", digest, "what", what, "tries",
            t->trial.tries);
@@ -114,7 +114,7 @@
   Try *t = ctx;
   StoreObject o;
   Trial found;
-  char name[DIGEST_TEXT];
+  char name[DIGEST_TEXT_BYTES];
   t->calling = false;
   name_of(t, name);
   if (a->kind != ERR_NONE && a->kind != ERR_STORE_ABSENT) return;
@@ -132,7 +132,7 @@
 
 static void close_try(Try *t) {
   static const char *const outcomes[] = {"unsent", "nothing", "target ended"};
-  char name[DIGEST_TEXT];
+  char name[DIGEST_TEXT_BYTES];
   Store *s = t->relay->store;
   name_of(t, name);
   t->calling = true;
@@ -198,7 +198,7 @@
 static void take_other(const Try *t, const StoreAnswer *a) {
   StoreObject o;
   Trial found;
-  char name[DIGEST_TEXT];
+  char name[DIGEST_TEXT_BYTES];
   name_of(t, name);
   if (store_object(a, &o) && trials_read(name, o.content, o.revision, &found))
     trials_set(t->relay->trials, now_of(t->relay), &found);
@@ -244,9 +244,9 @@
 
 static void make_room(Relay *r) {
   Trial old;
-  char name[DIGEST_TEXT];
+  char name[DIGEST_TEXT_BYTES];
   if (!trials_shed(r->trials, &old)) return;
-  digest_text(old.digest, name);
+  digest_format(old.digest, name);
   count_add(COUNT_SUSPECTS_SHED, 1);
   store_delete(r->store, CALLS_TRIAL, FEED_TRIALS_KIND, name, old.revision,
                on_shed, NULL);
@@ -254,7 +254,7 @@
 
 static void begin(Run *x, void (*go)(Run *x)) {
   Relay *r = x->relay;
-  char name[DIGEST_TEXT];
+  char name[DIGEST_TEXT_BYTES];
   Try *t = g_new0(Try, 1);
   make_room(r);
   t->relay = r;
--- a/packages/kernel/count.c
+++ b/packages/kernel/count.c
@@ -3,11 +3,11 @@
 
 #include <stdatomic.h>
 
-static _Atomic int64_t values[COUNT_LAST];
+static _Atomic int64_t values[COUNT_COUNTERS];
 
 static const struct {
   const char *name, *help;
-} names[COUNT_LAST] = {
+} names[COUNT_COUNTERS] = {
     [COUNT_REQUESTS] = {"requests_total", "requests taken from callers"},
     [COUNT_RAN] = {"ran_total", "requests answered whole by a target"},
     [COUNT_REFUSED_EMPTY] = {"refused_empty_total", "budget truly empty"},
@@ -22,7 +22,7 @@
     [COUNT_TOKENS_OVER_BOUND] = {"tokens_over_bound_total",
                                  "tokens an engine counted above our bound; "
                                  "must stay 0"},
-    [COUNT_WASTE] = {"waste_tokens_total", "consumed twice, billed once"},
+    [COUNT_TOKENS_WASTED] = {"waste_tokens_total", "consumed twice, billed once"},
     [COUNT_BILLS] = {"bills_total", "bill lines made durable"},
     [COUNT_REPLAYS] = {"replays_total", "retries answered from the record"},
     [COUNT_RETRIES] = {"retries_total", "dispatches after the first"},
@@ -46,7 +46,7 @@
     [COUNT_PERMITS_REFUSED] = {"permits_refused_total",
                                "questions for a bounded target that had its "
                                "fill"},
-    [COUNT_PERMITS_SILENT] = {"permits_silent_total",
+    [COUNT_PERMITS_UNANSWERED] = {"permits_silent_total",
                               "questions for a bounded target that nobody "
                               "answered"},
     [COUNT_TARGETS_ENDED] = {"targets_ended_total",
@@ -86,14 +86,14 @@
 #define BOUNDS G_N_ELEMENTS(bounds)
 
 static const char *const time_names[COUNT_TIMES] = {
-    [COUNT_TIME_FIRST] = "first_byte_seconds",
-    [COUNT_TIME_ALL] = "request_seconds",
+    [COUNT_TIME_FIRST_BYTE] = "first_byte_seconds",
+    [COUNT_TIME_REQUEST] = "request_seconds",
     [COUNT_TIME_STORE] = "store_call_seconds"};
 
 static _Atomic int64_t times[COUNT_TIMES][BOUNDS + 1];
 static _Atomic int64_t time_sums[COUNT_TIMES]; /* microseconds */
 
-void count_time(CountTime t, double seconds) {
+void count_observe_time(CountTime t, double seconds) {
   size_t i = 0;
   while (i < BOUNDS && seconds > bounds[i]) i++;
   atomic_fetch_add_explicit(&times[t][i], 1, memory_order_relaxed);
@@ -129,7 +129,7 @@
 }
 
 void count_print(GString *out) {
-  for (int i = 0; i < COUNT_LAST; i++)
+  for (int i = 0; i < COUNT_COUNTERS; i++)
     g_string_append_printf(out,
                            "# HELP loftpath_%s %s\n# TYPE loftpath_%s "
                            "counter\nloftpath_%s %" G_GINT64_FORMAT "\n",
--- a/packages/kernel/count.h
+++ b/packages/kernel/count.h
@@ -17,7 +17,7 @@
   COUNT_REFUSED_OTHER,
   COUNT_TOKENS,
   COUNT_TOKENS_OVER_BOUND,
-  COUNT_WASTE,
+  COUNT_TOKENS_WASTED,
   COUNT_BILLS,
   COUNT_REPLAYS,
   COUNT_RETRIES,
@@ -32,7 +32,7 @@
   COUNT_LIMITS,
   COUNT_LIMITS_DAMAGED,
   COUNT_PERMITS_REFUSED,
-  COUNT_PERMITS_SILENT,
+  COUNT_PERMITS_UNANSWERED,
   COUNT_TARGETS_ENDED,
   COUNT_SUSPECTS,
   COUNT_SUSPECTS_SHED,
@@ -51,7 +51,7 @@
   COUNT_PEER_BYTES_IN,
   COUNT_PEER_DROPPED,
   COUNT_LOG_DROPPED,
-  COUNT_LAST
+  COUNT_COUNTERS
 } Count;
 
 /* Any thread, no lock. */
@@ -59,14 +59,14 @@
 int64_t count_get(Count c);
 /* Times that are kept as histograms. */
 typedef enum {
-  COUNT_TIME_FIRST, /* until the first byte of a target's answer */
-  COUNT_TIME_ALL,   /* of a request that was served */
+  COUNT_TIME_FIRST_BYTE, /* until the first byte of a target's answer */
+  COUNT_TIME_REQUEST,   /* of a request that was served */
   COUNT_TIME_STORE, /* of a call to the store, watches left out */
   COUNT_TIMES
 } CountTime;
 
 /* Any thread, no lock. */
-void count_time(CountTime t, double seconds);
+void count_observe_time(CountTime t, double seconds);
 /* Appends all counters and histograms to `out`. */
 void count_print(GString *out);
 
--- a/packages/kernel/digest.c
+++ b/packages/kernel/digest.c
@@ -34,23 +34,23 @@
   return (guint)((const Digest *)d)->lo;
 }
 
-gboolean digest_same(gconstpointer a, gconstpointer b) {
+gboolean digest_equal_keys(gconstpointer a, gconstpointer b) {
   return digest_equal(*(const Digest *)a, *(const Digest *)b);
 }
 
-void digest_text(Digest d, char out[DIGEST_TEXT]) {
-  g_snprintf(out, DIGEST_TEXT,
+void digest_format(Digest d, char out[DIGEST_TEXT_BYTES]) {
+  g_snprintf(out, DIGEST_TEXT_BYTES,
              "%016" G_GINT64_MODIFIER "x%016" G_GINT64_MODIFIER "x", d.hi,
              d.lo);
 }
 
 bool digest_parse(const char *text, Digest *d) {
-  char half[DIGEST_TEXT / 2 + 1] = {0};
-  if (strlen(text) != DIGEST_TEXT - 1) return false;
+  char half[DIGEST_TEXT_BYTES / 2 + 1] = {0};
+  if (strlen(text) != DIGEST_TEXT_BYTES - 1) return false;
   for (const char *c = text; *c; c++)
     if (!g_ascii_isxdigit(*c)) return false;
-  memcpy(half, text, DIGEST_TEXT / 2);
+  memcpy(half, text, DIGEST_TEXT_BYTES / 2);
   d->hi = g_ascii_strtoull(half, NULL, 16);
-  d->lo = g_ascii_strtoull(text + DIGEST_TEXT / 2, NULL, 16);
+  d->lo = g_ascii_strtoull(text + DIGEST_TEXT_BYTES / 2, NULL, 16);
   return true;
 }
--- a/packages/kernel/digest.h
+++ b/packages/kernel/digest.h
@@ -7,7 +7,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define DIGEST_TEXT 33 /* bytes of its text, with the NUL */
+#define DIGEST_TEXT_BYTES 33 /* bytes of its text, with the NUL */
 
 typedef struct Digest {
   uint64_t hi, lo;
@@ -26,10 +26,10 @@
 
 /* For hash tables whose keys are Digest. */
 guint digest_hash(gconstpointer d);
-gboolean digest_same(gconstpointer a, gconstpointer b);
+gboolean digest_equal_keys(gconstpointer a, gconstpointer b);
 
 /* 32 hex digits. */
-void digest_text(Digest d, char out[DIGEST_TEXT]);
+void digest_format(Digest d, char out[DIGEST_TEXT_BYTES]);
 /* False when `text` is no such text. */
 bool digest_parse(const char *text, Digest *d);
 
--- a/packages/kernel/err.c
+++ b/packages/kernel/err.c
@@ -29,7 +29,7 @@
                           "retry: the platform's store did not answer"},
     [ERR_BUDGET_CUT] = {"budget-cut", 503,
                         "retry: no instance that holds tokens can be reached"},
-    [ERR_CAP] = {"cap-reached", 429,
+    [ERR_CAP_REACHED] = {"cap-reached", 429,
                  "retry later or ask the operator to raise the row's cap"},
     [ERR_OVERLOADED] = {"overloaded", 503, "retry after the time given"},
     [ERR_NO_TARGET] = {"no-target", 503,
@@ -61,12 +61,12 @@
     [ERR_DRAINING] = {"draining", 503, "retry at another instance"},
     [ERR_NOT_CONFIGURED] = {"not-configured", 503,
                             "retry: this instance has no configuration yet"},
-    [ERR_BEHIND] = {"behind", 503,
+    [ERR_LAGGING] = {"behind", 503,
                     "retry: this instance stood still, and reads what it "
                     "missed"},
     [ERR_NO_ROUTE] = {"no-route", 404,
                       "ask the operator which hosts and paths are served"},
-    [ERR_LATE] = {"late", 504,
+    [ERR_TARGET_TIMEOUT] = {"late", 504,
                   "the target did not answer in time; it may have run"},
     [ERR_TABLE] = {"table-invalid", 422, "correct the cell named"},
     [ERR_TABLE_RACE] = {"table-race", 409,
@@ -114,6 +114,6 @@
   return &infos[kind];
 }
 
-const char *err_ran(Ran ran) {
+const char *err_ran_name(Ran ran) {
   return rans[ran];
 }
--- a/packages/kernel/err.h
+++ b/packages/kernel/err.h
@@ -19,7 +19,7 @@
   ERR_BUDGET_HELD,
   ERR_BUDGET_STORE,
   ERR_BUDGET_CUT,
-  ERR_CAP,
+  ERR_CAP_REACHED,
   ERR_OVERLOADED,
   ERR_NO_TARGET,
   ERR_TARGET_FAILED,
@@ -32,9 +32,9 @@
   ERR_CLAIM_STORE,
   ERR_DRAINING,
   ERR_NOT_CONFIGURED,
-  ERR_BEHIND,
+  ERR_LAGGING,
   ERR_NO_ROUTE,
-  ERR_LATE,
+  ERR_TARGET_TIMEOUT,
   /* operators */
   ERR_TABLE,
   ERR_TABLE_RACE,
@@ -73,6 +73,6 @@
 bool err_retry(Err *e, ErrKind kind, int retry_ms, const char *fmt, ...)
     __attribute__((format(printf, 4, 5)));
 const ErrInfo *err_info(ErrKind kind);
-const char *err_ran(Ran ran);
+const char *err_ran_name(Ran ran);
 
 #endif
--- a/packages/kernel/log.c
+++ b/packages/kernel/log.c
@@ -14,7 +14,7 @@
 #include "kernel/count.h"
 #include "kernel/limits.h"
 
-static char self[LIMIT_ID];
+static char self[LIMIT_ID_BYTES];
 static bool verbose;
 static int most;             /* lines of log_info a second; 0: no bound */
 static int written, dropped; /* in this second; since the last word of it */
@@ -84,7 +84,7 @@
   json_decref(o);
 }
 
-void log_bound(int lines) {
+void log_limit_rate(int lines) {
   most = lines;
   int flags = fcntl(STDOUT_FILENO, F_GETFL);
   if (flags >= 0) fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
--- a/packages/kernel/service.c
+++ b/packages/kernel/service.c
@@ -10,7 +10,7 @@
 }
 
 static bool is_up(const Kernel *k, const Service *s) {
-  for (int i = 0; i < k->up; i++)
+  for (int i = 0; i < k->n_started; i++)
     if (k->started[i] == s) return true;
   return false;
 }
@@ -30,7 +30,7 @@
     if (!start_one(k, need, depth + 1, e)) return false;
   }
   if (s->start && !s->start(s, e)) return false;
-  k->started[k->up++] = s;
+  k->started[k->n_started++] = s;
   return true;
 }
 
@@ -58,13 +58,13 @@
 }
 
 void service_drain(Kernel *k) {
-  for (int i = k->up - 1; i >= 0; i--)
+  for (int i = k->n_started - 1; i >= 0; i--)
     if (k->started[i]->drain) k->started[i]->drain(k->started[i]);
 }
 
 void service_stop(Kernel *k) {
-  while (k->up > 0) {
-    Service *s = k->started[--k->up];
+  while (k->n_started > 0) {
+    Service *s = k->started[--k->n_started];
     if (s->stop) s->stop(s);
   }
 }
--- a/packages/kernel/service.h
+++ b/packages/kernel/service.h
@@ -24,7 +24,7 @@
   Service *list[SERVICE_MAX];
   int n;
   Service *started[SERVICE_MAX]; /* in order of start */
-  int up;
+  int n_started;
 } Kernel;
 
 /* False when the name is taken or the kernel is full. */
--- a/packages/kernel/text.c
+++ b/packages/kernel/text.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-char *text_json(json_t *o) {
+char *text_take_json(json_t *o) {
   char *text = json_dumps(o, JSON_COMPACT), *copy = g_strdup(text);
   free(text);
   json_decref(o);
--- a/packages/kernel/text.h
+++ b/packages/kernel/text.h
@@ -6,7 +6,7 @@
 #include <stdint.h>
 
 /* Compact text of `o`, which is released; g_free. */
-char *text_json(json_t *o);
+char *text_take_json(json_t *o);
 /* Stands for an id or a name in messages between instances. */
 uint64_t text_hash(const char *name);
 
--- a/packages/ledger/holder.c
+++ b/packages/ledger/holder.c
@@ -197,7 +197,7 @@
    for it would only race it for the store. */
 static double patience(const Ledger *l, const Purse *p) {
   bool spoke = p->answered > 0 && l->now - p->answered < HOME_SPOKE;
-  return spoke ? LEDGER_RESEND : LEDGER_REDRAW;
+  return spoke ? LEDGER_RESEND_S : LEDGER_REDRAW_S;
 }
 
 void holder_reserve(Ledger *l, uint64_t handle, const char *budget,
@@ -215,7 +215,7 @@
   p->reserved = l->now;
   if (take(l, p, handle, amount)) return;
   Waiter *w = g_new0(Waiter, 1);
-  *w = (Waiter){handle, amount, l->now + LEDGER_DRAW_WAIT, ERR_BUDGET_CUT};
+  *w = (Waiter){handle, amount, l->now + LEDGER_DRAW_WAIT_S, ERR_BUDGET_CUT};
   g_queue_push_tail(&p->waiters, w);
   g_hash_table_insert(l->waiting, g_memdup2(&handle, sizeof handle), p);
   if (p->asked == 0 || l->now - p->asked >= patience(l, p)) ask(l, p);
@@ -352,13 +352,13 @@
     p->hot |= a->closing;
     if (a->closing) give_back(l, p, a, free_of(a));
     int64_t keep = laid_out(l, p);
-    int64_t idle = keep ? p->typical + (int64_t)(p->rate * LEDGER_IDLE) : 0;
+    int64_t idle = keep ? p->typical + (int64_t)(p->rate * LEDGER_IDLE_S) : 0;
     /* A budget seldom asked for: one report for spent and returned together. */
     bool soon = p->rate < 1 && a->reserved > 0;
     if (!a->closing && !soon && p->waiters.length == 0 && free_of(a) > idle)
       give_back(l, p, a, free_of(a) - keep);
     bool pending = !told(a) || a->closing;
-    double wait = a->closing ? LEDGER_RESEND : LEDGER_REPORT_EVERY;
+    double wait = a->closing ? LEDGER_RESEND_S : LEDGER_REPORT_INTERVAL_S;
     if (pending && l->now - a->reported >= wait) report(l, p, a);
   }
 }
@@ -393,7 +393,7 @@
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Purse *p = v;
     bool quiet = !p->hot && !p->waiters.head && !l->draining;
-    if (quiet && l->now - p->looked < LEDGER_LOOK) continue;
+    if (quiet && l->now - p->looked < LEDGER_IDLE_CHECK_S) continue;
     p->rate *= exp(-(l->now - p->looked) / RATE_TAU);
     p->looked = l->now;
     tick_accounts(l, p);
--- a/packages/ledger/home.c
+++ b/packages/ledger/home.c
@@ -53,7 +53,7 @@
   int64_t need = needs(h) - have;
   int64_t ahead = (int64_t)layup_tokens(l, h) - have;
   int64_t cap = MAX(0, layup_share(l, h, have, remaining) - have);
-  if (need > 0) ahead = MAX(ahead, need + LEDGER_MIN_DRAW);
+  if (need > 0) ahead = MAX(ahead, need + LEDGER_MIN_DRAW_TOKENS);
   int64_t n = MAX(need, MIN(ahead, cap));
   return CLAMP(n, 0, remaining);
 }
@@ -296,7 +296,7 @@
     d = g_new0(Draw, 1);
     g_strlcpy(d->holder, from, sizeof d->holder);
     d->since = l->now;
-    d->deadline = l->now + LEDGER_DRAW_WAIT - DRAW_GRACE;
+    d->deadline = l->now + LEDGER_DRAW_WAIT_S - DRAW_GRACE;
     g_ptr_array_add(h->draws, d);
   }
   d->need = m->need;
@@ -387,7 +387,7 @@
     s->have = false;
     s->sent = 0;
   }
-  bool wait = l->now - s->gone_since < LEDGER_SEAL_AFTER;
+  bool wait = l->now - s->gone_since < LEDGER_SEAL_AFTER_S;
   if (wait || s->have || l->now - s->sent < 1.0) return;
   s->sent = l->now;
   if (!g->witness[0]) {
@@ -459,7 +459,7 @@
   double lay = layup_tokens(l, h);
   int64_t have = home_free(g);
   int64_t share = layup_share(l, h, have, MAX(h->remaining, 0));
-  int64_t keep = MAX(MIN((int64_t)lay, share), LEDGER_MIN_DRAW);
+  int64_t keep = MAX(MIN((int64_t)lay, share), LEDGER_MIN_DRAW_TOKENS);
   bool paced = l->now - shard_of(l, h)->wrote > SURPLUS_EVERY;
   if (paced && (double)have > SURPLUS * (double)keep && h->draws->len == 0)
     give_to_store(l, h, keep);
@@ -472,9 +472,9 @@
    platform's rate holds at any size. */
 static double write_every(const Ledger *l) {
   int n = 0;
-  for (int i = 0; i < LIMIT_SHARDS; i++) n += l->by_shard[i] != NULL;
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++) n += l->by_shard[i] != NULL;
   double spread = n * l->lanes * MAX(l->regions, 1) / REPORT_WRITES;
-  return MAX(LEDGER_WRITE_EVERY, spread);
+  return MAX(LEDGER_WRITE_INTERVAL_S, spread);
 }
 
 static bool idle(const HomeBudget *h) {
@@ -497,7 +497,7 @@
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     HomeBudget *h = v;
     double dt = l->now - h->looked;
-    if (dt < LEDGER_LOOK && quiet(l, h)) continue;
+    if (dt < LEDGER_IDLE_CHECK_S && quiet(l, h)) continue;
     h->looked = l->now;
     layup_tick(l, h, dt);
     if (h->held) tick_held(l, h);
--- a/packages/ledger/ledger.c
+++ b/packages/ledger/ledger.c
@@ -106,7 +106,7 @@
 }
 
 static void drop_index(Ledger *l) {
-  for (int i = 0; i < LIMIT_SHARDS; i++) {
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++) {
     if (l->by_shard[i]) g_ptr_array_free(l->by_shard[i], TRUE);
     l->by_shard[i] = NULL;
   }
@@ -120,8 +120,8 @@
   l->view = view_new(NULL, 0);
   l->lanes = 1;
   l->views = 1;
-  for (int i = 0; i < LIMIT_SHARDS; i++) {
-    char name[LIMIT_NAME];
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++) {
+    char name[LIMIT_NAME_BYTES];
     shard_name(i, name);
     l->keys[i] = XXH64(name, strlen(name), 0);
   }
@@ -148,7 +148,7 @@
   g_queue_clear_full(&l->loop, g_free);
   g_queue_clear(&l->touched);
   drop_index(l);
-  for (int i = 0; i < LIMIT_SHARDS; i++) stored_free(l->shards[i]);
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++) stored_free(l->shards[i]);
   g_hash_table_destroy(l->reservations);
   g_hash_table_destroy(l->waiting);
   g_hash_table_destroy(l->purses);
@@ -173,9 +173,9 @@
   l->now = now;
   view_free(l->view);
   l->view = view_copy(v);
-  bool small = v->n <= MEMBER_SMALL;
-  l->account_s = small ? LEDGER_ACCOUNT_SMALL : LEDGER_ACCOUNT_S;
-  l->agreed_s = small ? LEDGER_ACCOUNT_SMALL : LEDGER_AGREED_S;
+  bool small = v->n <= MEMBER_SMALL_INSTANCES;
+  l->account_s = small ? LEDGER_ACCOUNT_SMALL_FLEET_S : LEDGER_ACCOUNT_S;
+  l->agreed_s = small ? LEDGER_ACCOUNT_SMALL_FLEET_S : LEDGER_AGREED_S;
   l->regions = view_count_regions(v);
   l->near = view_count_members(v, l->region);
   l->views++;
--- a/packages/ledger/ledger.h
+++ b/packages/ledger/ledger.h
@@ -34,7 +34,7 @@
    change nothing that is not true anyway. */
 typedef struct LedgerMsg {
   LedgerKind kind;
-  char budget[LIMIT_NAME];
+  char budget[LIMIT_NAME_BYTES];
   uint64_t grant;
   int64_t granted, returned, spent, limit;
   int64_t need, want;
@@ -51,7 +51,7 @@
 
 typedef struct LedgerAction {
   LedgerDo what;
-  char to[LIMIT_ID];
+  char to[LIMIT_ID_BYTES];
   LedgerMsg msg;
   int shard;
   uint64_t version;
@@ -63,7 +63,7 @@
 
 /* What the table says of one budget. */
 typedef struct LedgerBudget {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   int64_t total;    /* prepaid tokens */
   uint64_t version; /* table version that last changed this row */
   double reserve_s; /* seconds of measured demand laid up per region */
--- a/packages/ledger/shard.c
+++ b/packages/ledger/shard.c
@@ -34,11 +34,11 @@
 }
 
 int shard_index(const char *budget) {
-  return (int)(XXH64(budget, strlen(budget), 0) % LIMIT_SHARDS);
+  return (int)(XXH64(budget, strlen(budget), 0) % LIMIT_BUDGET_SHARDS);
 }
 
 void shard_name(int index, char *out) {
-  snprintf(out, LIMIT_NAME, "budget/%03d", index);
+  snprintf(out, LIMIT_NAME_BYTES, "budget/%03d", index);
 }
 
 ShardBudget *shard_budget(Shard *s, const char *name) {
@@ -155,7 +155,7 @@
   sum_back(g, true, &spent);
   int64_t out = shard_outstanding(g);
   bool whole = g->exact && out <= spent;
-  if (!whole && now - g->changed < (int64_t)LEDGER_RETIRE) return false;
+  if (!whole && now - g->changed < (int64_t)LEDGER_RETIRE_S) return false;
   if (!whole) sum_back(g, false, &spent);
   b->closed += spent; /* more than `out` only if a target broke its bound */
   b->retired += MAX(out - spent, 0);
--- a/packages/ledger/shard.h
+++ b/packages/ledger/shard.h
@@ -24,10 +24,10 @@
 
 typedef struct ShardGrant {
   uint64_t id;
-  char home[LIMIT_ID];    /* the only one who raises it */
-  char witness[LIMIT_ID]; /* who must agree to each raise of `limit`; "": none,
+  char home[LIMIT_ID_BYTES];    /* the only one who raises it */
+  char witness[LIMIT_ID_BYTES]; /* who must agree to each raise of `limit`; "": none,
                              then the limit is the whole grant */
-  char region[LIMIT_NAME];
+  char region[LIMIT_NAME_BYTES];
   int64_t granted, returned, spent; /* cumulative */
   bool sealed;
   bool exact;       /* sealed by its home itself: limit is what it gave out */
@@ -39,7 +39,7 @@
 } ShardGrant;
 
 typedef struct ShardBudget {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   int64_t total;   /* prepaid, from the table */
   uint64_t tv;     /* table version of `total` */
   int64_t closed;  /* spent by grants that are gone */
--- a/packages/ledger/shardio.c
+++ b/packages/ledger/shardio.c
@@ -81,7 +81,7 @@
         encode_budget(&n, g_hash_table_lookup(s->budgets, i->data)));
   g_list_free(names);
   g_hash_table_destroy(n.places);
-  return text_json(json_pack("{s:o,s:o}", "ids", n.list, "budgets", budgets));
+  return text_take_json(json_pack("{s:o,s:o}", "ids", n.list, "budgets", budgets));
 }
 
 /* == decoding: anything unexpected makes it no shard == */
--- a/packages/ledger/state.h
+++ b/packages/ledger/state.h
@@ -13,7 +13,7 @@
    free = granted - returned - spent - reserved, never below 0. */
 typedef struct Account {
   uint64_t grant;
-  char home[LIMIT_ID];
+  char home[LIMIT_ID_BYTES];
   int64_t granted, returned, spent, reserved;
   int64_t told_returned, told_spent; /* acknowledged by a home */
   bool closing;                      /* no new reservations, give back */
@@ -37,7 +37,7 @@
 
 /* The holder's side of one budget. */
 typedef struct Purse {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   int shard;
   GPtrArray *accounts;
   GQueue waiters;      /* Waiter* */
@@ -61,7 +61,7 @@
 } Share;
 
 typedef struct Draw {
-  char holder[LIMIT_ID];
+  char holder[LIMIT_ID_BYTES];
   int64_t need, want;
   double since, deadline;
 } Draw;
@@ -70,8 +70,8 @@
    free = (granted - returned) - (given - back) and given <= limit. */
 typedef struct Held {
   uint64_t id;
-  char witness[LIMIT_ID];
-  char moving_to[LIMIT_ID]; /* next witness, "" none */
+  char witness[LIMIT_ID_BYTES];
+  char moving_to[LIMIT_ID_BYTES]; /* next witness, "" none */
   bool moving, moved;       /* asked it; it agreed */
   double drawn;             /* when somebody last asked for tokens */
   bool stored;              /* the document has this grant */
@@ -81,7 +81,7 @@
   int64_t limit, limit_asked;
   double raise_sent;
   double unanswered;     /* the first RAISE since the witness spoke; 0: none */
-  char silent[LIMIT_ID]; /* a witness that did not answer, "" none */
+  char silent[LIMIT_ID_BYTES]; /* a witness that did not answer, "" none */
   GHashTable *shares;    /* holder id -> Share */
   int64_t stored_spent, stored_returned;
 } Held;
@@ -89,7 +89,7 @@
 /* A report on a grant that is not ours, to be put into the document. */
 typedef struct Late {
   uint64_t grant;
-  char holder[LIMIT_ID];
+  char holder[LIMIT_ID_BYTES];
   int64_t returned, spent;
   bool final, applied;
   double since; /* when it came */
@@ -97,7 +97,7 @@
 
 typedef struct Seal {
   uint64_t grant;
-  char witness[LIMIT_ID]; /* whom we asked */
+  char witness[LIMIT_ID_BYTES]; /* whom we asked */
   bool have;              /* it answered */
   int64_t limit, back;
   double sent;
@@ -106,7 +106,7 @@
 
 /* The home's side of one budget. */
 typedef struct HomeBudget {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   Held *held;
   GPtrArray *draws; /* Draw* */
   GPtrArray *late;  /* Late* */
@@ -118,7 +118,7 @@
   double looked;       /* when it was last looked at */
   double recalled;     /* when we last recalled; -1: never */
   double giving_until; /* somebody recalled: free goes to the store at once */
-  char recaller[LIMIT_ID];
+  char recaller[LIMIT_ID_BYTES];
   bool tell_recaller;
   int64_t remaining, unspent; /* as last seen in the document */
 } HomeBudget;
@@ -151,8 +151,8 @@
 } Witnessed;
 
 struct Ledger {
-  char self[LIMIT_ID];
-  char region[LIMIT_NAME];
+  char self[LIMIT_ID_BYTES];
+  char region[LIMIT_NAME_BYTES];
   GRand *rng;
   LedgerFaults faults;
   View *view;
@@ -163,21 +163,21 @@
   int lanes;
   double report_every; /* seconds between two writes of spend reports */
   GHashTable *rows;    /* name -> LedgerBudget, as the table has it */
-  GPtrArray *by_shard[LIMIT_SHARDS]; /* the same rows; NULL: none there */
-  const Member *first[LIMIT_SHARDS]; /* its home in our region as of `homed`;
+  GPtrArray *by_shard[LIMIT_BUDGET_SHARDS]; /* the same rows; NULL: none there */
+  const Member *first[LIMIT_BUDGET_SHARDS]; /* its home in our region as of `homed`;
                                         NULL: nobody */
-  uint32_t homed[LIMIT_SHARDS];      /* the view that this was worked out for */
+  uint32_t homed[LIMIT_BUDGET_SHARDS];      /* the view that this was worked out for */
   uint32_t views;                    /* that there have been */
   double account_s;  /* seconds of demand that an account covers */
   double agreed_s;   /* that a witness agrees to ahead */
   int regions, near; /* regions in the view; instances of ours */
-  uint64_t keys[LIMIT_SHARDS];
+  uint64_t keys[LIMIT_BUDGET_SHARDS];
   GHashTable *closed;       /* grants whose account is over: never again */
   GHashTable *purses;       /* name -> Purse */
   GHashTable *reservations; /* handle -> Reservation */
   GHashTable *waiting;      /* handle -> Purse, for handles in a queue */
   GHashTable *homes;        /* name -> HomeBudget */
-  ShardState *shards[LIMIT_SHARDS];
+  ShardState *shards[LIMIT_BUDGET_SHARDS];
   GHashTable *witnessed; /* grant -> Witnessed */
   GQueue actions;        /* LedgerAction* */
   GQueue loop;           /* LedgerMsg* to ourselves */
--- a/packages/ledger/stored.c
+++ b/packages/ledger/stored.c
@@ -305,14 +305,14 @@
   for (guint i = 0; i < s->budgets->len; i++) {
     const HomeBudget *h = s->budgets->pdata[i];
     const LedgerBudget *row = g_hash_table_lookup(l->rows, h->name);
-    double least = row ? LEDGER_UNUSED * (double)row->total : 0;
+    double least = row ? LEDGER_MAX_UNUSED_RATIO * (double)row->total : 0;
     if ((double)h->remaining >= least) return false;
   }
   return s->budgets->len > 0;
 }
 
 void stored_back(Ledger *l) {
-  for (int i = 0; i < LIMIT_SHARDS; i++) {
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++) {
     ShardState *s = l->shards[i];
     if (s) s->retry_at = l->now + BACK_SPREAD * g_rand_double(l->rng);
   }
@@ -397,7 +397,7 @@
 }
 
 void stored_tick(Ledger *l) {
-  for (int i = 0; i < LIMIT_SHARDS; i++) {
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++) {
     ShardState *s = l->shards[i];
     bool ours = l->by_shard[i] && ledger_ours(l, i) && !l->draining;
     if (!s && !ours) continue;
@@ -406,7 +406,7 @@
       s->read_at = l->now + REFRESH;
       s->reread = s->dirty = true;
     }
-    if (ours && l->now - s->watched >= LEDGER_LOOK) {
+    if (ours && l->now - s->watched >= LEDGER_IDLE_CHECK_S) {
       s->watched = l->now;
       home_watch_grants(l, s);
     }
--- a/packages/ledger/witness.c
+++ b/packages/ledger/witness.c
@@ -70,7 +70,7 @@
     if (far) break;
   }
   if (!best) best = quiet;
-  g_strlcpy(out, best ? best->id : "", LIMIT_ID);
+  g_strlcpy(out, best ? best->id : "", LIMIT_ID_BYTES);
 }
 
 static void send_raise(Ledger *l, HomeBudget *h, const char *to) {
@@ -99,7 +99,7 @@
   int64_t ahead = (int64_t)(h->rate * l->agreed_s);
   /* What is agreed ahead is written off should we be lost: little of a small
      budget, enough of a large one that not each gift needs a word. */
-  ahead = MAX(ahead, MIN(LEDGER_MIN_DRAW, h->remaining / 2048));
+  ahead = MAX(ahead, MIN(LEDGER_MIN_DRAW_TOKENS, h->remaining / 2048));
   ahead = MIN(ahead, MAX(home_free(g) - n, 0));
   if (g->limit_asked - g->given >= n + ahead / 2) return;
   g->limit_asked = g->given + n + ahead;
@@ -116,7 +116,7 @@
    the document names it. Until then nothing beyond the old limit is given. */
 static void move_witness(Ledger *l, HomeBudget *h) {
   Held *g = h->held;
-  char next[LIMIT_ID];
+  char next[LIMIT_ID_BYTES];
   witness_pick(l, g->id, g->silent, next);
   if (strcmp(next, g->witness) == 0) return;
   if (!next[0]) {
@@ -179,7 +179,7 @@
     if (lost) {
       g->moving = false;
       move_witness(l, h);
-    } else if (!g->moved && l->now - g->raise_sent >= LEDGER_RESEND) {
+    } else if (!g->moved && l->now - g->raise_sent >= LEDGER_RESEND_S) {
       send_raise(l, h, g->moving_to);
     }
     return;
@@ -198,6 +198,6 @@
   }
   if (!g->witness[0]) return;
   bool open = g->limit_asked > g->limit;
-  if (open && l->now - g->raise_sent >= LEDGER_RESEND)
+  if (open && l->now - g->raise_sent >= LEDGER_RESEND_S)
     send_raise(l, h, g->witness);
 }
--- a/packages/member/gossip.c
+++ b/packages/member/gossip.c
@@ -74,7 +74,7 @@
 } Favour;
 
 typedef struct Seed {
-  char peer[LIMIT_NAME];
+  char peer[LIMIT_NAME_BYTES];
   double since, next_at, wait_s;
 } Seed;
 
--- a/packages/member/gossip.h
+++ b/packages/member/gossip.h
@@ -47,7 +47,7 @@
 /* Something to be sent to the instance at `to`; news go before the message, in
    the same frame. */
 typedef struct GossipAction {
-  char to[LIMIT_NAME];
+  char to[LIMIT_NAME_BYTES];
   uint64_t id; /* text_hash of the receiver's id, 0: whoever is there */
   bool is_update;
   GossipUpdate update;
--- a/packages/member/handover.h
+++ b/packages/member/handover.h
@@ -36,7 +36,7 @@
 
 /* Who takes. */
 typedef struct Handover {
-  char source[LIMIT_ID]; /* who is asked; "": nobody */
+  char source[LIMIT_ID_BYTES]; /* who is asked; "": nobody */
   HandoverRequest next;  /* the part that is awaited */
   double requested_at;
   int tries;
--- a/packages/member/member.c
+++ b/packages/member/member.c
@@ -115,8 +115,8 @@
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Peer *p = v;
     if (p->m.table >= s->self.table) p->moved = now;
-    double every_s = MAX(p->m.heartbeat_interval_s, MEMBER_BEAT);
-    if (now - p->heard < every_s * MEMBER_SILENT) continue;
+    double every_s = MAX(p->m.heartbeat_interval_s, MEMBER_HEARTBEAT_S);
+    if (now - p->heard < every_s * MEMBER_MAX_MISSED_HEARTBEATS) continue;
     g_hash_table_iter_remove(&it);
     changed = true;
   }
@@ -241,7 +241,7 @@
 /* == heartbeats == */
 
 static double interval(int n, double bytes) {
-  return MAX(MEMBER_BEAT, n * BEAT_BYTES / bytes);
+  return MAX(MEMBER_HEARTBEAT_S, n * BEAT_BYTES / bytes);
 }
 
 static bool is_near(const MemberSet *s, const Member *m) {
@@ -303,12 +303,12 @@
   g_hash_table_iter_init(&it, s->peers);
   while (g_hash_table_iter_next(&it, NULL, &v))
     n += is_near(s, &((Peer *)v)->m);
-  bool small = all <= MEMBER_SMALL;
-  double near_s = interval(small ? all : n, small ? MEMBER_BYTES : MEMBER_NEAR);
-  double far_s = interval(all, small ? MEMBER_BYTES : MEMBER_FAR);
+  bool small = all <= MEMBER_SMALL_INSTANCES;
+  double near_s = interval(small ? all : n, small ? MEMBER_BYTES_PER_S : MEMBER_NEAR_BYTES_PER_S);
+  double far_s = interval(all, small ? MEMBER_BYTES_PER_S : MEMBER_FAR_BYTES_PER_S);
   if (greet) {
     s->greet = false;
-    s->next_greet = now + MEMBER_BEAT;
+    s->next_greet = now + MEMBER_HEARTBEAT_S;
   }
   g_hash_table_iter_init(&it, s->peers);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
--- a/packages/member/member.h
+++ b/packages/member/member.h
@@ -10,8 +10,8 @@
 
 /* One line of the platform's list. */
 typedef struct MemberSeed {
-  char name[LIMIT_NAME]; /* of an instance, or of a target */
-  char peer[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES]; /* of an instance, or of a target */
+  char peer[LIMIT_NAME_BYTES];
   bool target, leaving;
 } MemberSeed;
 
--- a/packages/member/readers.c
+++ b/packages/member/readers.c
@@ -20,8 +20,8 @@
 } Word;
 
 struct Readers {
-  char self[LIMIT_ID];
-  char region[LIMIT_NAME];
+  char self[LIMIT_ID_BYTES];
+  char region[LIMIT_NAME_BYTES];
   GHashTable *heard; /* id -> Word */
   double phase;      /* 0 to 1: our place in a round of all */
   double served;     /* when the store last answered us */
@@ -30,7 +30,7 @@
   int members;             /* of the fleet */
   bool small;              /* the fleet */
   int n;
-  char choice[VIEW_MAX_HOMES][LIMIT_ID]; /* the first ones, of `n` */
+  char choice[VIEW_MAX_HOMES][LIMIT_ID_BYTES]; /* the first ones, of `n` */
 };
 
 Readers *readers_new(const char *self, const char *region) {
@@ -111,10 +111,10 @@
 void readers_update_view(Readers *r, const View *v) {
   const Member *first[VIEW_MAX_HOMES];
   r->members = v->n;
-  r->small = v->n < FLEET_SMALL;
+  r->small = v->n < FLEET_SMALL_INSTANCES;
   r->n = view_homes(v, r->region, KEY, first, VIEW_MAX_HOMES);
   for (int i = 0; i < r->n; i++)
-    g_strlcpy(r->choice[i], first[i]->id, LIMIT_ID);
+    g_strlcpy(r->choice[i], first[i]->id, LIMIT_ID_BYTES);
 }
 
 /* The store answers us and not the first choices: we read in their place,
--- a/packages/member/spread.h
+++ b/packages/member/spread.h
@@ -12,7 +12,7 @@
    most, and a lost one costs 17 others a message. */
 #define SPREAD_FANOUT 16
 /* Bytes of the name of a place in the order of all. */
-#define SPREAD_PLACE_BYTES (LIMIT_NAME + LIMIT_ID)
+#define SPREAD_PLACE_BYTES (LIMIT_NAME_BYTES + LIMIT_ID_BYTES)
 
 /* Who gets the message next, and the place before which its part ends. */
 typedef struct SpreadPart {
--- a/packages/member/view.h
+++ b/packages/member/view.h
@@ -8,11 +8,11 @@
 #include "kernel/limits.h"
 
 typedef struct Member {
-  char id[LIMIT_ID]; /* "name.incarnation": a restart is another member */
-  char region[LIMIT_NAME];
-  char dc[LIMIT_NAME];
-  char peer[LIMIT_NAME]; /* tcp://ip:port of the peer socket */
-  char http[LIMIT_NAME]; /* ip:port for callers and operators */
+  char id[LIMIT_ID_BYTES]; /* "name.incarnation": a restart is another member */
+  char region[LIMIT_NAME_BYTES];
+  char dc[LIMIT_NAME_BYTES];
+  char peer[LIMIT_NAME_BYTES]; /* tcp://ip:port of the peer socket */
+  char http[LIMIT_NAME_BYTES]; /* ip:port for callers and operators */
   bool leaving;
   uint64_t table;              /* table version in force there */
   double heartbeat_interval_s; /* it promises its next heartbeat within this
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -89,7 +89,7 @@
 
 typedef struct Node {
   struct ev_loop *loop;
-  char id[LIMIT_ID];
+  char id[LIMIT_ID_BYTES];
   Store *store;
   Feed *feed;
   Regions *regions;
@@ -260,7 +260,7 @@
   int of = MAX(count, n->seeds);
   n->instances = count;
   targets_place(n->targets, loopclock_now(n->loop), rank, of);
-  targets_parts_are_told(n->targets, count < FLEET_SMALL);
+  targets_parts_are_told(n->targets, count < FLEET_SMALL_INSTANCES);
   retries_instances(n->retries, loopclock_now(n->loop), count);
 }
 
@@ -647,7 +647,7 @@
   snprintf(n->id, sizeof n->id, "%.36s.%08x", settings_text(settings, "name"),
            random_number());
   log_open(n->id, false);
-  log_bound(LOG_LINES);
+  log_limit_rate(LOG_LINES);
   signal(SIGPIPE, SIG_IGN);
   n->loop = ev_default_loop(EVFLAG_AUTO);
   if (n->loop) loopclock_start(n->loop);
--- a/packages/once/bill.c
+++ b/packages/once/bill.c
@@ -48,7 +48,7 @@
                                     (json_int_t)(x->unix_s - first)));
   }
   g_hash_table_destroy(groups);
-  return text_json(
+  return text_take_json(
       json_pack("{s:I,s:o}", "t", (json_int_t)first, "budgets", budgets));
 }
 
--- a/packages/once/claim.c
+++ b/packages/once/claim.c
@@ -30,7 +30,7 @@
     s->index = i;
     s->claims = g_ptr_array_new_with_free_func(claim_free);
     s->loose = g_array_new(FALSE, FALSE, sizeof(Loose));
-    pace_init(&s->pace, CLAIM_WRITES, o->now);
+    pace_init(&s->pace, CLAIM_SHARD_WRITES_PER_S, o->now);
   }
   s->used = o->now;
   return s;
@@ -154,7 +154,7 @@
                .nonce = c->nonce,
                .verdict = c->verdict};
   if (claim && c->verdict == ONCE_REPLAY)
-    m.answer = once_answer_copy(&c->answer, LIMIT_CLAIM_ANSWER);
+    m.answer = once_answer_copy(&c->answer, LIMIT_CLAIM_ANSWER_BYTES);
   once_send(o, c->from, &m);
 }
 
@@ -188,7 +188,7 @@
   for (guint i = 0; i < s->claims->len; i++) {
     const Claim *c = s->claims->pdata[i];
     bool urgent = c->kind == ONCE_CLAIM || o->draining;
-    if (urgent || o->now - c->came >= CLAIM_LINGER) return true;
+    if (urgent || o->now - c->came >= CLAIM_LINGER_S) return true;
   }
   return false;
 }
@@ -200,8 +200,8 @@
     return;
   }
   if (claimio_read_parts(o, s)) return;
-  bool small = o->view->n <= MEMBER_SMALL;
-  pace_rate(&s->pace, small ? CLAIM_WRITES_SMALL : CLAIM_WRITES, o->now);
+  bool small = o->view->n <= MEMBER_SMALL_INSTANCES;
+  pace_rate(&s->pace, small ? CLAIM_SHARD_WRITES_SMALL_FLEET_PER_S : CLAIM_SHARD_WRITES_PER_S, o->now);
   Pace before = s->pace;
   double wait = pace_take(&s->pace, o->now, true);
   if (wait > 0) {
@@ -308,7 +308,7 @@
                .nonce = m->nonce,
                .digest = m->digest,
                .came = o->now,
-               .answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER)};
+               .answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER_BYTES)};
   g_strlcpy(c->from, from, sizeof c->from);
   return c;
 }
@@ -320,7 +320,7 @@
     if (!c->decided) {
       c->kind = m->kind; /* never made it to the store */
       once_answer_clear(&c->answer);
-      c->answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER);
+      c->answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER_BYTES);
     } else if (!c->next)
       c->next = claim_new(o, from, m);
   }
@@ -350,7 +350,7 @@
 static void drop_late(Once *o, ClaimShard *s) {
   for (guint i = s->claims->len; i > 0; i--) {
     const Claim *c = s->claims->pdata[i - 1];
-    bool late = c->kind == ONCE_CLAIM && o->now - c->came >= ONCE_WAIT;
+    bool late = c->kind == ONCE_CLAIM && o->now - c->came >= ONCE_CLAIM_WAIT_S;
     if (late && !c->decided) g_ptr_array_remove_index(s->claims, i - 1);
   }
 }
@@ -362,7 +362,7 @@
     drop_late(o, s);
     pump(o, s);
     bool idle = s->phase == SHARD_IDLE && s->claims->len == 0;
-    if (!idle || o->now - s->used < CLAIM_IDLE) continue;
+    if (!idle || o->now - s->used < CLAIM_IDLE_S) continue;
     claim_shard_free(s);
     o->shards[i] = NULL;
   }
--- a/packages/once/claimdoc.c
+++ b/packages/once/claimdoc.c
@@ -120,7 +120,7 @@
 }
 
 char *claimdoc_part(const ClaimPart *p) {
-  return text_json(json_pack("{s:o}", "entries", entries_json(p->entries)));
+  return text_take_json(json_pack("{s:o}", "entries", entries_json(p->entries)));
 }
 
 bool claimdoc_read_part(ClaimPart *p, const char *text) {
@@ -170,7 +170,7 @@
     json_array_append_new(parts, json_pack("[o,i,I]", hex(p->id), (int)p->count,
                                            (json_int_t)p->unix_s));
   }
-  return text_json(json_pack("{s:o,s:o}", "parts", parts, "entries",
+  return text_take_json(json_pack("{s:o,s:o}", "parts", parts, "entries",
                              entries_json(d->entries)));
 }
 
@@ -232,7 +232,7 @@
 
 void claimdoc_keep(ClaimDoc *d, ClaimEntry *e, const char *body, size_t len) {
   ClaimEntry *old;
-  while (d->bodies + len > CLAIM_BODIES && (old = oldest_body(d))) {
+  while (d->bodies + len > CLAIM_HEAD_ANSWER_BYTES && (old = oldest_body(d))) {
     d->bodies -= strlen(old->body);
     g_clear_pointer(&old->body, g_free);
   }
--- a/packages/once/claimio.c
+++ b/packages/once/claimio.c
@@ -9,9 +9,9 @@
 
 static void object_name(const ClaimShard *s, uint64_t part, char *out) {
   if (part)
-    snprintf(out, LIMIT_NAME, "claim/%02d/%016" PRIx64, s->index, part);
+    snprintf(out, LIMIT_NAME_BYTES, "claim/%02d/%016" PRIx64, s->index, part);
   else
-    snprintf(out, LIMIT_NAME, "claim/%02d", s->index);
+    snprintf(out, LIMIT_NAME_BYTES, "claim/%02d", s->index);
 }
 
 static OnceAction *call(Once *o, const ClaimShard *s, OnceDo what,
@@ -91,8 +91,8 @@
 static void expire(Once *o, ClaimShard *s) {
   while (s->doc->parts->len > 0) {
     const ClaimPart *p = s->doc->parts->pdata[0];
-    bool held = o->now - p->seen >= CLAIM_KEEP;
-    bool old = o->unix_s - p->unix_s >= CLAIM_KEEP_OLD;
+    bool held = o->now - p->seen >= CLAIM_KEEP_S;
+    bool old = o->unix_s - p->unix_s >= CLAIM_KEEP_WALL_S;
     if (!held && !old) return;
     loosen(s, p);
     g_ptr_array_remove_index(s->doc->parts, 0);
--- a/packages/once/keeper.c
+++ b/packages/once/keeper.c
@@ -71,7 +71,7 @@
     r->changed = o->now;
     g_strlcpy(r->runner, from, sizeof r->runner);
   }
-  if (v == ONCE_REPLAY) a.answer = once_answer_copy(&r->answer, LIMIT_ANSWER);
+  if (v == ONCE_REPLAY) a.answer = once_answer_copy(&r->answer, LIMIT_KEPT_ANSWER_BYTES);
   once_send(o, from, &a);
 }
 
@@ -105,7 +105,7 @@
   bool runner = strcmp(b->runner, o->self) != 0 && !gone(o, b->runner);
   bool backup = b->backup && !gone(o, b->backup);
   if (runner || (backup && b->copied)) return false;
-  if (backup && (float)o->now - b->asked < (float)ONCE_RESEND) return true;
+  if (backup && (float)o->now - b->asked < (float)ONCE_RESEND_S) return true;
   if (!backup) {
     const Member *m = pick_backup(o, b->line.key);
     b->copied = false;
@@ -170,7 +170,7 @@
     g_strlcpy(r->runner, from, sizeof r->runner);
     r->bill = m->bill;
     once_answer_clear(&r->answer);
-    r->answer = once_answer_copy(&m->answer, LIMIT_ANSWER);
+    r->answer = once_answer_copy(&m->answer, LIMIT_KEPT_ANSWER_BYTES);
     o->kept += r->answer.len;
   }
   if (again || doubled) {
@@ -181,7 +181,7 @@
     if (again && stored) once_send(o, from, &d);
   } else
     add_line(o, from, m);
-  while (o->kept > LIMIT_KEPT && o->ages.length > 0) forget_oldest(o);
+  while (o->kept > LIMIT_KEPT_TOTAL_BYTES && o->ages.length > 0) forget_oldest(o);
 }
 
 /* `from` runs it at a target. Its keeper knew of the run; the second keeper
@@ -239,7 +239,7 @@
 
 /* The whole fleet's batches stay within a few writes a second. */
 static double batch_every(const Once *o) {
-  return MAX(ONCE_BATCH, o->view->n / BATCH_WRITES);
+  return MAX(ONCE_BILL_BATCH_S, o->view->n / BATCH_WRITES);
 }
 
 void keeper_billed(Once *o, ErrKind kind) {
@@ -266,7 +266,7 @@
   if (!o->billing && o->lines->len > 0 && due) write_batch(o);
   while (o->ages.length > 0) {
     const Record *r = g_hash_table_lookup(o->records, o->ages.head->data);
-    if (r && o->now - r->changed < ONCE_KEEP) break;
+    if (r && o->now - r->changed < ONCE_KEEP_S) break;
     if (r && !r->finished && !r->unknown && !gone(o, r->runner)) break;
     forget_oldest(o);
   }
--- a/packages/once/once.c
+++ b/packages/once/once.c
@@ -145,8 +145,8 @@
   o->owed = g_hash_table_new_full(once_hash, once_equal, NULL, g_free);
   o->wishes =
       g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, wish_free);
-  o->seal = CLAIM_SEAL;
-  o->merge = CLAIM_MERGE;
+  o->seal = CLAIM_SEAL_ENTRIES;
+  o->merge = CLAIM_MERGE_PARTS;
   o->lines = g_ptr_array_new_with_free_func(g_free);
   o->by_key = g_hash_table_new(once_hash, once_equal);
   g_queue_init(&o->ages);
--- a/packages/once/once.h
+++ b/packages/once/once.h
@@ -34,8 +34,8 @@
 
 /* One line of the bill. */
 typedef struct OnceBill {
-  char customer[LIMIT_NAME];
-  char budget[LIMIT_NAME];
+  char customer[LIMIT_NAME_BYTES];
+  char budget[LIMIT_NAME_BYTES];
   int64_t tokens;
 } OnceBill;
 
@@ -76,7 +76,7 @@
   bool doubled;
   OnceBill bill;
   OnceAnswer answer;
-  char target[LIMIT_NAME]; /* AT; BEGUN: where a lost run may still go on */
+  char target[LIMIT_NAME_BYTES]; /* AT; BEGUN: where a lost run may still go on */
 } OnceMsg;
 
 typedef enum {
@@ -91,17 +91,17 @@
 
 typedef struct OnceAction {
   OnceDo what;
-  char to[LIMIT_ID];
+  char to[LIMIT_ID_BYTES];
   OnceMsg msg; /* SEND: answer.body is owned by the receiver of the action */
   int shard;
   uint64_t part; /* GET, PUT: 0 is the shard's head */
   uint64_t version;
   char *text; /* g_free */
-  char name[LIMIT_NAME + LIMIT_ID];
+  char name[LIMIT_NAME_BYTES + LIMIT_ID_BYTES];
   uint64_t handle;
   OnceVerdict verdict;
   OnceAnswer answer;       /* REPLAY; owned by the receiver */
-  char target[LIMIT_NAME]; /* RUN: a lost run of it may go on there */
+  char target[LIMIT_NAME_BYTES]; /* RUN: a lost run of it may go on there */
   bool doubled;
 } OnceAction;
 
--- a/packages/once/owed.c
+++ b/packages/once/owed.c
@@ -38,7 +38,7 @@
     Owed *x = v;
     /* A keeper that is gone took its lines with it: tell the next one. */
     bool lost = !view_find(o->view, x->keeper);
-    double wait = x->held ? OWED_AGAIN : 2 * ONCE_RESEND;
+    double wait = x->held ? OWED_AGAIN : 2 * ONCE_RESEND_S;
     if (o->draining) wait = MIN(wait, OWED_DRAIN);
     if (!lost && o->now - x->sent < wait) continue;
     /* In an outage everything is held for long: no more than a trickle. */
--- a/packages/once/run.c
+++ b/packages/once/run.c
@@ -31,7 +31,7 @@
   a->handle = r->handle;
   a->verdict = v;
   g_strlcpy(a->target, r->target, sizeof a->target);
-  if (answer) a->answer = once_answer_copy(answer, LIMIT_ANSWER);
+  if (answer) a->answer = once_answer_copy(answer, LIMIT_KEPT_ANSWER_BYTES);
   if (v == ONCE_RUN)
     r->state = RUN_RUNNING;
   else
@@ -57,7 +57,7 @@
     return;
   }
   r->state = RUN_CLAIMING;
-  r->deadline = o->now + ONCE_WAIT;
+  r->deadline = o->now + ONCE_CLAIM_WAIT_S;
   wish_claim(o, r);
 }
 
@@ -130,7 +130,7 @@
                .nonce = r->nonce,
                .digest = r->digest,
                .bill = r->bill};
-  m.answer = once_answer_copy(&r->answer, LIMIT_ANSWER);
+  m.answer = once_answer_copy(&r->answer, LIMIT_KEPT_ANSWER_BYTES);
   Owed *owed = g_new0(Owed, 1);
   owed->line = once_line(o, &m);
   owed->sent = r->sent = o->now;
@@ -207,7 +207,7 @@
   r->state = RUN_FINISHING;
   r->deadline = now + FINISH_WAIT;
   r->bill = *bill;
-  r->answer = once_answer_copy(answer, LIMIT_ANSWER);
+  r->answer = once_answer_copy(answer, LIMIT_KEPT_ANSWER_BYTES);
   if (r->claimed) wish_outcome(o, r);
   send_finish(o, r);
   tell_end(o, r, 1);
@@ -239,7 +239,7 @@
 
 static void tick(Once *o, Run *r) {
   bool late = o->now >= r->deadline;
-  bool resend = o->now - r->sent >= ONCE_RESEND;
+  bool resend = o->now - r->sent >= ONCE_RESEND_S;
   switch (r->state) {
   case RUN_ASKING:
     /* Without its keepers a repeatable request runs; a second run would be
--- a/packages/once/state.h
+++ b/packages/once/state.h
@@ -13,7 +13,7 @@
 typedef struct Record {
   OnceKey key;
   uint64_t nonce, digest;
-  char runner[LIMIT_ID], target[LIMIT_NAME];
+  char runner[LIMIT_ID_BYTES], target[LIMIT_NAME_BYTES];
   bool finished, unknown;
   OnceBill bill;
   OnceAnswer answer;
@@ -35,10 +35,10 @@
   bool ask, repeat, claimed;
   bool unknown;
   double deadline, sent;
-  char keeper[LIMIT_ID];   /* that is asked */
+  char keeper[LIMIT_ID_BYTES];   /* that is asked */
   bool second;             /* the first one said nothing */
   int tries;               /* how often the finish was told */
-  char target[LIMIT_NAME]; /* where a lost run of it may go on */
+  char target[LIMIT_NAME_BYTES]; /* where a lost run of it may go on */
   OnceBill bill;
   OnceAnswer answer;
 } Run;
@@ -65,7 +65,7 @@
   OnceKey key;
   uint64_t nonce, digest, handle;
   OnceAnswer answer; /* OUTCOME; status 0: unknown */
-  char to[LIMIT_ID];
+  char to[LIMIT_ID_BYTES];
   bool many, held;    /* told to several; the home says that it has it */
   double asked, sent; /* `to` for the first time, and last */
   double every;       /* and it is told again this often */
@@ -73,7 +73,7 @@
 
 /* Who did not answer for a claim shard; it is passed over for a while. */
 typedef struct Quiet {
-  char id[LIMIT_ID];
+  char id[LIMIT_ID_BYTES];
   double until;
 } Quiet;
 
@@ -82,7 +82,7 @@
   OnceKind kind;
   OnceKey key;
   uint64_t nonce, digest;
-  char from[LIMIT_ID];
+  char from[LIMIT_ID_BYTES];
   double came;
   bool decided; /* applied, waits for the confirmation */
   OnceVerdict verdict;
@@ -130,7 +130,7 @@
 } BillLine;
 
 struct Once {
-  char self[LIMIT_ID], region[LIMIT_NAME];
+  char self[LIMIT_ID_BYTES], region[LIMIT_NAME_BYTES];
   GRand *rng;
   OnceFaults faults;
   View *view;
--- a/packages/once/wish.c
+++ b/packages/once/wish.c
@@ -55,7 +55,7 @@
                .key = w->key,
                .nonce = w->nonce,
                .digest = w->digest,
-               .answer = once_answer_copy(&w->answer, LIMIT_CLAIM_ANSWER)};
+               .answer = once_answer_copy(&w->answer, LIMIT_CLAIM_ANSWER_BYTES)};
   w->sent = o->now;
   once_send(o, w->to, &m);
 }
@@ -65,7 +65,7 @@
   g_strlcpy(w->to, id, sizeof w->to);
   w->asked = o->now;
   w->held = false;
-  w->every = ONCE_RESEND;
+  w->every = ONCE_RESEND_S;
   tell(o, w);
 }
 
@@ -103,7 +103,7 @@
   Wish *w = add(o, r, ONCE_OUTCOME);
   const OnceAnswer *a = &r->answer;
   w->answer =
-      r->unknown ? (OnceAnswer){0} : once_answer_copy(a, LIMIT_CLAIM_ANSWER);
+      r->unknown ? (OnceAnswer){0} : once_answer_copy(a, LIMIT_CLAIM_ANSWER_BYTES);
   bool text = w->answer.body &&
               g_utf8_validate(w->answer.body, (gssize)w->answer.len, NULL);
   if (!text) {
--- a/packages/peer/encode.c
+++ b/packages/peer/encode.c
@@ -251,7 +251,7 @@
 /* No limit travels as nil. */
 static void put_limit(msgpack_packer *p, double limit) {
   if (limit < QUOTA_UNLIMITED)
-    msgpack_pack_int64(p, thousandths(MIN(limit, LIMIT_RATE)));
+    msgpack_pack_int64(p, thousandths(MIN(limit, LIMIT_TARGET_RATE_PER_S)));
   else
     msgpack_pack_nil(p);
 }
@@ -265,7 +265,7 @@
   msgpack_pack_uint64(&p, m->target);
   msgpack_pack_uint64(&p, m->counter);
   msgpack_pack_uint64(&p, m->run);
-  msgpack_pack_int64(&p, thousandths(MIN(m->bounds.cold, LIMIT_RATE)));
+  msgpack_pack_int64(&p, thousandths(MIN(m->bounds.cold, LIMIT_TARGET_RATE_PER_S)));
   put_limit(&p, m->bounds.limit);
   msgpack_pack_uint8(&p, m->bounds.beyond_limit);
   msgpack_pack_int64(&p, thousandths(m->reach));
--- a/packages/peer/peer.c
+++ b/packages/peer/peer.c
@@ -29,7 +29,7 @@
 #define SWEEP_S 1.0              /* between looks for idle links */
 
 typedef struct Frame {
-  char addr[LIMIT_NAME];
+  char addr[LIMIT_NAME_BYTES];
   uint64_t to;
   uint64_t key; /* of the receiver */
   msgpack_sbuffer buf;
--- a/packages/place/place.c
+++ b/packages/place/place.c
@@ -27,7 +27,7 @@
 
 /* The last order to a target. */
 typedef struct Order {
-  char done[LIMIT_ADAPTERS]; /* what the target says that it has */
+  char done[LIMIT_ADAPTERS_BYTES]; /* what the target says that it has */
   bool told;                 /* it said so */
   double at;
 } Order;
@@ -302,22 +302,22 @@
 
 /* All that a target is to have now. What leaves stays until all know. */
 static void wanted(Place *p, const PlaceTarget *t, char *list) {
-  g_strlcpy(list, t->fixed, LIMIT_ADAPTERS);
+  g_strlcpy(list, t->fixed, LIMIT_ADAPTERS_BYTES);
   plan_adapters(p->plan, t->name, 1 << PLAN_LOADING | 1 << PLAN_LOADED, list);
   for (guint i = 0; i < p->plan->items->len; i++) {
     const PlanItem *x = &g_array_index(p->plan->items, PlanItem, i);
     if (x->state != PLAN_LEAVING || strcmp(x->target, t->name) != 0) continue;
-    char key[2 * LIMIT_NAME + 2];
+    char key[2 * LIMIT_NAME_BYTES + 2];
     snprintf(key, sizeof key, "%s;%s", x->target, x->adapter);
     double *since = entry(p->leaving, key, sizeof *since);
     if (*since == 0) *since = p->now;
-    if (p->now - *since < LEAVE_S) list_add(list, LIMIT_ADAPTERS, x->adapter);
+    if (p->now - *since < LEAVE_S) list_add(list, LIMIT_ADAPTERS_BYTES, x->adapter);
   }
 }
 
 static void order(Place *p, const PlaceTarget *t) {
   Order *o = entry(p->orders, t->name, sizeof *o);
-  char list[LIMIT_ADAPTERS];
+  char list[LIMIT_ADAPTERS_BYTES];
   wanted(p, t, list);
   bool done = o->told && strcmp(list, o->done) == 0;
   if (o->at > 0 && p->now - o->at < (done ? REPEAT_S : ORDER_S)) return;
--- a/packages/place/place.h
+++ b/packages/place/place.h
@@ -13,8 +13,8 @@
 
 /* A target of the pool, as it is now. */
 typedef struct PlaceTarget {
-  char name[LIMIT_NAME], url[LIMIT_NAME];
-  char fixed[LIMIT_ADAPTERS]; /* by the operators' table */
+  char name[LIMIT_NAME_BYTES], url[LIMIT_NAME_BYTES];
+  char fixed[LIMIT_ADAPTERS_BYTES]; /* by the operators' table */
   int slots, loads;           /* loads: adapters that we may give it */
   int running, waiting;
   bool live; /* neither leaving nor ejected */
@@ -22,7 +22,7 @@
 
 /* An adapter that services ask for. */
 typedef struct PlaceWant {
-  char adapter[LIMIT_NAME];
+  char adapter[LIMIT_NAME_BYTES];
   int least, most; /* targets that have it; most 0: all */
   double asked;    /* requests for it here since the last look */
 } PlaceWant;
@@ -42,8 +42,8 @@
   uint64_t seq;     /* GET, PUT: comes back with the result */
   char *text;       /* PUT; g_free */
   char reason[128]; /* PUT: why */
-  char target[LIMIT_NAME], url[LIMIT_NAME];
-  char adapters[LIMIT_ADAPTERS]; /* ORDER: all that it is to have */
+  char target[LIMIT_NAME_BYTES], url[LIMIT_NAME_BYTES];
+  char adapters[LIMIT_ADAPTERS_BYTES]; /* ORDER: all that it is to have */
 } PlaceAction;
 
 typedef struct PlaceFaults {
--- a/packages/place/plan.c
+++ b/packages/place/plan.c
@@ -73,7 +73,7 @@
     const PlanItem *x = &g_array_index(p->items, PlanItem, i);
     bool wanted = (mask & 1 << x->state) != 0;
     if (wanted && strcmp(x->target, target) == 0)
-      list_add(list, LIMIT_ADAPTERS, x->adapter);
+      list_add(list, LIMIT_ADAPTERS_BYTES, x->adapter);
   }
 }
 
@@ -87,7 +87,7 @@
                                          "adapter", x->adapter, "state",
                                          states[x->state]));
   }
-  return text_json(all);
+  return text_take_json(all);
 }
 
 static int state_of(const char *name) {
--- a/packages/place/plan.h
+++ b/packages/place/plan.h
@@ -16,7 +16,7 @@
 } PlanState;
 
 typedef struct PlanItem {
-  char target[LIMIT_NAME], adapter[LIMIT_NAME];
+  char target[LIMIT_NAME_BYTES], adapter[LIMIT_NAME_BYTES];
   PlanState state;
 } PlanItem;
 
--- a/packages/queue/queue.c
+++ b/packages/queue/queue.c
@@ -17,7 +17,7 @@
 } Item;
 
 typedef struct Customer {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   double finish[10]; /* virtual time to which each class of it is served */
   int running;
   double tokens, at; /* bucket of the rate cap; tokens left of this minute */
@@ -98,7 +98,7 @@
       i->service_cap > 0 && in_service(q, i->service) >= i->service_cap;
   if (customer_full || service_full) {
     *retry_ms = 1000;
-    return ERR_CAP;
+    return ERR_CAP_REACHED;
   }
   if (i->rate_cap <= 0) return ERR_NONE;
   refill(c, now, i->rate_cap);
@@ -106,7 +106,7 @@
   double need = MIN((double)i->tokens, (double)i->rate_cap);
   if (c->tokens >= need) return ERR_NONE;
   *retry_ms = clamp_ms((need - c->tokens) * 60 / (double)i->rate_cap);
-  return ERR_CAP;
+  return ERR_CAP_REACHED;
 }
 
 /* == order == */
--- a/packages/queue/queue.h
+++ b/packages/queue/queue.h
@@ -15,14 +15,14 @@
 
 typedef struct QueueItem {
   uint64_t handle;
-  char customer[LIMIT_NAME];
+  char customer[LIMIT_NAME_BYTES];
   int class;        /* 0 is served first */
   double weight;    /* share of the customer */
   int64_t tokens;   /* expected cost */
   double wait_s;    /* longest wait */
   int running_cap;  /* requests of the customer at once, 0 none */
   int64_t rate_cap; /* tokens a minute of the customer, 0 none */
-  char service[LIMIT_NAME];
+  char service[LIMIT_NAME_BYTES];
   int service_cap; /* requests of the service at once, 0 none */
 } QueueItem;
 
--- a/packages/route/loads.c
+++ b/packages/route/loads.c
@@ -26,7 +26,7 @@
 } Watched;
 
 struct Loads {
-  char self[LIMIT_ID];
+  char self[LIMIT_ID_BYTES];
   View *view;
   GPtrArray *list;     /* Watched* */
   GHashTable *by_hash; /* hash -> Watched */
--- a/packages/route/loads.h
+++ b/packages/route/loads.h
@@ -14,8 +14,8 @@
 
 /* A target that is to be watched. */
 typedef struct LoadsTarget {
-  char name[LIMIT_NAME], url[LIMIT_NAME], dc[LIMIT_NAME];
-  char pool[LIMIT_NAME + 8];
+  char name[LIMIT_NAME_BYTES], url[LIMIT_NAME_BYTES], dc[LIMIT_NAME_BYTES];
+  char pool[LIMIT_NAME_BYTES + 8];
 } LoadsTarget;
 
 /* What instances of a region tell each other of one target. */
--- a/packages/route/pool.h
+++ b/packages/route/pool.h
@@ -24,7 +24,7 @@
 #define POOL_GROUP 8 /* members of a group, at least, in the mean */
 
 typedef struct Pool {
-  char service[LIMIT_NAME];
+  char service[LIMIT_NAME_BYTES];
   GPtrArray
       *members;  /* Target*; read them by pool_members where order counts */
   guint ordered; /* of these, from the first on, are in order */
--- a/packages/route/route.h
+++ b/packages/route/route.h
@@ -14,11 +14,11 @@
 
 /* A target as the table has it. */
 typedef struct RouteTarget {
-  char name[LIMIT_NAME];
-  char url[LIMIT_NAME]; /* ip:port */
-  char dc[LIMIT_NAME];
-  char adapters[LIMIT_ADAPTERS]; /* loaded ones, separated by ';' */
-  char version[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
+  char url[LIMIT_NAME_BYTES]; /* ip:port */
+  char dc[LIMIT_NAME_BYTES];
+  char adapters[LIMIT_ADAPTERS_BYTES]; /* loaded ones, separated by ';' */
+  char version[LIMIT_NAME_BYTES];
   int slots;
   int loads; /* adapters that the fleet may load there besides */
 } RouteTarget;
@@ -36,7 +36,7 @@
 } RouteAsk;
 
 typedef struct RouteChoice {
-  char name[LIMIT_NAME], url[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES], url[LIMIT_NAME_BYTES];
   /* the reason, for the log */
   int candidates, left_out;
   double cost, path, prefill, wait, margin; /* seconds */
--- a/packages/route/state.h
+++ b/packages/route/state.h
@@ -60,7 +60,7 @@
 };
 
 struct Targets {
-  char dc[LIMIT_NAME];
+  char dc[LIMIT_NAME_BYTES];
   const Regions *regions; /* NULL: none are known */
   RegionSet region;       /* our own */
   Evacuation *evacuation;
--- a/packages/route/suspects.c
+++ b/packages/route/suspects.c
@@ -42,8 +42,8 @@
 
 Suspects *suspects_new(void) {
   Suspects *s = g_new0(Suspects, 1);
-  s->counts = g_hash_table_new_full(digest_hash, digest_same, NULL, g_free);
-  s->named = g_hash_table_new_full(digest_hash, digest_same, NULL, g_free);
+  s->counts = g_hash_table_new_full(digest_hash, digest_equal_keys, NULL, g_free);
+  s->named = g_hash_table_new_full(digest_hash, digest_equal_keys, NULL, g_free);
   s->heard = -LOOK_S;
   g_queue_init(&s->out);
   return s;
--- a/packages/route/targets.h
+++ b/packages/route/targets.h
@@ -15,11 +15,11 @@
 
 /* A target as it stands in the store. */
 typedef struct TargetInfo {
-  char id[LIMIT_NAME]; /* used nowhere else; a new start may have the old one */
+  char id[LIMIT_NAME_BYTES]; /* used nowhere else; a new start may have the old one */
   int64_t born;        /* Unix milliseconds of its start; 0: not told */
-  char service[LIMIT_NAME];
-  char addr[LIMIT_NAME]; /* ip:port */
-  char dc[LIMIT_NAME];
+  char service[LIMIT_NAME_BYTES];
+  char addr[LIMIT_NAME_BYTES]; /* ip:port */
+  char dc[LIMIT_NAME_BYTES];
   int slots;
   bool leaving;
   double cold_s; /* it stays slow this much longer */
--- a/packages/route/trials.c
+++ b/packages/route/trials.c
@@ -24,7 +24,7 @@
 
 Trials *trials_new(void) {
   Trials *t = g_new0(Trials, 1);
-  t->all = g_hash_table_new_full(digest_hash, digest_same, NULL, g_free);
+  t->all = g_hash_table_new_full(digest_hash, digest_equal_keys, NULL, g_free);
   return t;
 }
 
@@ -55,8 +55,8 @@
 
 static gboolean is_missing(gpointer key, gpointer value, gpointer names) {
   (void)value;
-  char text[DIGEST_TEXT];
-  digest_text(*(const Digest *)key, text);
+  char text[DIGEST_TEXT_BYTES];
+  digest_format(*(const Digest *)key, text);
   return !g_hash_table_contains(names, text);
 }
 
--- a/packages/store/jobs.c
+++ b/packages/store/jobs.c
@@ -102,8 +102,8 @@
   pthread_cond_init(&j->more, &attr);
   pthread_condattr_destroy(&attr);
   pthread_mutex_init(&j->lock, NULL);
-  pace_init(&j->reads, STORE_READS, clock_now());
-  pace_init(&j->writes, STORE_WRITES, clock_now());
+  pace_init(&j->reads, STORE_READS_PER_S, clock_now());
+  pace_init(&j->writes, STORE_WRITES_PER_S, clock_now());
   for (int i = 0; i < j->n; i++) pthread_create(&j->threads[i], NULL, work, j);
   return j;
 }
@@ -116,8 +116,8 @@
 void jobs_share(Jobs *j, int instances) {
   double now = clock_now();
   pthread_mutex_lock(&j->lock);
-  pace_rate(&j->writes, share(STORE_WRITES, STORE_WRITES_ALL, instances), now);
-  pace_rate(&j->reads, share(STORE_READS, STORE_READS_ALL, instances), now);
+  pace_rate(&j->writes, share(STORE_WRITES_PER_S, STORE_FLEET_WRITES_PER_S, instances), now);
+  pace_rate(&j->reads, share(STORE_READS_PER_S, STORE_FLEET_READS_PER_S, instances), now);
   pthread_mutex_unlock(&j->lock);
 }
 
--- a/packages/store/pace.c
+++ b/packages/store/pace.c
@@ -37,8 +37,8 @@
 
 double pace_backoff(double *wait, double chance) {
   double next = *wait * 2;
-  if (next < STORE_BACKOFF_MIN) next = STORE_BACKOFF_MIN;
-  if (next > STORE_BACKOFF_MAX) next = STORE_BACKOFF_MAX;
+  if (next < STORE_BACKOFF_MIN_S) next = STORE_BACKOFF_MIN_S;
+  if (next > STORE_BACKOFF_MAX_S) next = STORE_BACKOFF_MAX_S;
   *wait = next;
   return next * (0.5 + chance);
 }
--- a/packages/store/platform.c
+++ b/packages/store/platform.c
@@ -42,7 +42,7 @@
 
 static PlatformAnswer call(Platform *p, const HttpCall *c) {
   HttpAnswer a;
-  http_call(p->http, c, LIMIT_VALUE * 2, &a);
+  http_call(p->http, c, LIMIT_OBJECT_BYTES * 2, &a);
   PlatformAnswer r = {.kind = kind_of(&a)};
   if (r.kind == ERR_STORE_CONFLICT) count_add(COUNT_STORE_CONFLICTS, 1);
   if (r.kind >= ERR_STORE_DOWN && r.kind <= ERR_STORE_UNKNOWN)
--- a/packages/table/rollout.c
+++ b/packages/table/rollout.c
@@ -154,7 +154,7 @@
   bool ok = true;
   for (int i = 0; ok && i < TABLE_PARTS; i++) {
     char *text = table_encode_part(t, i);
-    char name[LIMIT_NAME] = "";
+    char name[LIMIT_NAME_BYTES] = "";
     if (strcmp(text, "[]") != 0) {
       XXH128_hash_t h = XXH3_128bits(text, strlen(text));
       snprintf(name, sizeof name, "table/part/%016llx%016llx",
--- a/packages/table/table.c
+++ b/packages/table/table.c
@@ -97,7 +97,7 @@
 }
 
 const TableRow *table_row(const Table *t, TableKind kind, const char *name) {
-  char key[LIMIT_NAME + 16];
+  char key[LIMIT_NAME_BYTES + 16];
   snprintf(key, sizeof key, "%s/%s", kinds[kind], name);
   return g_hash_table_lookup(t->rows, key);
 }
@@ -348,9 +348,9 @@
              where, kind);
     return;
   }
-  if (!name[0] || strlen(name) >= LIMIT_NAME) {
+  if (!name[0] || strlen(name) >= LIMIT_NAME_BYTES) {
     complain(p->errors, "%s, column name: empty or over %d bytes", where,
-             LIMIT_NAME - 1);
+             LIMIT_NAME_BYTES - 1);
     return;
   }
   r.kind = (TableKind)k;
--- a/packages/table/table.h
+++ b/packages/table/table.h
@@ -48,7 +48,7 @@
 /* Immutable once in a table; tables share rows by counting references. */
 typedef struct TableRow {
   TableKind kind;
-  char name[LIMIT_NAME]; /* a budget's is customer/service or customer/any */
+  char name[LIMIT_NAME_BYTES]; /* a budget's is customer/service or customer/any */
   char *cells[TABLE_COLUMNS];     /* never NULL; "" takes the default */
   int64_t numbers[TABLE_COLUMNS]; /* of numeric columns, defaults filled in */
   uint64_t version;               /* the table version that last changed it */
@@ -93,7 +93,7 @@
 
 typedef struct TableChange {
   TableKind kind;
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   int column; /* TableColumn; -1: the row came, -2: it went */
   char *before, *after;
 } TableChange;
--- a/scenario/state.h
+++ b/scenario/state.h
@@ -8,7 +8,7 @@
 #include "scenario/world.h"
 
 typedef struct Node {
-  char name[16], region[LIMIT_NAME], dc[LIMIT_NAME], id[LIMIT_ID];
+  char name[16], region[LIMIT_NAME_BYTES], dc[LIMIT_NAME_BYTES], id[LIMIT_ID_BYTES];
   int incarnation;
   bool up, paused, draining;
   MemberSet *members;
@@ -35,7 +35,7 @@
   uint64_t order;
   EventKind kind;
   int node, incarnation;
-  char from[LIMIT_ID];
+  char from[LIMIT_ID_BYTES];
   LedgerMsg ledger;
   OnceMsg once;
   /* store calls */
@@ -67,7 +67,7 @@
 } Request;
 
 typedef struct Budget {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   int64_t total, consumed, promised; /* promised: reserved and not settled */
 } Budget;
 
@@ -86,7 +86,7 @@
   GArray *rows;        /* LedgerBudget */
   GHashTable *runs;    /* once-only key -> count */
   GHashTable *billed;  /* key text -> tokens of the first bill */
-  char cut[WORLD_REGIONS][LIMIT_NAME], cut_store[WORLD_REGIONS][LIMIT_NAME];
+  char cut[WORLD_REGIONS][LIMIT_NAME_BYTES], cut_store[WORLD_REGIONS][LIMIT_NAME_BYTES];
   WorldStore store;
   double lose_messages, lose_answers, stale, low, high;
   WorldSums sums;
@@ -102,7 +102,7 @@
 Event *world_event(World *w, EventKind kind, int node, double at);
 void world_schedule(World *w, Event *e);
 Budget *world_find_budget(const World *w, const char *name);
-bool world_listed(char list[][LIMIT_NAME], const char *name);
+bool world_listed(char list[][LIMIT_NAME_BYTES], const char *name);
 /* Carries out what the cores of a node want, until they want nothing. */
 void world_after(World *w, int node);
 
--- a/scenario/world.c
+++ b/scenario/world.c
@@ -62,13 +62,13 @@
   return g_hash_table_lookup(w->budgets, name);
 }
 
-bool world_listed(char list[][LIMIT_NAME], const char *name) {
+bool world_listed(char list[][LIMIT_NAME_BYTES], const char *name) {
   for (int i = 0; i < WORLD_REGIONS; i++)
     if (strcmp(list[i], name) == 0) return true;
   return false;
 }
 
-static void set_list(char list[][LIMIT_NAME], const char *name, bool on) {
+static void set_list(char list[][LIMIT_NAME_BYTES], const char *name, bool on) {
   for (int i = 0; i < WORLD_REGIONS; i++) {
     bool here = strcmp(list[i], name) == 0;
     if (here && !on) list[i][0] = '\0';
@@ -76,7 +76,7 @@
   }
   for (int i = 0; on && i < WORLD_REGIONS; i++) {
     if (list[i][0]) continue;
-    g_strlcpy(list[i], name, LIMIT_NAME);
+    g_strlcpy(list[i], name, LIMIT_NAME_BYTES);
     return;
   }
 }
@@ -127,7 +127,7 @@
 
 static void ledger_actions(World *w, int node) {
   LedgerAction a;
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   while (ledger_next(w->nodes[node].ledger, &a)) {
     shard_name(a.shard, name);
     switch (a.what) {
@@ -506,7 +506,7 @@
 }
 
 static Shard *stored(const World *w, const char *name) {
-  char object_name[LIMIT_NAME];
+  char object_name[LIMIT_NAME_BYTES];
   shard_name(shard_index(name), object_name);
   const Object *o = g_hash_table_lookup(w->objects, object_name);
   return o ? shard_decode(o->text) : shard_new();
--- a/scenario/world.h
+++ b/scenario/world.h
@@ -51,10 +51,10 @@
 
 typedef struct WorldRequest {
   int node;
-  char budget[LIMIT_NAME];
+  char budget[LIMIT_NAME_BYTES];
   int64_t amount, used; /* reserved; consumed by the target */
   double lasts_s;
-  char key[LIMIT_NAME]; /* "": issued */
+  char key[LIMIT_NAME_BYTES]; /* "": issued */
   bool once_only;       /* may not be repeated */
   bool target_silent;   /* it runs, and the target never answers */
 } WorldRequest;
