--- a/packages/member/catchup.c
+++ b/packages/member/catchup.c
@@ -1,4 +1,4 @@
-/* catchup.c: readers' words with their times. */
+/* catchup.c: the times of the readers' reports. */
 #include "member/catchup.h"
 
 #include <math.h>
@@ -11,9 +11,9 @@
                  .unavailable_at = never};
 }
 
-void catchup_note_read(Catchup *c, double now, bool leads_on) {
+void catchup_note_read(Catchup *c, double now, bool contiguous) {
   c->read_at = now;
-  if (leads_on) {
+  if (contiguous) {
     c->contiguous_at = now;
     c->missing_since = 0;
   } else if (c->missing_since == 0) {
@@ -38,15 +38,15 @@
   return c->missing_since > 0;
 }
 
-/* One word that something was read outweighs any number that nothing was: who
-   hears one reader that is cut off and two that are not must not wait. */
+/* One report of a read outweighs any number of reports that the store does not
+   answer: an instance must not wait because one reader of three is cut off. */
 bool catchup_store_is_unavailable(const Catchup *c, double now) {
   return now - c->unavailable_at < CATCHUP_UNAVAILABLE_S &&
          now - c->read_at >= c->stale_s;
 }
 
-/* Who is behind asks as long as anybody reads. Where nobody does, one more
-   question would not be answered either, and each is priced. */
+/* A lagging instance reads the store as long as any reader does. Where none
+   does, one more call would not be answered either, and each is priced. */
 bool catchup_can_skip_store(const Catchup *c, double now) {
   if (now - c->contiguous_at < c->stale_s) return !catchup_is_lagging(c);
   return catchup_store_is_unavailable(c, now);
--- a/packages/member/gossip.c
+++ b/packages/member/gossip.c
@@ -1,77 +1,83 @@
-/* gossip.c: probes, suspicion and news of members. */
+/* gossip.c: probes, suspicion and the dissemination of member updates. */
 #include "member/gossip.h"
 
 #include <string.h>
 
 #include "kernel/text.h"
 
-/* Each neighbour is asked this often, in seconds. With nine neighbours of 295
-   instances a lost one is asked within a quarter of a second by somebody. */
-#define PING_EVERY_S 2.0
-/* Between two of our own questions. In a large fleet an instance has as many
-   who ask it as it asks itself, so that it is asked this often whatever the
-   number of neighbours. */
-#define PING_LEAST_S 0.3
-/* An answer takes 3 ms and the receiver's turn; instances with an eighth of a
-   core take up to a few tenths of a second for a turn. */
-#define ACK_S 0.5
-#define HELP_S 0.6 /* for the answer by way of others */
-#define HELPERS 3  /* others that are asked for help */
-/* A suspect has this long to object: there and back over the ring some times.
- */
+/* Each neighbour is probed at this interval. With nine neighbours of 295
+   instances some neighbour probes a lost one within a quarter of a second. */
+#define PING_INTERVAL_S 2.0
+/* Min interval between two of our own probes. In a large fleet an instance is
+   probed by as many others as it probes, so that it is probed at this
+   interval whatever the number of neighbours. */
+#define PING_MIN_INTERVAL_S 0.3
+/* Time for an ack. It takes 3 ms on the network and one turn of the receiver's
+   event loop, which lasts up to a few tenths of a second on an instance with an
+   eighth of a core. */
+#define ACK_TIMEOUT_S 0.5
+#define INDIRECT_ACK_TIMEOUT_S 0.6 /* after the ping requests */
+#define PING_REQUESTS 3            /* sent for one unanswered probe */
+/* A suspect, a member that answered no probe, has this long to refute that:
+   some round trips over the ring. */
 #define SUSPECT_S 2.0
-#define GONE_S                                                                 \
-  60.0 /* a lost member is remembered, so that old news of it do               \
-          not bring it back */
-/* A lost member is asked now and then: a cut that heals looks like this. */
-#define REVIVE_EVERY_S 1.0
-/* We were held up ourselves: no answer is missing because of that. */
-#define STALL_S 0.3
-#define SEED_FIRST_S 0.2 /* until a seed is asked again, doubled */
-/* After a loss of power of all, seeds come up within a second of the others;
-   so long questions do not become rarer. */
-#define SEED_SOON_S 2.0
-#define SEED_MOST_S 30.0
-/* Lists of all members, 90 bytes each: to whoever is new at once, else where
-   two went on differing for a while, for news are on the way most of the time.
+/* A dead member is remembered this long, so that old updates do not revive it.
  */
-#define ALL_FRESH_S 0.1
-#define ALL_EVERY_S 0.5
+#define DEAD_TTL_S 60.0
+/* One dead member is probed at this interval, since a network partition may
+   have healed. */
+#define DEAD_PROBE_INTERVAL_S 1.0
+/* A pause of our own event loop this long extends all deadlines, since it is no
+   sign that acks are missing. */
+#define STALL_S 0.3
+#define SEED_RETRY_MIN_S 0.2 /* first retry delay to a seed, doubled */
+/* After a power loss of the whole fleet, seeds come up within a second of each
+   other. The retry delay is not doubled for this long. */
+#define SEED_NO_BACKOFF_S 2.0
+#define SEED_RETRY_MAX_S 30.0
+/* The full state takes 90 bytes for each member. A new member gets it at once,
+   others only when two digests have differed for a while, since updates are in
+   transit most of the time. */
+#define FULL_STATE_NEW_S 0.1
+#define FULL_STATE_INTERVAL_S 0.5
 #define DIFFER_S 0.3
-/* News go to all neighbours, but when so many are due at once: at a start of
-   all each would hear each of them from everybody, and the copies would grow
-   with the square of the fleet and its logarithm. Then they go to a few, by
-   chance; who misses one differs from its neighbours, and asks. */
-#define NEWS_MANY 32
-#define NEWS_COPIES 6
-#define TELLERS 4 /* neighbours that are known to know of a news */
-#define FILL 16   /* members that are told where a whole list is not due */
-
-/* One member as we know it. */
+/* Updates go to all neighbours, unless more than this number are due at once.
+   When the whole fleet starts, each instance would receive every update from
+   every neighbour, and the copies would grow with the square of the fleet times
+   its logarithm. Then an update goes to a few random neighbours; an instance
+   that misses one has another digest than its neighbours, and gets the full
+   state. */
+#define MANY_UPDATES 32
+#define MANY_UPDATES_FANOUT 6
+#define MAX_SENDERS 4 /* senders of an update that are remembered */
+#define PARTIAL_STATE_UPDATES                                                  \
+  16 /* updates sent where the full state is not due */
+
+/* What is known of one member. */
 typedef struct Entry {
   Member m;
   uint64_t hash; /* of its id */
-  uint32_t life;
+  uint32_t generation;
   GossipState state;
-  double until; /* SUSPECT: counts as gone then; GONE: is forgotten then */
-  bool fresh;   /* the neighbours are to hear of it */
-  bool met;     /* it spoke to us itself */
-  uint64_t teller[TELLERS]; /* who told the same, since it is fresh */
-  guint tellers;
+  double until;    /* SUSPECT: becomes dead then; DEAD: is forgotten then */
+  bool update_due; /* an update is due to the neighbours */
+  bool has_contacted_us;        /* it sent us an update about itself */
+  uint64_t sender[MAX_SENDERS]; /* who sent the same update since it is due */
+  guint n_senders;
 } Entry;
 
-/* A question without an answer yet. */
+/* A probe without an ack yet. */
 typedef struct Probe {
   uint64_t hash;
   double sent;
-  bool helped;
+  bool requested;
 } Probe;
 
-/* Somebody waits for word of `about` by way of us. */
-typedef struct Favour {
-  uint64_t asker, about;
+/* A ping request: the requester waits for an indirect ack of `subject`. */
+typedef struct PingRequest {
+  uint64_t requester, subject;
   double until;
-} Favour;
+} PingRequest;
 
 typedef struct Seed {
   char peer[LIMIT_NAME_BYTES];
@@ -82,19 +88,20 @@
   Entry *self;
   GRand *rng;
   double now, ticked;
-  GHashTable *entries;  /* hash -> Entry, of all that are known */
-  GPtrArray *ring;      /* Entry* that are not gone, with ourselves, by place */
-  GPtrArray *neighbour; /* Entry* whom we ask and tell */
+  GHashTable *entries;   /* hash -> Entry, of all known members */
+  GPtrArray *ring;       /* Entry* that are not dead, with ours, by place */
+  GPtrArray *neighbours; /* Entry* that we probe and update */
   bool ring_stale;
-  GPtrArray *fresh; /* Entry* */
-  GArray *probes;   /* Probe */
-  GArray *favours;  /* Favour */
-  GArray *seeds;    /* Seed */
-  GQueue actions;   /* GossipAction* */
-  guint turn;       /* neighbour that is asked next */
-  double ping_at, revive_at, sweep_at;
-  double all_at;  /* when a list of all last went out */
-  double differs; /* since when a neighbour's digest is another, 0: it is not */
+  GPtrArray *due;        /* Entry* with update_due */
+  GArray *probes;        /* Probe */
+  GArray *ping_requests; /* PingRequest */
+  GArray *seeds;         /* Seed */
+  GQueue actions;        /* GossipAction* */
+  guint turn;            /* neighbour that is probed next */
+  double ping_at, dead_probe_at, expire_at;
+  double full_state_at; /* when the full state was last sent */
+  double differs_since; /* a neighbour's digest differs since then, 0: it does
+                           not */
   uint64_t version;
 };
 
@@ -104,29 +111,30 @@
   return g_hash_table_lookup(g->entries, &hash);
 }
 
-static bool is_there(const Entry *e) {
+static bool is_live(const Entry *e) {
   return e->state != GOSSIP_DEAD;
 }
 
-static void changed(Gossip *g) {
+static void note_view_change(Gossip *g) {
   g->ring_stale = true;
   g->version++;
 }
 
-static void freshen(Gossip *g, Entry *e) {
-  e->tellers = 0; /* they told what was before */
-  if (e->fresh) return;
-  e->fresh = true;
-  g_ptr_array_add(g->fresh, e);
+static void mark_update_due(Gossip *g, Entry *e) {
+  e->n_senders = 0; /* they sent the earlier state */
+  if (e->update_due) return;
+  e->update_due = true;
+  g_ptr_array_add(g->due, e);
 }
 
-static void note_teller(Entry *e, uint64_t from) {
-  if (e->fresh && e->tellers < TELLERS) e->teller[e->tellers++] = from;
+static void note_sender(Entry *e, uint64_t from) {
+  if (e->update_due && e->n_senders < MAX_SENDERS)
+    e->sender[e->n_senders++] = from;
 }
 
-static bool has_told(const Entry *e, uint64_t hash) {
-  for (guint i = 0; i < e->tellers; i++)
-    if (e->teller[i] == hash) return true;
+static bool has_sent(const Entry *e, uint64_t hash) {
+  for (guint i = 0; i < e->n_senders; i++)
+    if (e->sender[i] == hash) return true;
   return false;
 }
 
@@ -134,24 +142,24 @@
   Entry *e = g_new0(Entry, 1);
   e->m = n->m;
   e->hash = text_hash(n->m.id);
-  e->life = n->generation;
+  e->generation = n->generation;
   e->state = n->state;
   g_hash_table_insert(g->entries, &e->hash, e);
   return e;
 }
 
-/* Sets what follows from the state. */
-static void enter(Gossip *g, Entry *e, GossipState state) {
-  static const double lasts[GOSSIP_STATES] = {0, SUSPECT_S, GONE_S};
+/* Sets the state and what follows from it. */
+static void set_state(Gossip *g, Entry *e, GossipState state) {
+  static const double lasts[GOSSIP_STATES] = {0, SUSPECT_S, DEAD_TTL_S};
   e->state = state;
   e->until = g->now + lasts[state];
-  freshen(g, e);
+  mark_update_due(g, e);
 }
 
 /* == the ring == */
 
-/* Regions, then data centres stand together, so that most neighbours are near;
-   within one the place is by hash. */
+/* Orders by region, then data centre, so that most neighbours are near; within
+   a data centre by hash. */
 static gint by_place(gconstpointer a, gconstpointer b) {
   const Entry *x = *(const Entry *const *)a, *y = *(const Entry *const *)b;
   int region = strcmp(x->m.region, y->m.region);
@@ -165,7 +173,7 @@
   return strcmp(a->m.region, b->m.region) == 0 && strcmp(a->m.dc, b->m.dc) == 0;
 }
 
-/* Where the members of the data centre of `ring[at]` end. */
+/* Index after the last member of the data centre of `ring[at]`. */
 static guint dc_end(const Gossip *g, guint at) {
   guint end = at;
   while (end < g->ring->len && same_dc(g->ring->pdata[at], g->ring->pdata[end]))
@@ -173,7 +181,8 @@
   return end;
 }
 
-/* The first of ring[from, end) at `point` or after it, going round. */
+/* The first of ring[from, end) whose hash is `point` or higher, wrapping round.
+ */
 static Entry *after_point(const Gossip *g, guint from, guint end,
                           uint64_t point) {
   for (guint i = from; i < end; i++) {
@@ -184,13 +193,13 @@
 }
 
 static void add_neighbour(Gossip *g, Entry *e) {
-  if (e != g->self && !g_ptr_array_find(g->neighbour, e, NULL))
-    g_ptr_array_add(g->neighbour, e);
+  if (e != g->self && !g_ptr_array_find(g->neighbours, e, NULL))
+    g_ptr_array_add(g->neighbours, e);
 }
 
-/* The one before us and the next two: nobody is without some who ask it,
-   however the points fall. */
-static void add_sides(Gossip *g, guint from, guint end) {
+/* The previous member and the next two. Thus some members probe each one,
+   however the hashes are distributed. */
+static void add_adjacent(Gossip *g, guint from, guint end) {
   guint n = end - from, at = from;
   while (g->ring->pdata[at] != g->self) at++;
   at -= from;
@@ -199,10 +208,10 @@
   add_neighbour(g, g->ring->pdata[from + (at + n - 1) % n]);
 }
 
-/* In our data centre whoever comes after the points half the circle on, a
-   quarter, an eighth and so on, down to the next one. The points stand still,
-   so that neighbours change a few times, not with each newcomer, while a fleet
-   starts: each change is a new link. */
+/* In our data centre, the members that follow the points half the circle on, a
+   quarter, an eighth and so on, down to the next member. The points are fixed,
+   so that while a fleet starts neighbours change a few times, not with each new
+   member: each change costs a new link. */
 static void add_near(Gossip *g, guint from, guint end) {
   const Entry *next = after_point(g, from, end, g->self->hash + 1);
   uint64_t step = (uint64_t)1 << 63;
@@ -213,7 +222,7 @@
   }
 }
 
-/* One member in each of the data centres 1, 2, 4 .. further on. */
+/* One member in each of the data centres 1, 2, 4 ... places on. */
 static void add_far(Gossip *g, guint end) {
   guint n = g->ring->len, at = end % n;
   for (guint i = 1, next = 1; !same_dc(g->ring->pdata[at], g->self); i++) {
@@ -226,7 +235,7 @@
   }
 }
 
-static void rebuild(Gossip *g) {
+static void rebuild_ring(Gossip *g) {
   if (!g->ring_stale) return;
   g->ring_stale = false;
   GHashTableIter it;
@@ -234,13 +243,13 @@
   g_ptr_array_set_size(g->ring, 0);
   g_hash_table_iter_init(&it, g->entries);
   while (g_hash_table_iter_next(&it, NULL, &v))
-    if (is_there(v)) g_ptr_array_add(g->ring, v);
+    if (is_live(v)) g_ptr_array_add(g->ring, v);
   g_ptr_array_sort(g->ring, by_place);
   guint from = 0;
   while (!same_dc(g->ring->pdata[from], g->self)) from++;
   guint end = dc_end(g, from);
-  g_ptr_array_set_size(g->neighbour, 0);
-  add_sides(g, from, end);
+  g_ptr_array_set_size(g->neighbours, 0);
+  add_adjacent(g, from, end);
   add_near(g, from, end);
   add_far(g, end);
 }
@@ -253,7 +262,7 @@
 
 static uint64_t digest(Gossip *g) {
   uint64_t sum = 0;
-  rebuild(g);
+  rebuild_ring(g);
   for (guint i = 0; i < g->ring->len; i++) {
     const Entry *e = g->ring->pdata[i];
     sum ^= mix(e->hash + e->m.leaving);
@@ -261,18 +270,18 @@
   return sum;
 }
 
-/* Another member that is there, at random; NULL: we are alone. */
-static Entry *anyone(Gossip *g) {
-  rebuild(g);
+/* A random other member that is not dead; NULL: there is none. */
+static Entry *pick_random_member(Gossip *g) {
+  rebuild_ring(g);
   if (g->ring->len < 2) return NULL;
   int n = (int)g->ring->len;
   Entry *e = g->ring->pdata[g_rand_int_range(g->rng, 0, n)];
-  return e == g->self ? g->neighbour->pdata[0] : e;
+  return e == g->self ? g->neighbours->pdata[0] : e;
 }
 
 /* == actions == */
 
-static GossipAction *act(Gossip *g, const char *to, uint64_t id) {
+static GossipAction *add_action(Gossip *g, const char *to, uint64_t id) {
   GossipAction *a = g_new0(GossipAction, 1);
   g_strlcpy(a->to, to, sizeof a->to);
   a->id = id;
@@ -280,103 +289,106 @@
   return a;
 }
 
-static void send_news(Gossip *g, const char *to, uint64_t id, const Entry *e) {
-  GossipAction *a = act(g, to, id);
+static void send_update(Gossip *g, const char *to, uint64_t id,
+                        const Entry *e) {
+  GossipAction *a = add_action(g, to, id);
   a->is_update = true;
   a->update =
-      (GossipUpdate){.m = e->m, .generation = e->life, .state = e->state};
+      (GossipUpdate){.m = e->m, .generation = e->generation, .state = e->state};
 }
 
 static void send_msg(Gossip *g, const char *to, uint64_t id, GossipKind kind,
-                     uint64_t about) {
-  GossipAction *a = act(g, to, id);
+                     uint64_t subject) {
+  GossipAction *a = add_action(g, to, id);
   a->msg = (GossipMsg){.kind = kind,
-                       .subject = about,
+                       .subject = subject,
                        .digest = digest(g),
                        .table = g->self->m.table};
 }
 
-/* A question or an answer brings who we are, and what is held against the
-   receiver, so that it can object. */
-static void send_word(Gossip *g, const Entry *to, GossipKind kind) {
-  send_news(g, to->m.peer, to->hash, g->self);
-  if (to->state != GOSSIP_ALIVE) send_news(g, to->m.peer, to->hash, to);
+/* A ping or an ack carries our own update, and any suspicion of the receiver,
+   so that it can refute it. */
+static void send_probe_msg(Gossip *g, const Entry *to, GossipKind kind) {
+  send_update(g, to->m.peer, to->hash, g->self);
+  if (to->state != GOSSIP_ALIVE) send_update(g, to->m.peer, to->hash, to);
   send_msg(g, to->m.peer, to->hash, kind, 0);
 }
 
 static void ping(Gossip *g, const Entry *to) {
-  send_word(g, to, GOSSIP_PING);
+  send_probe_msg(g, to, GOSSIP_PING);
   for (guint i = 0; i < g->probes->len; i++)
     if (g_array_index(g->probes, Probe, i).hash == to->hash) return;
   Probe p = {.hash = to->hash, .sent = g->now};
   g_array_append_val(g->probes, p);
 }
 
-/* Lost members are part of the list: else old news would bring them back. */
-static void send_all(Gossip *g, const Entry *to, bool answer) {
+/* The full state includes dead members, since old updates would revive them
+   otherwise. */
+static void send_full_state(Gossip *g, const Entry *to, bool answer) {
   GHashTableIter it;
   gpointer v;
-  g->all_at = g->now;
+  g->full_state_at = g->now;
   g_hash_table_iter_init(&it, g->entries);
   while (g_hash_table_iter_next(&it, NULL, &v))
-    send_news(g, to->m.peer, to->hash, v);
+    send_update(g, to->m.peer, to->hash, v);
   send_msg(g, to->m.peer, to->hash, GOSSIP_FULL_STATE, 0);
   GossipAction *last = g_queue_peek_tail(&g->actions);
   last->msg.is_reply = answer;
 }
 
-static void send_some(Gossip *g, const Entry *to) {
-  for (int i = 0; i < FILL; i++) {
-    const Entry *e = anyone(g);
-    if (e && e != to) send_news(g, to->m.peer, to->hash, e);
+static void send_partial_state(Gossip *g, const Entry *to) {
+  for (int i = 0; i < PARTIAL_STATE_UPDATES; i++) {
+    const Entry *e = pick_random_member(g);
+    if (e && e != to) send_update(g, to->m.peer, to->hash, e);
   }
 }
 
-/* == what is said of members == */
+/* == updates == */
 
-/* Only we can say that we are there after all, or that we leave. */
-static void about_self(Gossip *g, const GossipUpdate *n) {
+/* Only the member itself can refute a suspicion, or announce that it leaves. */
+static void refute_if_suspected(Gossip *g, const GossipUpdate *n) {
   Entry *self = g->self;
-  if (n->generation < self->life || n->state == GOSSIP_ALIVE) return;
-  self->life = n->generation + 1;
-  freshen(g, self);
+  if (n->generation < self->generation || n->state == GOSSIP_ALIVE) return;
+  self->generation = n->generation + 1;
+  mark_update_due(g, self);
 }
 
-/* A restart at the same address ends the older life; told by itself only. */
-static void end_older(Gossip *g, const Entry *now_there) {
+/* A restart at the same address replaces the older incarnation; only an update
+   from the restarted member itself counts. */
+static void mark_older_dead(Gossip *g, const Entry *restarted) {
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init(&it, g->entries);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Entry *e = v;
-    if (e == now_there || e == g->self || !is_there(e)) continue;
-    if (strcmp(e->m.peer, now_there->m.peer) != 0) continue;
-    enter(g, e, GOSSIP_DEAD);
-    changed(g);
+    if (e == restarted || e == g->self || !is_live(e)) continue;
+    if (strcmp(e->m.peer, restarted->m.peer) != 0) continue;
+    set_state(g, e, GOSSIP_DEAD);
+    note_view_change(g);
   }
 }
 
-static bool counts_more(const GossipUpdate *n, const Entry *e) {
-  if (n->generation != e->life) return n->generation > e->life;
+static bool overrides(const GossipUpdate *n, const Entry *e) {
+  if (n->generation != e->generation) return n->generation > e->generation;
   return n->state > e->state;
 }
 
-static Entry *take_news(Gossip *g, const GossipUpdate *n) {
+static Entry *apply_update(Gossip *g, const GossipUpdate *n) {
   Entry *e = find(g, text_hash(n->m.id));
   if (!e) {
     e = add_entry(g, n);
-    enter(g, e, n->state);
-    if (is_there(e)) changed(g);
+    set_state(g, e, n->state);
+    if (is_live(e)) note_view_change(g);
     return e;
   }
-  if (!counts_more(n, e)) return e;
-  bool was = is_there(e), left = e->m.leaving;
+  if (!overrides(n, e)) return e;
+  bool was_live = is_live(e), left = e->m.leaving;
   uint64_t table = e->m.table;
   e->m = n->m;
   e->m.table = table;
-  e->life = n->generation;
-  enter(g, e, n->state);
-  if (was != is_there(e) || left != e->m.leaving) changed(g);
+  e->generation = n->generation;
+  set_state(g, e, n->state);
+  if (was_live != is_live(e) || left != e->m.leaving) note_view_change(g);
   return e;
 }
 
@@ -385,24 +397,25 @@
   uint64_t hash = text_hash(n->m.id);
   g->now = now;
   if (hash == g->self->hash) {
-    about_self(g, n);
+    refute_if_suspected(g, n);
     return;
   }
   bool known = find(g, hash) != NULL;
-  Entry *e = take_news(g, n);
-  if (e->life == n->generation && e->state == n->state) note_teller(e, from);
+  Entry *e = apply_update(g, n);
+  if (e->generation == n->generation && e->state == n->state)
+    note_sender(e, from);
   if (hash != from) return;
-  if (!is_there(e)) { /* it does not know yet that it counts as lost */
-    send_news(g, n->m.peer, hash, e);
+  if (!is_live(e)) { /* tell it that it counts as dead */
+    send_update(g, n->m.peer, hash, e);
     return;
   }
-  if (!e->met) end_older(g, e);
-  e->met = true;
+  if (!e->has_contacted_us) mark_older_dead(g, e);
+  e->has_contacted_us = true;
   if (known) return;
-  if (now - g->all_at >= ALL_FRESH_S)
-    send_all(g, e, false);
+  if (now - g->full_state_at >= FULL_STATE_NEW_S)
+    send_full_state(g, e, false);
   else
-    send_some(g, e);
+    send_partial_state(g, e);
 }
 
 /* == messages == */
@@ -413,74 +426,76 @@
       g_array_remove_index_fast(g->probes, i);
 }
 
-/* Whoever asked us about this member hears that it is there. */
-static void do_favours(Gossip *g, uint64_t hash) {
-  for (guint i = g->favours->len; i-- > 0;) {
-    Favour f = g_array_index(g->favours, Favour, i);
-    if (f.about != hash) continue;
-    const Entry *asker = find(g, f.asker);
-    if (asker)
-      send_msg(g, asker->m.peer, asker->hash, GOSSIP_INDIRECT_ACK, f.about);
-    g_array_remove_index_fast(g->favours, i);
+/* Sends an indirect ack to those that requested a probe of this member. */
+static void send_indirect_acks(Gossip *g, uint64_t hash) {
+  for (guint i = g->ping_requests->len; i-- > 0;) {
+    PingRequest f = g_array_index(g->ping_requests, PingRequest, i);
+    if (f.subject != hash) continue;
+    const Entry *requester = find(g, f.requester);
+    if (requester)
+      send_msg(g, requester->m.peer, requester->hash, GOSSIP_INDIRECT_ACK,
+               f.subject);
+    g_array_remove_index_fast(g->ping_requests, i);
   }
 }
 
-static void help(Gossip *g, uint64_t from, uint64_t about) {
-  const Entry *e = find(g, about);
+static void handle_ping_request(Gossip *g, uint64_t from, uint64_t subject) {
+  const Entry *e = find(g, subject);
   if (!e || e == g->self) return;
-  Favour f = {from, about, g->now + HELP_S};
-  g_array_append_val(g->favours, f);
-  send_word(g, e, GOSSIP_PING);
+  PingRequest f = {from, subject, g->now + INDIRECT_ACK_TIMEOUT_S};
+  g_array_append_val(g->ping_requests, f);
+  send_probe_msg(g, e, GOSSIP_PING);
 }
 
-/* Two that go on differing exchange all that they know. */
-static void compare(Gossip *g, const Entry *with, const GossipMsg *m) {
+/* Two instances whose digests go on differing exchange their full state. */
+static void compare_digests(Gossip *g, const Entry *with, const GossipMsg *m) {
   if (m->digest == digest(g)) {
-    g->differs = 0;
+    g->differs_since = 0;
     return;
   }
   if (m->kind == GOSSIP_FULL_STATE) {
-    if (!m->is_reply) send_all(g, with, true);
+    if (!m->is_reply) send_full_state(g, with, true);
     return;
   }
-  if (g->differs == 0) g->differs = g->now;
-  if (g->now - g->differs < DIFFER_S) return;
-  if (g->now - g->all_at < ALL_EVERY_S) return;
-  send_all(g, with, false);
+  if (g->differs_since == 0) g->differs_since = g->now;
+  if (g->now - g->differs_since < DIFFER_S) return;
+  if (g->now - g->full_state_at < FULL_STATE_INTERVAL_S) return;
+  send_full_state(g, with, false);
 }
 
 void gossip_receive(Gossip *g, double now, uint64_t from, const GossipMsg *m) {
   Entry *e = find(g, from);
   g->now = now;
-  if (!e || e == g->self) return; /* its own news should have come before */
+  if (!e || e == g->self) return; /* its own update should precede it */
   e->m.table = m->table;
   drop_probe(g, from);
-  do_favours(g, from);
+  send_indirect_acks(g, from);
   switch (m->kind) {
-  case GOSSIP_PING: send_word(g, e, GOSSIP_ACK); break;
-  case GOSSIP_PING_REQUEST: help(g, from, m->subject); return;
+  case GOSSIP_PING: send_probe_msg(g, e, GOSSIP_ACK); break;
+  case GOSSIP_PING_REQUEST: handle_ping_request(g, from, m->subject); return;
   case GOSSIP_INDIRECT_ACK: drop_probe(g, m->subject); return;
   case GOSSIP_ACK:
   case GOSSIP_FULL_STATE:
   case GOSSIP_KINDS: break;
   }
-  if (is_there(e)) compare(g, e, m);
+  if (is_live(e)) compare_digests(g, e, m);
 }
 
 /* == time == */
 
-static void ask_for_help(Gossip *g, const Entry *about) {
-  for (int i = 0; i < HELPERS; i++) {
-    const Entry *e = anyone(g);
-    if (e && e != about)
-      send_msg(g, e->m.peer, e->hash, GOSSIP_PING_REQUEST, about->hash);
+static void send_ping_requests(Gossip *g, const Entry *subject) {
+  for (int i = 0; i < PING_REQUESTS; i++) {
+    const Entry *e = pick_random_member(g);
+    if (e && e != subject)
+      send_msg(g, e->m.peer, e->hash, GOSSIP_PING_REQUEST, subject->hash);
   }
 }
 
-/* It is asked once more, and so hears what is held against it. */
+/* Probes the suspect once more; the ping carries the suspicion, so that it can
+   refute it. */
 static void suspect(Gossip *g, Entry *e) {
-  if (e->state == GOSSIP_ALIVE) enter(g, e, GOSSIP_SUSPECT);
-  if (is_there(e)) send_word(g, e, GOSSIP_PING);
+  if (e->state == GOSSIP_ALIVE) set_state(g, e, GOSSIP_SUSPECT);
+  if (is_live(e)) send_probe_msg(g, e, GOSSIP_PING);
 }
 
 static void tick_probes(Gossip *g) {
@@ -488,56 +503,56 @@
     Probe *p = &g_array_index(g->probes, Probe, i);
     Entry *e = find(g, p->hash);
     double waited = g->now - p->sent;
-    if (e && waited < ACK_S) continue;
-    if (e && !p->helped && is_there(e)) {
-      p->helped = true;
-      ask_for_help(g, e);
+    if (e && waited < ACK_TIMEOUT_S) continue;
+    if (e && !p->requested && is_live(e)) {
+      p->requested = true;
+      send_ping_requests(g, e);
       continue;
     }
-    if (e && waited < ACK_S + HELP_S) continue;
+    if (e && waited < ACK_TIMEOUT_S + INDIRECT_ACK_TIMEOUT_S) continue;
     if (e) suspect(g, e);
     g_array_remove_index_fast(g->probes, i);
   }
-  for (guint i = g->favours->len; i-- > 0;)
-    if (g_array_index(g->favours, Favour, i).until <= g->now)
-      g_array_remove_index_fast(g->favours, i);
+  for (guint i = g->ping_requests->len; i-- > 0;)
+    if (g_array_index(g->ping_requests, PingRequest, i).until <= g->now)
+      g_array_remove_index_fast(g->ping_requests, i);
 }
 
 static void tick_suspects(Gossip *g) {
-  rebuild(g);
+  rebuild_ring(g);
   for (guint i = 0; i < g->ring->len; i++) {
     Entry *e = g->ring->pdata[i];
     if (e->state != GOSSIP_SUSPECT || g->now < e->until) continue;
-    enter(g, e, GOSSIP_DEAD);
-    changed(g);
+    set_state(g, e, GOSSIP_DEAD);
+    note_view_change(g);
   }
 }
 
-/* Our own pause is nobody's silence. */
-static void forgive(Gossip *g, double held_up) {
+/* Extends all deadlines by a pause of our own, which says nothing of others. */
+static void extend_deadlines(Gossip *g, double pause_s) {
   for (guint i = 0; i < g->probes->len; i++)
-    g_array_index(g->probes, Probe, i).sent += held_up;
+    g_array_index(g->probes, Probe, i).sent += pause_s;
   for (guint i = 0; i < g->ring->len; i++)
-    ((Entry *)g->ring->pdata[i])->until += held_up;
+    ((Entry *)g->ring->pdata[i])->until += pause_s;
 }
 
-static gboolean is_old(gpointer key, gpointer value, gpointer ctx) {
+static gboolean is_expired(gpointer key, gpointer value, gpointer ctx) {
   (void)key;
   const Entry *e = value;
   const Gossip *g = ctx;
-  return e->state == GOSSIP_DEAD && !e->fresh && g->now >= e->until;
+  return e->state == GOSSIP_DEAD && !e->update_due && g->now >= e->until;
 }
 
-static void sweep(Gossip *g) {
-  if (g->now < g->sweep_at) return;
-  g->sweep_at = g->now + GONE_S / 10;
-  g_hash_table_foreach_remove(g->entries, is_old, g);
+static void remove_expired(Gossip *g) {
+  if (g->now < g->expire_at) return;
+  g->expire_at = g->now + DEAD_TTL_S / 10;
+  g_hash_table_foreach_remove(g->entries, is_expired, g);
 }
 
-/* One that counts as lost, and did not say that it leaves. */
-static void revive(Gossip *g) {
-  if (g->now < g->revive_at) return;
-  g->revive_at = g->now + REVIVE_EVERY_S;
+/* Probes a random dead member that did not announce that it leaves. */
+static void probe_dead_member(Gossip *g) {
+  if (g->now < g->dead_probe_at) return;
+  g->dead_probe_at = g->now + DEAD_PROBE_INTERVAL_S;
   GHashTableIter it;
   gpointer v;
   const Entry *lost = NULL;
@@ -545,21 +560,22 @@
   g_hash_table_iter_init(&it, g->entries);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     const Entry *e = v;
-    if (is_there(e) || e->m.leaving) continue;
+    if (is_live(e) || e->m.leaving) continue;
     if (g_rand_int_range(g->rng, 0, ++n) == 0) lost = e;
   }
-  if (lost) send_word(g, lost, GOSSIP_PING);
+  if (lost) send_probe_msg(g, lost, GOSSIP_PING);
 }
 
 static void tick_pings(Gossip *g) {
-  rebuild(g);
-  if (g->neighbour->len == 0 || g->now < g->ping_at) return;
-  double every = MAX(PING_EVERY_S / g->neighbour->len, PING_LEAST_S);
-  g->ping_at = g->now + every;
-  ping(g, g->neighbour->pdata[g->turn++ % g->neighbour->len]);
+  rebuild_ring(g);
+  if (g->neighbours->len == 0 || g->now < g->ping_at) return;
+  double interval_s =
+      MAX(PING_INTERVAL_S / g->neighbours->len, PING_MIN_INTERVAL_S);
+  g->ping_at = g->now + interval_s;
+  ping(g, g->neighbours->pdata[g->turn++ % g->neighbours->len]);
 }
 
-static bool is_known(const Gossip *g, const char *peer) {
+static bool is_known_address(const Gossip *g, const char *peer) {
   for (guint i = 0; i < g->ring->len; i++)
     if (strcmp(((Entry *)g->ring->pdata[i])->m.peer, peer) == 0) return true;
   return false;
@@ -569,56 +585,59 @@
   for (guint i = 0; i < g->seeds->len; i++) {
     Seed *s = &g_array_index(g->seeds, Seed, i);
     if (g->now < s->next_at) continue;
-    if (is_known(g, s->peer)) {
+    if (is_known_address(g, s->peer)) {
       s->since = g->now;
-      s->wait_s = SEED_FIRST_S;
-      s->next_at = g->now + SEED_FIRST_S;
+      s->wait_s = SEED_RETRY_MIN_S;
+      s->next_at = g->now + SEED_RETRY_MIN_S;
       continue;
     }
-    send_news(g, s->peer, 0, g->self);
+    send_update(g, s->peer, 0, g->self);
     send_msg(g, s->peer, 0, GOSSIP_PING, 0);
     s->next_at = g->now + s->wait_s;
-    if (g->now - s->since >= SEED_SOON_S)
-      s->wait_s = MIN(s->wait_s * 2, SEED_MOST_S);
+    if (g->now - s->since >= SEED_NO_BACKOFF_S)
+      s->wait_s = MIN(s->wait_s * 2, SEED_RETRY_MAX_S);
   }
 }
 
-/* To `most` neighbours, from one by chance on, who did not tell us the same. */
-static void spread_one(Gossip *g, const Entry *e, guint most) {
-  guint n = g->neighbour->len, sent = 0;
-  guint from = most < n ? (guint)g_rand_int_range(g->rng, 0, (gint32)n) : 0;
-  for (guint k = 0; k < n && sent < most; k++) {
-    const Entry *to = g->neighbour->pdata[(from + k) % n];
-    if ((to == e && e->state == GOSSIP_ALIVE) || has_told(e, to->hash))
+/* Sends an update to up to `max_copies` neighbours that did not send the same
+   to us, beginning with a random one. */
+static void spread_update(Gossip *g, const Entry *e, guint max_copies) {
+  guint n = g->neighbours->len, sent = 0;
+  guint from =
+      max_copies < n ? (guint)g_rand_int_range(g->rng, 0, (gint32)n) : 0;
+  for (guint k = 0; k < n && sent < max_copies; k++) {
+    const Entry *to = g->neighbours->pdata[(from + k) % n];
+    if ((to == e && e->state == GOSSIP_ALIVE) || has_sent(e, to->hash))
       continue;
-    send_news(g, to->m.peer, to->hash, e);
+    send_update(g, to->m.peer, to->hash, e);
     sent++;
   }
 }
 
-static void spread(Gossip *g) {
-  if (g->fresh->len == 0) return;
-  rebuild(g);
-  guint most = g->fresh->len > NEWS_MANY ? NEWS_COPIES : G_MAXUINT;
-  for (guint i = 0; i < g->fresh->len; i++) {
-    Entry *e = g->fresh->pdata[i];
-    e->fresh = false;
-    spread_one(g, e, most);
+static void spread_updates(Gossip *g) {
+  if (g->due->len == 0) return;
+  rebuild_ring(g);
+  guint max_copies =
+      g->due->len > MANY_UPDATES ? MANY_UPDATES_FANOUT : G_MAXUINT;
+  for (guint i = 0; i < g->due->len; i++) {
+    Entry *e = g->due->pdata[i];
+    e->update_due = false;
+    spread_update(g, e, max_copies);
   }
-  g_ptr_array_set_size(g->fresh, 0);
+  g_ptr_array_set_size(g->due, 0);
 }
 
 void gossip_tick(Gossip *g, double now) {
-  double held_up = g->ticked > 0 ? now - g->ticked : 0;
+  double pause_s = g->ticked > 0 ? now - g->ticked : 0;
   g->now = g->ticked = now;
-  if (held_up > STALL_S) forgive(g, held_up);
+  if (pause_s > STALL_S) extend_deadlines(g, pause_s);
   tick_probes(g);
   tick_suspects(g);
   tick_pings(g);
   tick_seeds(g);
-  revive(g);
-  spread(g);
-  sweep(g);
+  probe_dead_member(g);
+  spread_updates(g);
+  remove_expired(g);
 }
 
 bool gossip_take_action(Gossip *g, GossipAction *a) {
@@ -637,26 +656,26 @@
   g->rng = g_rand_new_with_seed(seed);
   g->entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
   g->ring = g_ptr_array_new();
-  g->neighbour = g_ptr_array_new();
-  g->fresh = g_ptr_array_new();
+  g->neighbours = g_ptr_array_new();
+  g->due = g_ptr_array_new();
   g->probes = g_array_new(FALSE, FALSE, sizeof(Probe));
-  g->favours = g_array_new(FALSE, FALSE, sizeof(Favour));
+  g->ping_requests = g_array_new(FALSE, FALSE, sizeof(PingRequest));
   g->seeds = g_array_new(FALSE, FALSE, sizeof(Seed));
   g_queue_init(&g->actions);
   g->self = add_entry(g, &n);
-  g->all_at = -ALL_EVERY_S;
-  changed(g);
-  rebuild(g);
+  g->full_state_at = -FULL_STATE_INTERVAL_S;
+  note_view_change(g);
+  rebuild_ring(g);
   return g;
 }
 
 void gossip_free(Gossip *g) {
   g_hash_table_destroy(g->entries);
   g_ptr_array_free(g->ring, TRUE);
-  g_ptr_array_free(g->neighbour, TRUE);
-  g_ptr_array_free(g->fresh, TRUE);
+  g_ptr_array_free(g->neighbours, TRUE);
+  g_ptr_array_free(g->due, TRUE);
   g_array_free(g->probes, TRUE);
-  g_array_free(g->favours, TRUE);
+  g_array_free(g->ping_requests, TRUE);
   g_array_free(g->seeds, TRUE);
   g_queue_clear_full(&g->actions, g_free);
   g_rand_free(g->rng);
@@ -664,7 +683,7 @@
 }
 
 void gossip_add_seed(Gossip *g, double now, const char *peer) {
-  Seed s = {.since = now, .next_at = now, .wait_s = SEED_FIRST_S};
+  Seed s = {.since = now, .next_at = now, .wait_s = SEED_RETRY_MIN_S};
   if (strcmp(peer, g->self->m.peer) == 0) return;
   g_strlcpy(s.peer, peer, sizeof s.peer);
   g_array_append_val(g->seeds, s);
@@ -675,9 +694,9 @@
   self->m.table = table;
   if (self->m.leaving == leaving) return;
   self->m.leaving = leaving;
-  self->life++;
-  freshen(g, self);
-  changed(g);
+  self->generation++;
+  mark_update_due(g, self);
+  note_view_change(g);
 }
 
 /* == look-ups == */
@@ -691,7 +710,7 @@
 }
 
 View *gossip_view(Gossip *g) {
-  rebuild(g);
+  rebuild_ring(g);
   GArray *all = g_array_new(FALSE, FALSE, sizeof(Member));
   for (guint i = 0; i < g->ring->len; i++)
     g_array_append_val(all, ((Entry *)g->ring->pdata[i])->m);
@@ -700,8 +719,9 @@
   return v;
 }
 
-/* At random, since the newest may be the one that has just died: it would be
-   asked in vain until it counts as lost, 3 s. */
+/* The pick is random, since the member with the newest table may have just
+   died: requests to it would go unanswered for the 3 s until it counts as dead.
+ */
 const Member *gossip_find_newer_table(Gossip *g, uint64_t table) {
   const Entry *pick = NULL;
   int n = 0;
--- a/packages/member/handover.c
+++ b/packages/member/handover.c
@@ -1,4 +1,4 @@
-/* handover.c: one neighbour at a time, one part at a time. */
+/* handover.c: requests one part at a time, from one neighbour at a time. */
 #include "member/handover.h"
 
 #include <string.h>
@@ -27,12 +27,13 @@
 }
 
 HandoverResult handover_receive_part(Handover *h, double now, const char *from,
-                                     uint64_t part, uint64_t at, bool more) {
+                                     uint64_t part, uint64_t revision,
+                                     bool more) {
   bool first = part == 0;
-  bool awaited = part == h->next.part && at == h->next.revision;
+  bool awaited = part == h->next.part && revision == h->next.revision;
   if (strcmp(from, h->source) != 0 || !(first || awaited))
     return HANDOVER_UNEXPECTED;
-  h->next = (HandoverRequest){.part = part + 1, .revision = at};
+  h->next = (HandoverRequest){.part = part + 1, .revision = revision};
   h->requested_at = now;
   h->tries = 1;
   h->unresponsive = 0;
--- a/packages/member/member.c
+++ b/packages/member/member.c
@@ -1,43 +1,45 @@
-/* member.c: heartbeats and the platform's list make one view. */
+/* member.c: builds one view from heartbeats and the platform's list. */
 #include "member/member.h"
 
 #include <string.h>
 
-#define GREETINGS 4     /* the first ones are lost while a link is made */
-#define GREET_FIRST 0.2 /* seconds until a seed is greeted again, doubled */
-/* After a loss of power of all, seeds come up within a second of the others;
-   so long greetings do not become rarer. */
-#define GREET_SOON 2.0
-#define GREET_MOST 30.0  /* seconds between greetings of a silent seed */
-#define STRANGERS 512    /* introduced instances that are greeted at once */
-#define STRANGER_TRIES 6 /* greetings until an introduced one is given up */
-#define INTRODUCE_S 20.0 /* so long after a change others are introduced */
-#define BEAT_BYTES 160   /* a heartbeat on the wire, with its frame */
+/* Heartbeats sent at once to a new member, called greetings: the first are lost
+   while its link is set up. */
+#define GREETING_COUNT 4
+#define GREET_MIN_S 0.2 /* first retry delay to a seed, doubled */
+/* After a power loss of the whole fleet, seeds come up within a second of each
+   other. The retry delay is not doubled for this long. */
+#define GREET_NO_BACKOFF_S 2.0
+#define GREET_MAX_S 30.0       /* max retry delay to an unresponsive seed */
+#define MAX_INTRODUCED 512     /* max introduced instances that are contacted */
+#define INTRODUCED_MAX_TRIES 6 /* until an introduced one is dropped */
+#define INTRODUCE_PERIOD_S 20.0 /* introductions go on for, after a change */
+#define HEARTBEAT_BYTES 160     /* a heartbeat on the wire, with its frame */
 
 typedef struct Peer {
   Member m;
-  double heard;
-  double moved;      /* when its table last was ours, or moved on */
-  bool list_leaving; /* the platform says so */
-  int greet;         /* greetings to come */
+  double heard_at;
+  double table_moved_at; /* its table was last as new as ours, or advanced */
+  bool list_leaving;     /* the platform's list says that it leaves */
+  int greetings_left;
 } Peer;
 
 typedef struct Seed {
   MemberSeed m;
-  bool stranger;        /* known by introduction only */
-  int tries;            /* greetings that were not answered */
-  double since;         /* when it was first greeted */
-  double next_at, wait; /* the next one, seconds until the one after it */
+  bool introduced; /* known by introduction only */
+  int tries;       /* unanswered greetings */
+  double first_greeted_at;
+  double next_at, retry_s; /* next greeting, and the delay after it */
 } Seed;
 
 struct MemberSet {
   Member self;
-  bool self_leaving; /* the platform says so of us */
-  GHashTable *peers; /* id -> Peer */
-  GPtrArray *seeds;  /* Seed* of instances */
-  bool greet;        /* somebody is to be greeted */
-  double changed;    /* when the view last did */
-  guint introduced;  /* whom we spoke of last */
+  bool self_leaving;    /* the platform's list says that we leave */
+  GHashTable *peers;    /* id -> Peer */
+  GPtrArray *seeds;     /* Seed* of instances */
+  bool greet_pending;   /* some peer has greetings left */
+  double added_at;      /* when a member was last added */
+  guint introduce_turn; /* counts introductions, to take turns */
   double next_near, next_far, next_greet;
 };
 
@@ -56,21 +58,21 @@
 }
 
 /* "name" of "name.incarnation". */
-static bool same_name(const char *id, const char *name) {
+static bool id_has_name(const char *id, const char *name) {
   size_t n = strlen(name);
   return strncmp(id, name, n) == 0 && (id[n] == '.' || id[n] == '\0');
 }
 
-static bool listed_leaving(const MemberSet *s, const char *id) {
+static bool is_listed_leaving(const MemberSet *s, const char *id) {
   for (guint i = 0; i < s->seeds->len; i++) {
     const MemberSeed *x = &((Seed *)s->seeds->pdata[i])->m;
-    if (x->leaving && same_name(id, x->name)) return true;
+    if (x->leaving && id_has_name(id, x->name)) return true;
   }
   return false;
 }
 
-/* A restart at the same address ends the older incarnation. */
-static bool drop_older(MemberSet *s, const Member *m) {
+/* A restart at the same address replaces the older incarnation. */
+static bool remove_older_incarnation(MemberSet *s, const Member *m) {
   bool dropped = false;
   GHashTableIter it;
   gpointer v;
@@ -90,20 +92,21 @@
   Peer *p = g_hash_table_lookup(s->peers, m->id);
   bool changed = !p;
   if (!p) {
-    changed |= drop_older(s, m);
+    changed |= remove_older_incarnation(s, m);
     p = g_new0(Peer, 1);
     p->m = *m;
-    p->moved = now;
-    p->greet = GREETINGS;
-    s->greet = true;
-    p->list_leaving = listed_leaving(s, m->id);
+    p->table_moved_at = now;
+    p->greetings_left = GREETING_COUNT;
+    s->greet_pending = true;
+    p->list_leaving = is_listed_leaving(s, m->id);
     g_hash_table_insert(s->peers, p->m.id, p);
-    s->changed = now;
+    s->added_at = now;
   }
   changed |= p->m.leaving != m->leaving || p->m.table != m->table;
-  if (m->table > p->m.table || m->table >= s->self.table) p->moved = now;
+  if (m->table > p->m.table || m->table >= s->self.table)
+    p->table_moved_at = now;
   p->m = *m;
-  p->heard = now;
+  p->heard_at = now;
   return changed;
 }
 
@@ -114,16 +117,16 @@
   g_hash_table_iter_init(&it, s->peers);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Peer *p = v;
-    if (p->m.table >= s->self.table) p->moved = now;
+    if (p->m.table >= s->self.table) p->table_moved_at = now;
     double every_s = MAX(p->m.heartbeat_interval_s, MEMBER_HEARTBEAT_S);
-    if (now - p->heard < every_s * MEMBER_MAX_MISSED_HEARTBEATS) continue;
+    if (now - p->heard_at < every_s * MEMBER_MAX_MISSED_HEARTBEATS) continue;
     g_hash_table_iter_remove(&it);
     changed = true;
   }
   return changed;
 }
 
-static Seed *seed_at(const GPtrArray *seeds, const char *peer) {
+static Seed *find_seed(const GPtrArray *seeds, const char *peer) {
   for (guint i = 0; i < seeds->len; i++) {
     Seed *x = seeds->pdata[i];
     if (strcmp(x->m.peer, peer) == 0) return x;
@@ -134,18 +137,18 @@
 static Seed *add_seed(MemberSet *s, double now, const MemberSeed *m) {
   Seed *x = g_new0(Seed, 1);
   x->m = *m;
-  x->since = x->next_at = now;
-  x->wait = GREET_FIRST;
+  x->first_greeted_at = x->next_at = now;
+  x->retry_s = GREET_MIN_S;
   g_ptr_array_add(s->seeds, x);
   return x;
 }
 
 /* == introductions == */
 
-static bool known(const MemberSet *s, const char *peer) {
+static bool is_known_address(const MemberSet *s, const char *peer) {
   GHashTableIter it;
   gpointer v;
-  if (strcmp(s->self.peer, peer) == 0 || seed_at(s->seeds, peer)) return true;
+  if (strcmp(s->self.peer, peer) == 0 || find_seed(s->seeds, peer)) return true;
   g_hash_table_iter_init(&it, s->peers);
   while (g_hash_table_iter_next(&it, NULL, &v))
     if (strcmp(((Peer *)v)->m.peer, peer) == 0) return true;
@@ -153,18 +156,18 @@
 }
 
 void member_add_introduced(MemberSet *s, double now, const Member *m) {
-  if (known(s, m->peer) || s->seeds->len >= STRANGERS) return;
+  if (is_known_address(s, m->peer) || s->seeds->len >= MAX_INTRODUCED) return;
   MemberSeed seed = {0};
   g_strlcpy(seed.name, m->id, sizeof seed.name);
   g_strlcpy(seed.peer, m->peer, sizeof seed.peer);
-  add_seed(s, now, &seed)->stranger = true;
+  add_seed(s, now, &seed)->introduced = true;
 }
 
 const Member *member_pick_introduction(MemberSet *s, double now,
                                        const char *to) {
   guint n = g_hash_table_size(s->peers);
-  if (n < 2 || now - s->changed > INTRODUCE_S) return NULL;
-  guint skip = ++s->introduced % n;
+  if (n < 2 || now - s->added_at > INTRODUCE_PERIOD_S) return NULL;
+  guint skip = ++s->introduce_turn % n;
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init(&it, s->peers);
@@ -184,12 +187,12 @@
   for (int i = 0; i < n; i++) {
     if (list[i].target) continue;
     Seed *x = add_seed(s, now, &list[i]);
-    const Seed *was = seed_at(old, list[i].peer);
+    const Seed *was = find_seed(old, list[i].peer);
     if (!was) continue;
     x->tries = was->tries;
-    x->since = was->since;
+    x->first_greeted_at = was->first_greeted_at;
     x->next_at = was->next_at;
-    x->wait = was->wait;
+    x->retry_s = was->retry_s;
   }
   g_ptr_array_free(old, TRUE);
   GHashTableIter it;
@@ -197,11 +200,11 @@
   g_hash_table_iter_init(&it, s->peers);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Peer *p = v;
-    bool leaving = listed_leaving(s, p->m.id);
+    bool leaving = is_listed_leaving(s, p->m.id);
     changed |= leaving != p->list_leaving;
     p->list_leaving = leaving;
   }
-  bool mine = listed_leaving(s, s->self.id);
+  bool mine = is_listed_leaving(s, s->self.id);
   changed |= mine != s->self_leaving;
   s->self_leaving = mine;
   return changed;
@@ -230,7 +233,7 @@
     const Peer *p = v;
     Member m = p->m;
     m.leaving = m.leaving || p->list_leaving;
-    m.table_stale_s = m.table < s->self.table ? now - p->moved : 0;
+    m.table_stale_s = m.table < s->self.table ? now - p->table_moved_at : 0;
     g_array_append_val(all, m);
   }
   View *view = view_new((Member *)(void *)all->data, (int)all->len);
@@ -240,22 +243,22 @@
 
 /* == heartbeats == */
 
-static double interval(int n, double bytes) {
-  return MAX(MEMBER_HEARTBEAT_S, n * BEAT_BYTES / bytes);
+static double heartbeat_interval(int n, double bytes) {
+  return MAX(MEMBER_HEARTBEAT_S, n * HEARTBEAT_BYTES / bytes);
 }
 
 static bool is_near(const MemberSet *s, const Member *m) {
   return strcmp(m->region, s->self.region) == 0;
 }
 
-static void add_beat(GArray *out, const char *to, double every_s) {
+static void add_heartbeat(GArray *out, const char *to, double every_s) {
   MemberHeartbeat b = {to, every_s};
   g_array_append_val(out, b);
 }
 
-/* Seeds that no heartbeat came from are greeted with doubling waits: while
-   many start at once, the first greetings are lost. */
-static void beat_seeds(MemberSet *s, double now, double every_s, GArray *out) {
+/* Seeds from which no heartbeat came are greeted with doubling delays: while
+   many instances start at once, the first greetings are lost. */
+static void greet_seeds(MemberSet *s, double now, double every_s, GArray *out) {
   GHashTable *heard = g_hash_table_new(g_str_hash, g_str_equal);
   GHashTableIter it;
   gpointer v;
@@ -266,27 +269,28 @@
   for (guint i = s->seeds->len; i-- > 0;) {
     Seed *x = s->seeds->pdata[i];
     bool answered = g_hash_table_contains(heard, x->m.peer);
-    if (x->stranger && (answered || x->tries >= STRANGER_TRIES)) {
+    if (x->introduced && (answered || x->tries >= INTRODUCED_MAX_TRIES)) {
       g_ptr_array_remove_index_fast(s->seeds, i);
       continue;
     }
     if (now < x->next_at) continue;
     if (answered) {
       x->tries = 0;
-      x->wait = GREET_FIRST;
-      x->next_at = now + GREET_MOST;
+      x->retry_s = GREET_MIN_S;
+      x->next_at = now + GREET_MAX_S;
       continue;
     }
-    add_beat(out, x->m.peer, every_s);
+    add_heartbeat(out, x->m.peer, every_s);
     x->tries++;
-    x->next_at = now + x->wait;
-    bool soon = !x->stranger && now - x->since < GREET_SOON;
-    if (!soon) x->wait = MIN(x->wait * 2, GREET_MOST);
+    x->next_at = now + x->retry_s;
+    bool soon =
+        !x->introduced && now - x->first_greeted_at < GREET_NO_BACKOFF_S;
+    if (!soon) x->retry_s = MIN(x->retry_s * 2, GREET_MAX_S);
   }
   g_hash_table_destroy(heard);
 }
 
-static bool seed_due(const MemberSet *s, double now) {
+static bool is_seed_due(const MemberSet *s, double now) {
   for (guint i = 0; i < s->seeds->len; i++)
     if (now >= ((Seed *)s->seeds->pdata[i])->next_at) return true;
   return false;
@@ -294,8 +298,8 @@
 
 void member_collect_heartbeats(MemberSet *s, double now, GArray *out) {
   bool near = now >= s->next_near, far = now >= s->next_far;
-  bool greet = s->greet && now >= s->next_greet;
-  bool seeds = seed_due(s, now);
+  bool greet = s->greet_pending && now >= s->next_greet;
+  bool seeds = is_seed_due(s, now);
   if (!near && !far && !greet && !seeds) return;
   int n = 1, all = (int)MAX(g_hash_table_size(s->peers), s->seeds->len) + 1;
   GHashTableIter it;
@@ -304,21 +308,24 @@
   while (g_hash_table_iter_next(&it, NULL, &v))
     n += is_near(s, &((Peer *)v)->m);
   bool small = all <= MEMBER_SMALL_INSTANCES;
-  double near_s = interval(small ? all : n, small ? MEMBER_BYTES_PER_S : MEMBER_NEAR_BYTES_PER_S);
-  double far_s = interval(all, small ? MEMBER_BYTES_PER_S : MEMBER_FAR_BYTES_PER_S);
+  double near_s = heartbeat_interval(
+      small ? all : n, small ? MEMBER_BYTES_PER_S : MEMBER_NEAR_BYTES_PER_S);
+  double far_s = heartbeat_interval(all, small ? MEMBER_BYTES_PER_S
+                                               : MEMBER_FAR_BYTES_PER_S);
   if (greet) {
-    s->greet = false;
+    s->greet_pending = false;
     s->next_greet = now + MEMBER_HEARTBEAT_S;
   }
   g_hash_table_iter_init(&it, s->peers);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Peer *p = v;
     bool in = is_near(s, &p->m);
-    if ((in ? near : far) || (greet && p->greet > 0))
-      add_beat(out, p->m.peer, in ? near_s : far_s);
-    if (greet && p->greet > 0 && --p->greet > 0) s->greet = true;
+    if ((in ? near : far) || (greet && p->greetings_left > 0))
+      add_heartbeat(out, p->m.peer, in ? near_s : far_s);
+    if (greet && p->greetings_left > 0 && --p->greetings_left > 0)
+      s->greet_pending = true;
   }
-  if (seeds) beat_seeds(s, now, far_s, out);
+  if (seeds) greet_seeds(s, now, far_s, out);
   if (near) s->next_near = now + near_s;
   if (far) s->next_far = now + far_s;
 }
--- a/packages/member/spread.c
+++ b/packages/member/spread.c
@@ -1,4 +1,5 @@
-/* spread.c: parts of a ring, halved until each is one member. */
+/* spread.c: splits a range of the ring into SPREAD_FANOUT parts, each of which
+   is split again by its first member. */
 #include "member/spread.h"
 
 #include <glib.h>
@@ -10,21 +11,22 @@
 } Place;
 
 struct Spread {
-  GArray *ring; /* Place, of the others of our region, in order from ours on */
+  GArray
+      *ring; /* Place of the others of our region, in ring order after ours */
   char self[SPREAD_PLACE_BYTES];
 };
 
-static void name_place(const Member *m, char *out) {
+static void format_place(const Member *m, char *out) {
   g_snprintf(out, SPREAD_PLACE_BYTES, "%s/%s", m->dc, m->id);
 }
 
 void spread_single_end(const Member *to, char out[SPREAD_PLACE_BYTES]) {
-  name_place(to, out);
-  g_strlcat(out, "!", SPREAD_PLACE_BYTES); /* nothing stands between */
+  format_place(to, out);
+  g_strlcat(out, "!", SPREAD_PLACE_BYTES); /* no place sorts between */
 }
 
-/* The order of the ring as seen from `self`: whoever comes after it first. */
-static gint from_self(gconstpointer a, gconstpointer b, gpointer self) {
+/* Ring order as seen from `self`: the places after it come first. */
+static gint compare_from_self(gconstpointer a, gconstpointer b, gpointer self) {
   const Place *x = a, *y = b;
   bool x_after = strcmp(x->name, self) > 0, y_after = strcmp(y->name, self) > 0;
   if (x_after != y_after) return x_after ? -1 : 1;
@@ -34,15 +36,15 @@
 Spread *spread_new(const View *v, const Member *self) {
   Spread *s = g_new0(Spread, 1);
   s->ring = g_array_new(FALSE, FALSE, sizeof(Place));
-  name_place(self, s->self);
+  format_place(self, s->self);
   for (int i = 0; i < v->n; i++) {
     Place p = {.m = &v->list[i]};
     if (strcmp(p.m->region, self->region) != 0) continue;
     if (strcmp(p.m->id, self->id) == 0) continue;
-    name_place(p.m, p.name);
+    format_place(p.m, p.name);
     g_array_append_val(s->ring, p);
   }
-  g_array_sort_with_data(s->ring, from_self, s->self);
+  g_array_sort_with_data(s->ring, compare_from_self, s->self);
   return s;
 }
 
@@ -52,21 +54,22 @@
   g_free(s);
 }
 
-/* How many members stand between us and `until`. */
-static guint before(const Spread *s, const char *until) {
+/* Number of members between us and `until`. */
+static guint count_before(const Spread *s, const char *until) {
   Place end = {0};
   if (!until[0]) return s->ring->len;
   g_strlcpy(end.name, until, sizeof end.name);
   guint n = 0;
-  while (n < s->ring->len && from_self(&g_array_index(s->ring, Place, n), &end,
-                                       (gpointer)s->self) < 0)
+  while (n < s->ring->len &&
+         compare_from_self(&g_array_index(s->ring, Place, n), &end,
+                           (gpointer)s->self) < 0)
     n++;
   return n;
 }
 
 int spread_split(const Spread *s, const char *until,
                  SpreadPart out[SPREAD_FANOUT]) {
-  guint n = before(s, until), parts = MIN(n, SPREAD_FANOUT);
+  guint n = count_before(s, until), parts = MIN(n, SPREAD_FANOUT);
   const char *end = until[0] ? until : s->self;
   for (guint i = 0; i < parts; i++) {
     const Place *first = &g_array_index(s->ring, Place, n * i / parts);
--- a/packages/member/view.c
+++ b/packages/member/view.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-static int by_id(const void *a, const void *b) {
+static int compare_ids(const void *a, const void *b) {
   return strcmp(((const Member *)a)->id, ((const Member *)b)->id);
 }
 
@@ -16,7 +16,7 @@
   v->n = n;
   if (n == 0) return v;
   memcpy(v->list, list, (size_t)n * sizeof *list);
-  qsort(v->list, (size_t)n, sizeof *list, by_id);
+  qsort(v->list, (size_t)n, sizeof *list, compare_ids);
   return v;
 }
 
@@ -37,19 +37,20 @@
   return true;
 }
 
-static int id_and_member(const void *id, const void *m) {
+static int compare_id_to_member(const void *id, const void *m) {
   return strcmp(id, ((const Member *)m)->id);
 }
 
 const Member *view_find(const View *v, const char *id) {
-  return bsearch(id, v->list, (size_t)v->n, sizeof *v->list, id_and_member);
+  return bsearch(id, v->list, (size_t)v->n, sizeof *v->list,
+                 compare_id_to_member);
 }
 
-static bool eligible(const Member *m, const char *region) {
+static bool is_eligible(const Member *m, const char *region) {
   return !m->leaving && (!region || strcmp(m->region, region) == 0);
 }
 
-static uint64_t score(const Member *m, uint64_t key) {
+static uint64_t rendezvous_score(const Member *m, uint64_t key) {
   return XXH64(m->id, strlen(m->id), key);
 }
 
@@ -61,8 +62,8 @@
     uint64_t top = 0;
     best = NULL;
     for (int i = 0; i < v->n; i++) {
-      if (!eligible(&v->list[i], region)) continue;
-      uint64_t s = score(&v->list[i], key);
+      if (!is_eligible(&v->list[i], region)) continue;
+      uint64_t s = rendezvous_score(&v->list[i], key);
       if (s >= above || (best && s <= top)) continue;
       best = &v->list[i];
       top = s;
@@ -74,16 +75,16 @@
 }
 
 int view_homes(const View *v, const char *region, uint64_t key,
-               const Member **out, int most) {
+               const Member **out, int max) {
   uint64_t top[VIEW_MAX_HOMES];
   int n = 0;
-  assert(most <= VIEW_MAX_HOMES);
+  assert(max <= VIEW_MAX_HOMES);
   for (int i = 0; i < v->n; i++) {
     const Member *m = &v->list[i];
-    if (!eligible(m, region)) continue;
-    uint64_t s = score(m, key);
-    if (n == most && s <= top[n - 1]) continue;
-    int at = n < most ? n++ : n - 1;
+    if (!is_eligible(m, region)) continue;
+    uint64_t s = rendezvous_score(m, key);
+    if (n == max && s <= top[n - 1]) continue;
+    int at = n < max ? n++ : n - 1;
     for (; at > 0 && top[at - 1] < s; at--) {
       top[at] = top[at - 1];
       out[at] = out[at - 1];
@@ -107,6 +108,6 @@
 int view_count_members(const View *v, const char *region) {
   int count = 0;
   for (int i = 0; i < v->n; i++)
-    if (eligible(&v->list[i], region)) count++;
+    if (is_eligible(&v->list[i], region)) count++;
   return count;
 }
