--- a/packages/peer/codec.h
+++ b/packages/peer/codec.h
@@ -1,6 +1,6 @@
-/* codec.h: messages between instances as MessagePack. A frame is a head, then
-   any number of messages. Ids travel as 64-bit hashes; heartbeats carry the
-   full names. */
+/* codec.h: encodes messages between instances as MessagePack. A frame is a head
+   followed by any number of messages. Ids are sent as 64-bit hashes; only
+   heartbeats carry the full names. */
 #ifndef PEER_CODEC_H
 #define PEER_CODEC_H
 
@@ -41,47 +41,48 @@
 } CodecType;
 
 typedef struct CodecHead {
-  uint64_t from, to; /* hash of the ids; to 0: whoever is there */
+  uint64_t from, to; /* hashes of the ids; to 0: any receiver */
 } CodecHead;
 
-/* Without text: the sender has this version and asks for a newer one. With it:
-   the operators' configuration. */
+/* Without text: the sender has this version and requests a newer one. With
+   text: the operators' configuration. */
 typedef struct CodecConfig {
   uint64_t version;
   Packed text; /* packed_free */
 } CodecConfig;
 
-/* What a reader of the store learned of one kind of objects. */
+/* A reader's report on one kind of objects of the store. A reader is an
+   instance that reads the store for the others; see readers.h. */
 typedef struct CodecFeed {
-  uint64_t reader;                /* text_hash of its id */
-  char until[SPREAD_PLACE_BYTES]; /* the receiver cares for those before this */
-  ReadersStoreResult store_result;        /* how the store met the reader */
-  int kind;                       /* the sender's number of it */
-  uint64_t from, revision;              /* revisions that this leads from and to */
-  bool lapsed;                    /* the store was away just before */
-  Packed changes;                 /* packed_free */
+  uint64_t reader;                 /* text_hash of its id */
+  char until[SPREAD_PLACE_BYTES];  /* the receiver forwards it up to here */
+  ReadersStoreResult store_result; /* how the reader's call ended */
+  int kind;                        /* the sender's number of the kind */
+  uint64_t from, revision;         /* revisions before and after the changes */
+  bool lapsed;                     /* the store was unavailable just before */
+  Packed changes;                  /* packed_free */
 } CodecFeed;
 
-/* A copy with changes of its own, and its end. */
+/* A deep copy, and the function that frees it. */
 CodecFeed *codec_feed_copy(const CodecFeed *m);
 void codec_feed_free(void *copy);
 
 #define CODEC_FEED_KINDS 8
-/* Two kinds of words that are not of a reader, but of a neighbour. An instance
-   that does not know them passes them over. */
-#define CODEC_FEED_PART_REQUEST 6 /* it asks for a part of the list of targets */
+/* Two kinds that come from a neighbour, not from a reader. An instance that
+   does not know them ignores them. */
+#define CODEC_FEED_PART_REQUEST                                                \
+  6 /* request for a part of the list of targets */
 #define CODEC_FEED_PART                                                        \
-  7 /* the part: `from` is its number, `at` the list's                         \
-       revision, `lapsed`: another part follows; `at` 0:                       \
-                             there is no list yet */
+  7 /* the part: `from` is its number, `revision` the list's, `lapsed`:        \
+   another part follows; `revision` 0: there is no list yet */
 
 typedef struct CodecSuspect {
-  char until[SPREAD_PLACE_BYTES]; /* as CodecFeed.until; not of a mark */
+  char until[SPREAD_PLACE_BYTES]; /* as CodecFeed.until; unused for a mark */
   SuspectsMsg msg;
 } CodecSuspect;
 
 typedef struct CodecLimit {
-  bool to_all;                    /* from who counts; else to it */
+  bool to_all; /* sent by the counting instance; else to it */
   char until[SPREAD_PLACE_BYTES]; /* as CodecFeed.until */
   TallyLimit msg;
 } CodecLimit;
@@ -128,11 +129,11 @@
 void codec_put_limit(msgpack_sbuffer *b, const CodecLimit *m);
 void codec_put_feed(msgpack_sbuffer *b, const CodecFeed *m);
 
-/* Reads at *off; false at the end or when it is damaged. A message of a type
-   that is not known is CODEC_TYPES, and holds nothing. */
+/* Decodes at *off; false at the end or when the data is damaged. A message of
+   an unknown type gets the type CODEC_TYPES, and holds nothing. */
 bool codec_get_head(const char *data, size_t len, size_t *off, CodecHead *h);
 bool codec_get(const char *data, size_t len, size_t *off, CodecMsg *m);
-/* Frees what a message that was read holds. */
+/* Frees what a decoded message holds. */
 void codec_clear(CodecMsg *m);
 
 #endif
--- a/packages/peer/decode.c
+++ b/packages/peer/decode.c
@@ -1,24 +1,24 @@
-/* decode.c: checked unpacking of messages between instances: any wrong type or
-   length makes a message not understood. */
+/* decode.c: validated decoding of messages between instances. A message with
+   any wrong type or length is rejected. */
 #include <glib.h>
 #include <string.h>
 
 #include "peer/codec.h"
 #include "peer/format.h"
 
-#define LOAD_MAX 1000000 /* requests at one target */
-#define EVERY_MAX_MS (24 * 3600 * 1000)
+#define MAX_REQUESTS 1000000 /* requests at one target */
+#define HEARTBEAT_INTERVAL_MAX_MS (24 * 3600 * 1000)
 #define COUNT_MAX 1000000000000000 /* a double holds it exactly */
 
 typedef struct Reader {
   const msgpack_object *at;
   uint32_t left;
-  bool bad;
+  bool damaged;
 } Reader;
 
-static const msgpack_object *take(Reader *r) {
+static const msgpack_object *next_value(Reader *r) {
   if (r->left == 0) {
-    r->bad = true;
+    r->damaged = true;
     return NULL;
   }
   r->left--;
@@ -26,48 +26,47 @@
 }
 
 static uint64_t get_u64(Reader *r) {
-  const msgpack_object *o = take(r);
+  const msgpack_object *o = next_value(r);
   if (o && o->type == MSGPACK_OBJECT_POSITIVE_INTEGER) return o->via.u64;
-  r->bad = true;
+  r->damaged = true;
   return 0;
 }
 
 static int64_t get_i64(Reader *r) {
-  const msgpack_object *o = take(r);
+  const msgpack_object *o = next_value(r);
   if (o && o->type == MSGPACK_OBJECT_NEGATIVE_INTEGER) return o->via.i64;
   if (o && o->type == MSGPACK_OBJECT_POSITIVE_INTEGER &&
       o->via.u64 <= INT64_MAX)
     return (int64_t)o->via.u64;
-  r->bad = true;
+  r->damaged = true;
   return 0;
 }
 
 static int get_small(Reader *r, int limit) {
   uint64_t n = get_u64(r);
   if (n < (uint64_t)limit) return (int)n;
-  r->bad = true;
+  r->damaged = true;
   return 0;
 }
 
 static void get_str(Reader *r, char *out, size_t size) {
-  const msgpack_object *o = take(r);
+  const msgpack_object *o = next_value(r);
   out[0] = '\0';
   if (!o || o->type != MSGPACK_OBJECT_STR || o->via.str.size >= size) {
-    r->bad = true;
+    r->damaged = true;
     return;
   }
   if (o->via.str.size > 0) memcpy(out, o->via.str.ptr, o->via.str.size);
   out[o->via.str.size] = '\0';
 }
 
-/* A newer build's message is passed over, with what else its frame holds kept.
- */
+/* A message type of a newer build is skipped; the rest of the frame is read. */
 static CodecType get_type(Reader *r) {
   uint64_t n = get_u64(r);
   return n < CODEC_TYPES ? (CodecType)n : CODEC_TYPES;
 }
 
-static void get_beat(Reader *r, Member *m) {
+static void get_heartbeat(Reader *r, Member *m) {
   get_str(r, m->id, sizeof m->id);
   get_str(r, m->region, sizeof m->region);
   get_str(r, m->dc, sizeof m->dc);
@@ -75,10 +74,10 @@
   get_str(r, m->http, sizeof m->http);
   m->leaving = get_small(r, 2);
   m->table = get_u64(r);
-  m->heartbeat_interval_s = get_small(r, EVERY_MAX_MS) / 1000.0;
+  m->heartbeat_interval_s = get_small(r, HEARTBEAT_INTERVAL_MAX_MS) / 1000.0;
 }
 
-static void get_news(Reader *r, GossipUpdate *n) {
+static void get_member_update(Reader *r, GossipUpdate *n) {
   get_str(r, n->m.id, sizeof n->m.id);
   get_str(r, n->m.region, sizeof n->m.region);
   get_str(r, n->m.dc, sizeof n->m.dc);
@@ -86,7 +85,7 @@
   n->m.leaving = get_small(r, 2);
   n->generation = (uint32_t)get_small(r, INT32_MAX);
   n->state = (GossipState)get_small(r, GOSSIP_STATES);
-  r->bad |= n->m.id[0] == '\0' || n->m.peer[0] == '\0';
+  r->damaged |= n->m.id[0] == '\0' || n->m.peer[0] == '\0';
 }
 
 static void get_gossip(Reader *r, GossipMsg *m) {
@@ -115,30 +114,30 @@
 
 static void get_load(Reader *r, LoadsMsg *m) {
   m->target = get_u64(r);
-  m->running = get_small(r, LOAD_MAX);
-  m->waiting = get_small(r, LOAD_MAX);
+  m->running = get_small(r, MAX_REQUESTS);
+  m->waiting = get_small(r, MAX_REQUESTS);
   m->silent = get_small(r, 2);
 }
 
 static Packed get_packed(Reader *r) {
   Packed p = {.size = (uint32_t)get_u64(r)};
-  const msgpack_object *o = take(r);
-  r->bad |= !o || o->type != MSGPACK_OBJECT_BIN;
-  if (r->bad || o->via.bin.size == 0) return (Packed){0};
+  const msgpack_object *o = next_value(r);
+  r->damaged |= !o || o->type != MSGPACK_OBJECT_BIN;
+  if (r->damaged || o->via.bin.size == 0) return (Packed){0};
   p.n = o->via.bin.size;
   p.data = g_memdup2(o->via.bin.ptr, p.n);
   return p;
 }
 
-static void get_conf(Reader *r, CodecConfig *m) {
+static void get_config(Reader *r, CodecConfig *m) {
   m->version = get_u64(r);
   m->text = get_packed(r);
 }
 
-/* A count; below 0 it is damaged. */
+/* A count, which is damaged when below 0 or too large. */
 static double get_count(Reader *r) {
   int64_t n = get_i64(r);
-  r->bad |= n < 0 || n > COUNT_MAX;
+  r->damaged |= n < 0 || n > COUNT_MAX;
   return (double)n;
 }
 
@@ -158,7 +157,7 @@
 
 static void get_work(Reader *r, TargetWork *m) {
   m->target = get_u64(r);
-  m->open = get_small(r, LOAD_MAX);
+  m->open = get_small(r, MAX_REQUESTS);
   m->tokens = get_i64(r);
 }
 
@@ -167,21 +166,21 @@
   for (int i = 0; i < m->n; i++) m->names[i] = get_u64(r);
 }
 
-static void get_tally_ask(Reader *r, TallyAsk *m) {
+static void get_tally_query(Reader *r, TallyAsk *m) {
   m->number = get_u64(r);
   m->target = get_u64(r);
   get_tally_parts(r, &m->parts);
 }
 
-static void get_tally_word(Reader *r, TallyWord *m) {
+static void get_tally_report(Reader *r, TallyWord *m) {
   m->number = get_u64(r);
   m->target = get_u64(r);
-  m->open = get_small(r, LOAD_MAX);
-  m->starts = get_small(r, LOAD_MAX);
+  m->open = get_small(r, MAX_REQUESTS);
+  m->starts = get_small(r, MAX_REQUESTS);
   m->tokens = get_i64(r);
   m->known = get_small(r, TALLY_NAMES + 1);
   m->ripe = get_small(r, TALLY_NAMES + 1);
-  r->bad |= m->tokens < 0;
+  r->damaged |= m->tokens < 0;
 }
 
 static void get_tally_run(Reader *r, TallyRun *m) {
@@ -190,7 +189,7 @@
   m->open = get_small(r, 2);
   m->tokens = get_i64(r);
   get_tally_parts(r, &m->parts);
-  r->bad |= m->tokens < 0;
+  r->damaged |= m->tokens < 0;
 }
 
 static void get_feed(Reader *r, CodecFeed *m) {
@@ -216,13 +215,13 @@
 
 static double get_limit(Reader *r) {
   if (r->left > 0 && r->at->type == MSGPACK_OBJECT_NIL) {
-    take(r);
+    next_value(r);
     return QUOTA_UNLIMITED;
   }
   return get_count(r) / FORMAT_THOUSAND;
 }
 
-static void get_permit_ask(Reader *r, TallyPermitAsk *m) {
+static void get_permit_request(Reader *r, TallyPermitAsk *m) {
   m->number = get_u64(r);
   m->target = get_u64(r);
   m->counter = get_u64(r);
@@ -231,7 +230,7 @@
   m->bounds.limit = get_limit(r);
   m->bounds.beyond_limit = get_small(r, 2);
   m->reach = get_count(r) / FORMAT_THOUSAND;
-  r->bad |= m->reach > 1;
+  r->damaged |= m->reach > 1;
 }
 
 static void get_permit(Reader *r, TallyPermit *m) {
@@ -242,7 +241,7 @@
   m->limit = get_limit(r);
 }
 
-static void get_limit_word(Reader *r, CodecLimit *m) {
+static void get_limit_report(Reader *r, CodecLimit *m) {
   m->to_all = get_small(r, 2);
   get_str(r, m->until, sizeof m->until);
   m->msg.target = get_u64(r);
@@ -253,7 +252,7 @@
 static void get_answer(Reader *r, OnceAnswer *a) {
   a->status = (int)get_i64(r);
   get_str(r, a->type, sizeof a->type);
-  const msgpack_object *o = take(r);
+  const msgpack_object *o = next_value(r);
   if (!o || o->type != MSGPACK_OBJECT_BIN) return;
   a->len = o->via.bin.size;
   a->body = g_malloc(a->len + 1);
@@ -279,9 +278,9 @@
   if (flags & 4) get_answer(r, &m->answer);
 }
 
-/* Bytes of the value at `p`, of `left` bytes: our messages have numbers,
-   strings, bytes and nil, nothing nested. 0 for anything else. The library
-   would make room for as many elements as a damaged head claims. */
+/* Size of the value at `p`, which has `left` bytes. Our messages have numbers,
+   strings, bytes and nil, nothing nested; 0 for anything else. Without this
+   check the library allocates as many elements as a damaged header claims. */
 static size_t flat_size(const unsigned char *p, size_t left) {
   static const size_t numbers[] = {2, 3, 5, 9, 2, 3, 5, 9}; /* 0xcc to 0xd3 */
   unsigned char c = p[0];
@@ -327,7 +326,7 @@
     ok = get_u64(&r) == FORMAT_VERSION;
     h->from = get_u64(&r);
     h->to = get_u64(&r);
-    ok = ok && !r.bad;
+    ok = ok && !r.damaged;
   }
   msgpack_unpacked_destroy(&u);
   return ok;
@@ -348,34 +347,36 @@
   if (ok) {
     m->type = get_type(&r);
     switch (m->type) {
-    case CODEC_HEARTBEAT: get_beat(&r, &m->heartbeat); break;
+    case CODEC_HEARTBEAT: get_heartbeat(&r, &m->heartbeat); break;
     case CODEC_LEDGER: get_ledger(&r, &m->ledger); break;
     case CODEC_ONCE: get_once(&r, &m->once); break;
     case CODEC_LOAD: get_load(&r, &m->load); break;
-    case CODEC_CONFIG: get_conf(&r, &m->config); break;
+    case CODEC_CONFIG: get_config(&r, &m->config); break;
     case CODEC_FEED: get_feed(&r, &m->feed); break;
     case CODEC_WORK: get_work(&r, &m->work); break;
     case CODEC_POOL: get_pool(&r, &m->pool); break;
     case CODEC_PARTS: get_parts(&r, &m->parts); break;
-    case CODEC_MEMBER_UPDATE: get_news(&r, &m->member_update); break;
+    case CODEC_MEMBER_UPDATE: get_member_update(&r, &m->member_update); break;
     case CODEC_GOSSIP: get_gossip(&r, &m->gossip); break;
-    case CODEC_TALLY_QUERY: get_tally_ask(&r, &m->tally_query); break;
-    case CODEC_TALLY_REPORT: get_tally_word(&r, &m->tally_report); break;
+    case CODEC_TALLY_QUERY: get_tally_query(&r, &m->tally_query); break;
+    case CODEC_TALLY_REPORT: get_tally_report(&r, &m->tally_report); break;
     case CODEC_TALLY_RUN: get_tally_run(&r, &m->tally_run); break;
     case CODEC_SUSPECT: get_suspect(&r, &m->suspect); break;
-    case CODEC_PERMIT_REQUEST: get_permit_ask(&r, &m->permit_request); break;
+    case CODEC_PERMIT_REQUEST:
+      get_permit_request(&r, &m->permit_request);
+      break;
     case CODEC_PERMIT: get_permit(&r, &m->permit); break;
-    case CODEC_LIMIT: get_limit_word(&r, &m->limit); break;
+    case CODEC_LIMIT: get_limit_report(&r, &m->limit); break;
     case CODEC_TYPES: break;
     }
-    ok = !r.bad;
+    ok = !r.damaged;
     if (!ok) codec_clear(m);
   }
   msgpack_unpacked_destroy(&u);
   return ok;
 }
 
-/* == what the receiver keeps == */
+/* == copies for the receiver == */
 
 CodecFeed *codec_feed_copy(const CodecFeed *m) {
   CodecFeed *copy = g_memdup2(m, sizeof *m);
--- a/packages/peer/encode.c
+++ b/packages/peer/encode.c
@@ -1,4 +1,4 @@
-/* encode.c: packing messages between instances. */
+/* encode.c: encodes messages between instances. */
 #include <glib.h>
 #include <math.h>
 #include <string.h>
@@ -131,7 +131,8 @@
   msgpack_pack_bin_body(p, text->data, text->n);
 }
 
-void codec_put_config(msgpack_sbuffer *b, uint64_t version, const Packed *text) {
+void codec_put_config(msgpack_sbuffer *b, uint64_t version,
+                      const Packed *text) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 4);
@@ -150,7 +151,7 @@
   msgpack_pack_int64(&p, m->tokens);
 }
 
-/* Counts of streams travel in thousandths: they fade. */
+/* Counts of streams are sent in thousandths, since they decay over time. */
 static int64_t thousandths(double v) {
   return (int64_t)round(v * FORMAT_THOUSAND);
 }
@@ -248,7 +249,7 @@
   msgpack_pack_int64(&p, thousandths(m->msg.age_s));
 }
 
-/* No limit travels as nil. */
+/* The absence of a limit is sent as nil. */
 static void put_limit(msgpack_packer *p, double limit) {
   if (limit < QUOTA_UNLIMITED)
     msgpack_pack_int64(p, thousandths(MIN(limit, LIMIT_TARGET_RATE_PER_S)));
@@ -265,7 +266,8 @@
   msgpack_pack_uint64(&p, m->target);
   msgpack_pack_uint64(&p, m->counter);
   msgpack_pack_uint64(&p, m->run);
-  msgpack_pack_int64(&p, thousandths(MIN(m->bounds.cold, LIMIT_TARGET_RATE_PER_S)));
+  msgpack_pack_int64(&p,
+                     thousandths(MIN(m->bounds.cold, LIMIT_TARGET_RATE_PER_S)));
   put_limit(&p, m->bounds.limit);
   msgpack_pack_uint8(&p, m->bounds.beyond_limit);
   msgpack_pack_int64(&p, thousandths(m->reach));
--- a/packages/peer/format.h
+++ b/packages/peer/format.h
@@ -1,10 +1,10 @@
-/* format.h: what both ends of a message agree on; shared by encode.c and
-   decode.c only. */
+/* format.h: constants of the wire format; shared by encode.c and decode.c only.
+ */
 #ifndef PEER_FORMAT_H
 #define PEER_FORMAT_H
 
 #define FORMAT_VERSION 1 /* of a frame */
-/* Fractions travel in thousandths. */
+/* Fractions are sent in thousandths. */
 #define FORMAT_THOUSAND 1000.0
 
 #endif
--- a/packages/peer/packed.c
+++ b/packages/peer/packed.c
@@ -1,4 +1,4 @@
-/* packed.c: texts with zlib. */
+/* packed.c: compresses texts with zlib. */
 #include "peer/packed.h"
 
 #include <glib.h>
@@ -6,10 +6,11 @@
 #include <string.h>
 #include <zlib.h>
 
-#define LEAST 512 /* bytes; shorter texts gain less than the work costs */
-#define SIZE_MOST (8 << 20) /* of a text: as of an answer of the store */
+#define COMPRESS_MIN_BYTES                                                     \
+  512 /* shorter texts gain less than the compression costs */
+#define TEXT_MAX_BYTES (8 << 20) /* as of an answer of the store */
 
-/* True when it became shorter. */
+/* True when the compressed text is shorter. */
 static bool compress_text(Packed *p, const char *text) {
   uLongf n = compressBound(p->size);
   p->data = g_malloc(n);
@@ -27,14 +28,14 @@
 Packed packed_new(const char *text) {
   Packed p = {.size = text ? (uint32_t)strlen(text) : 0};
   if (p.size == 0) return p;
-  if (p.size >= LEAST && compress_text(&p, text)) return p;
+  if (p.size >= COMPRESS_MIN_BYTES && compress_text(&p, text)) return p;
   p.n = p.size;
   p.data = g_memdup2(text, p.size);
   return p;
 }
 
 char *packed_text(const Packed *p) {
-  if (p->size == 0 || p->size > SIZE_MOST) return NULL;
+  if (p->size == 0 || p->size > TEXT_MAX_BYTES) return NULL;
   if (p->n == p->size) return g_strndup((const char *)p->data, p->n);
   char *text = g_malloc(p->size + 1);
   uLongf size = p->size;
--- a/packages/peer/peer.h
+++ b/packages/peer/peer.h
@@ -5,8 +5,9 @@
 
 #include "peer/codec.h"
 
-/* Seconds; a request's home is spoken to some times in it, and a link costs
-   70 KB at both ends while it stands. */
+/* Seconds without a message after which an on-demand link is closed. An
+   instance sends several messages to a request's home, the instance that keeps
+   its record, within this time; an open link costs 70 KB at both ends. */
 #define PEER_IDLE_CLOSE_S 10.0
 
 typedef struct Peer Peer;
@@ -17,53 +18,64 @@
 /* Binds `addr` ("tcp://ip:port"). NULL with a typed error on failure. */
 Peer *peer_open(const char *addr, const char *self, Err *e);
 void peer_close(Peer *p);
-/* Links are made with the first message, which waits for them, and closed after
-   PEER_IDLE_S without one: for a fleet in which each speaks to few others. */
+/* Opens each link with its first message, which is queued until the link is up,
+   and closes it after PEER_IDLE_CLOSE_S without a message. For a fleet in which
+   each instance sends to few others. */
 void peer_use_on_demand_links(Peer *p);
 
 /* Queue a message for the instance `id` at `addr`. Any thread. */
-void peer_send_ledger(Peer *p, const char *addr, const char *id, const LedgerMsg *m);
-void peer_send_once(Peer *p, const char *addr, const char *id, const OnceMsg *m);
-void peer_send_load(Peer *p, const char *addr, const char *id, const LoadsMsg *m);
-/* To the instance with that text_hash of its id, 0: whoever is at `addr`. */
-void peer_send_member_update(Peer *p, const char *addr, uint64_t to, const GossipUpdate *n);
-void peer_send_gossip(Peer *p, const char *addr, uint64_t to, const GossipMsg *m);
-/* Heartbeat to whoever is at `addr`. */
+void peer_send_ledger(Peer *p, const char *addr, const char *id,
+                      const LedgerMsg *m);
+void peer_send_once(Peer *p, const char *addr, const char *id,
+                    const OnceMsg *m);
+void peer_send_load(Peer *p, const char *addr, const char *id,
+                    const LoadsMsg *m);
+/* To the instance whose id has the text_hash `to`, 0: any instance at `addr`.
+ */
+void peer_send_member_update(Peer *p, const char *addr, uint64_t to,
+                             const GossipUpdate *n);
+void peer_send_gossip(Peer *p, const char *addr, uint64_t to,
+                      const GossipMsg *m);
+/* Sends a heartbeat to any instance at `addr`. */
 void peer_send_heartbeat(Peer *p, const char *addr, const Member *m);
 
-/* The operators' configuration, or without text a question for it. */
-void peer_send_config(Peer *p, const char *addr, const char *id, uint64_t version,
-               const Packed *text);
-void peer_send_work(Peer *p, const char *addr, const char *id, const TargetWork *m);
+/* Sends the operators' configuration, or without text a request for it. */
+void peer_send_config(Peer *p, const char *addr, const char *id,
+                      uint64_t version, const Packed *text);
+void peer_send_work(Peer *p, const char *addr, const char *id,
+                    const TargetWork *m);
 void peer_send_parts(Peer *p, const char *addr, const char *id,
-                const TargetParts *m);
+                     const TargetParts *m);
 void peer_send_pool(Peer *p, const char *addr, const char *id,
-               const TargetsPoolWord *m);
+                    const TargetsPoolWord *m);
 void peer_send_tally_query(Peer *p, const char *addr, const char *id,
-                    const TallyAsk *m);
+                           const TallyAsk *m);
 void peer_send_tally_report(Peer *p, const char *addr, const char *id,
-                     const TallyWord *m);
+                            const TallyWord *m);
 void peer_send_tally_run(Peer *p, const char *addr, const char *id,
-                    const TallyRun *m);
+                         const TallyRun *m);
 void peer_send_suspect(Peer *p, const char *addr, const char *id,
-                  const CodecSuspect *m);
-/* These travel in frames of their own: builds that do not know them drop all
-   that stands behind them in a frame. */
+                       const CodecSuspect *m);
+/* Each of the next three is sent in a frame of its own: builds that do not know
+   the type drop whatever follows it in a frame. */
 void peer_send_permit_request(Peer *p, const char *addr, const char *id,
-                     const TallyPermitAsk *m);
+                              const TallyPermitAsk *m);
 void peer_send_permit(Peer *p, const char *addr, const char *id,
-                 const TallyPermit *m);
-void peer_send_limit(Peer *p, const char *addr, const char *id, const CodecLimit *m);
-void peer_send_feed(Peer *p, const char *addr, const char *id, const CodecFeed *m);
+                      const TallyPermit *m);
+void peer_send_limit(Peer *p, const char *addr, const char *id,
+                     const CodecLimit *m);
+void peer_send_feed(Peer *p, const char *addr, const char *id,
+                    const CodecFeed *m);
 
-/* For an event loop in place of peer_poll: readable when peer_turn has
-   something to hand over; peer_flush sends what is queued, false: nothing. */
+/* For an event loop, in place of peer_poll. The descriptor is readable when
+   peer_receive has messages to hand over; peer_flush sends what is queued, and
+   returns false when there is nothing. */
 int peer_fd(const Peer *p);
 void peer_receive(Peer *p, PeerHandler h, void *ctx);
 bool peer_flush(Peer *p);
 
-/* Peer thread only: sends what is queued, then waits up to `wait_ms` for
-   messages or for a queued one, and hands the messages over. */
+/* Peer thread only: sends what is queued, waits up to `wait_ms` for a message
+   to arrive or to be queued, and hands the received messages over. */
 void peer_poll(Peer *p, int wait_ms, PeerHandler h, void *ctx);
 
 #endif
