--- a/packages/kernel/count.c
+++ b/packages/kernel/count.c
@@ -1,13 +1,13 @@
-/* count.c: a flat array of relaxed atomics. */
+/* count.c: counters in an array of relaxed atomics. */
 #include "kernel/count.h"
 
 #include <stdatomic.h>
 
-static _Atomic int64_t values[COUNT_COUNTERS];
+static _Atomic int64_t counter_values[COUNT_COUNTERS];
 
 static const struct {
   const char *name, *help;
-} names[COUNT_COUNTERS] = {
+} counter_infos[COUNT_COUNTERS] = {
     [COUNT_REQUESTS] = {"requests_total", "requests taken from callers"},
     [COUNT_RAN] = {"ran_total", "requests answered whole by a target"},
     [COUNT_REFUSED_EMPTY] = {"refused_empty_total", "budget truly empty"},
@@ -22,7 +22,8 @@
     [COUNT_TOKENS_OVER_BOUND] = {"tokens_over_bound_total",
                                  "tokens an engine counted above our bound; "
                                  "must stay 0"},
-    [COUNT_TOKENS_WASTED] = {"waste_tokens_total", "consumed twice, billed once"},
+    [COUNT_TOKENS_WASTED] = {"waste_tokens_total",
+                             "consumed twice, billed once"},
     [COUNT_BILLS] = {"bills_total", "bill lines made durable"},
     [COUNT_REPLAYS] = {"replays_total", "retries answered from the record"},
     [COUNT_RETRIES] = {"retries_total", "dispatches after the first"},
@@ -47,8 +48,8 @@
                                "questions for a bounded target that had its "
                                "fill"},
     [COUNT_PERMITS_UNANSWERED] = {"permits_silent_total",
-                              "questions for a bounded target that nobody "
-                              "answered"},
+                                  "questions for a bounded target that nobody "
+                                  "answered"},
     [COUNT_TARGETS_ENDED] = {"targets_ended_total",
                              "targets seen to end under requests"},
     [COUNT_SUSPECTS] = {"suspects_total",
@@ -79,25 +80,25 @@
                             "messages not understood or not deliverable"},
 };
 
-/* Upper bounds of the buckets, seconds: from the store's 4 ms to the longest
-   deadline of the users' sheets. */
-static const double bounds[] = {0.004, 0.01, 0.025, 0.05, 0.1, 0.2,
-                                0.4,   0.8,  1.5,   3,    6,   15};
-#define BOUNDS G_N_ELEMENTS(bounds)
+/* Upper bounds of the buckets in seconds, from the store's latency of 4 ms to
+   the longest deadline of a request. */
+static const double bucket_bounds_s[] = {0.004, 0.01, 0.025, 0.05, 0.1, 0.2,
+                                         0.4,   0.8,  1.5,   3,    6,   15};
+#define BUCKET_BOUNDS G_N_ELEMENTS(bucket_bounds_s)
 
 static const char *const time_names[COUNT_TIMES] = {
     [COUNT_TIME_FIRST_BYTE] = "first_byte_seconds",
     [COUNT_TIME_REQUEST] = "request_seconds",
     [COUNT_TIME_STORE] = "store_call_seconds"};
 
-static _Atomic int64_t times[COUNT_TIMES][BOUNDS + 1];
-static _Atomic int64_t time_sums[COUNT_TIMES]; /* microseconds */
+static _Atomic int64_t time_counts[COUNT_TIMES][BUCKET_BOUNDS + 1];
+static _Atomic int64_t time_sums_us[COUNT_TIMES]; /* microseconds */
 
 void count_observe_time(CountTime t, double seconds) {
   size_t i = 0;
-  while (i < BOUNDS && seconds > bounds[i]) i++;
-  atomic_fetch_add_explicit(&times[t][i], 1, memory_order_relaxed);
-  atomic_fetch_add_explicit(&time_sums[t], (int64_t)(seconds * 1e6),
+  while (i < BUCKET_BOUNDS && seconds > bucket_bounds_s[i]) i++;
+  atomic_fetch_add_explicit(&time_counts[t][i], 1, memory_order_relaxed);
+  atomic_fetch_add_explicit(&time_sums_us[t], (int64_t)(seconds * 1e6),
                             memory_order_relaxed);
 }
 
@@ -105,14 +106,14 @@
   const char *name = time_names[t];
   int64_t n = 0;
   g_string_append_printf(out, "# TYPE loftpath_%s histogram\n", name);
-  for (size_t i = 0; i <= BOUNDS; i++) {
-    n += atomic_load_explicit(&times[t][i], memory_order_relaxed);
-    if (i < BOUNDS)
+  for (size_t i = 0; i <= BUCKET_BOUNDS; i++) {
+    n += atomic_load_explicit(&time_counts[t][i], memory_order_relaxed);
+    if (i < BUCKET_BOUNDS)
       g_string_append_printf(
           out, "loftpath_%s_bucket{le=\"%g\"} %" G_GINT64_FORMAT "\n", name,
-          bounds[i], n);
+          bucket_bounds_s[i], n);
   }
-  int64_t sum = atomic_load_explicit(&time_sums[t], memory_order_relaxed);
+  int64_t sum = atomic_load_explicit(&time_sums_us[t], memory_order_relaxed);
   g_string_append_printf(out,
                          "loftpath_%s_bucket{le=\"+Inf\"} %" G_GINT64_FORMAT
                          "\nloftpath_%s_sum %g\nloftpath_%s_count "
@@ -121,11 +122,11 @@
 }
 
 void count_add(Count c, int64_t n) {
-  atomic_fetch_add_explicit(&values[c], n, memory_order_relaxed);
+  atomic_fetch_add_explicit(&counter_values[c], n, memory_order_relaxed);
 }
 
 int64_t count_get(Count c) {
-  return atomic_load_explicit(&values[c], memory_order_relaxed);
+  return atomic_load_explicit(&counter_values[c], memory_order_relaxed);
 }
 
 void count_print(GString *out) {
@@ -133,7 +134,8 @@
     g_string_append_printf(out,
                            "# HELP loftpath_%s %s\n# TYPE loftpath_%s "
                            "counter\nloftpath_%s %" G_GINT64_FORMAT "\n",
-                           names[i].name, names[i].help, names[i].name,
-                           names[i].name, count_get((Count)i));
+                           counter_infos[i].name, counter_infos[i].help,
+                           counter_infos[i].name, counter_infos[i].name,
+                           count_get((Count)i));
   for (int t = 0; t < COUNT_TIMES; t++) print_time((CountTime)t, out);
 }
--- a/packages/kernel/count.h
+++ b/packages/kernel/count.h
@@ -1,4 +1,4 @@
-/* count.h: counters of our own, printed in the Prometheus text format. */
+/* count.h: this process's counters, printed in the Prometheus text format. */
 #ifndef KERNEL_COUNT_H
 #define KERNEL_COUNT_H
 
@@ -57,11 +57,11 @@
 /* Any thread, no lock. */
 void count_add(Count c, int64_t n);
 int64_t count_get(Count c);
-/* Times that are kept as histograms. */
+/* Durations that are kept as histograms. */
 typedef enum {
   COUNT_TIME_FIRST_BYTE, /* until the first byte of a target's answer */
-  COUNT_TIME_REQUEST,   /* of a request that was served */
-  COUNT_TIME_STORE, /* of a call to the store, watches left out */
+  COUNT_TIME_REQUEST,    /* of a whole served request */
+  COUNT_TIME_STORE,      /* of a call to the store other than a watch */
   COUNT_TIMES
 } CountTime;
 
--- a/packages/kernel/digest.c
+++ b/packages/kernel/digest.c
@@ -1,4 +1,4 @@
-/* digest.c: SHA-256 of parts with their lengths, cut to 128 bits. */
+/* digest.c: SHA-256 of parts with their lengths, truncated to 128 bits. */
 #include "kernel/digest.h"
 
 #include <string.h>
--- a/packages/kernel/digest.h
+++ b/packages/kernel/digest.h
@@ -1,5 +1,5 @@
-/* digest.h: 128 bits that stand for a request, whoever tries it and however
-   often. */
+/* digest.h: a 128-bit digest that identifies a request across instances and
+   retries. */
 #ifndef KERNEL_DIGEST_H
 #define KERNEL_DIGEST_H
 
@@ -18,9 +18,9 @@
   size_t n;
 } DigestPart;
 
-/* Of some texts; where one ends and the next begins counts. Callers choose what
-   they send, so it is cut from SHA-256: nobody can make a request that is taken
-   for another one's. */
+/* Digest of a list of texts; the boundaries between them count. It is a
+   truncated SHA-256, so that a caller can't construct a request that is taken
+   for another. */
 Digest digest_of(const DigestPart *parts, int n);
 bool digest_equal(Digest a, Digest b);
 
@@ -30,7 +30,7 @@
 
 /* 32 hex digits. */
 void digest_format(Digest d, char out[DIGEST_TEXT_BYTES]);
-/* False when `text` is no such text. */
+/* False when `text` is not 32 hex digits. */
 bool digest_parse(const char *text, Digest *d);
 
 #endif
--- a/packages/kernel/err.c
+++ b/packages/kernel/err.c
@@ -5,7 +5,7 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-static const ErrInfo infos[ERR_COUNT] = {
+static const ErrInfo error_infos[ERR_COUNT] = {
     [ERR_NONE] = {"none", 200, ""},
     [ERR_MALFORMED] = {"malformed", 400,
                        "correct the request as docs/API.md shows"},
@@ -29,8 +29,9 @@
                           "retry: the platform's store did not answer"},
     [ERR_BUDGET_CUT] = {"budget-cut", 503,
                         "retry: no instance that holds tokens can be reached"},
-    [ERR_CAP_REACHED] = {"cap-reached", 429,
-                 "retry later or ask the operator to raise the row's cap"},
+    [ERR_CAP_REACHED] =
+        {"cap-reached", 429,
+         "retry later or ask the operator to raise the row's cap"},
     [ERR_OVERLOADED] = {"overloaded", 503, "retry after the time given"},
     [ERR_NO_TARGET] = {"no-target", 503,
                        "retry; the operator can see targets in loftpath "
@@ -39,8 +40,8 @@
     [ERR_TARGET_CUT] = {"target-cut", 502,
                         "the answer is incomplete: retry with the same "
                         "Idempotency-Key if the request may be repeated"},
-    /* Not in the range of the caller's own mistakes: the request is proper, and
-       refused for what it did to targets. */
+    /* Not a 4xx status: the request is valid, and rejected for its effect on
+       targets. */
     [ERR_ENDS_TARGETS] = {"ends-targets", 502,
                           "don't send it again: the targets that ran it ended; "
                           "change it, or ask the operator to release it"},
@@ -62,12 +63,12 @@
     [ERR_NOT_CONFIGURED] = {"not-configured", 503,
                             "retry: this instance has no configuration yet"},
     [ERR_LAGGING] = {"behind", 503,
-                    "retry: this instance stood still, and reads what it "
-                    "missed"},
+                     "retry: this instance stood still, and reads what it "
+                     "missed"},
     [ERR_NO_ROUTE] = {"no-route", 404,
                       "ask the operator which hosts and paths are served"},
-    [ERR_TARGET_TIMEOUT] = {"late", 504,
-                  "the target did not answer in time; it may have run"},
+    [ERR_TARGET_TIMEOUT] =
+        {"late", 504, "the target did not answer in time; it may have run"},
     [ERR_TABLE] = {"table-invalid", 422, "correct the cell named"},
     [ERR_TABLE_RACE] = {"table-race", 409,
                         "loftpath show, redo the edit on the new version, "
@@ -82,9 +83,10 @@
     [ERR_STORE_RATE] = {"store-rate", 429, "wait for the rate budget"},
 };
 
-static const char *const rans[] = {"not-run", "ran", "may-have-run"};
+static const char *const ran_names[] = {"not-run", "ran", "may-have-run"};
 
-static void fill(Err *e, ErrKind kind, int ms, const char *fmt, va_list ap) {
+static void fill_error(Err *e, ErrKind kind, int ms, const char *fmt,
+                       va_list ap) {
   if (!e) return;
   assert(kind > ERR_NONE && kind < ERR_COUNT);
   e->kind = kind;
@@ -96,7 +98,7 @@
 bool err_set(Err *e, ErrKind kind, const char *fmt, ...) {
   va_list ap;
   va_start(ap, fmt);
-  fill(e, kind, 0, fmt, ap);
+  fill_error(e, kind, 0, fmt, ap);
   va_end(ap);
   return false;
 }
@@ -104,16 +106,16 @@
 bool err_retry(Err *e, ErrKind kind, int retry_ms, const char *fmt, ...) {
   va_list ap;
   va_start(ap, fmt);
-  fill(e, kind, retry_ms, fmt, ap);
+  fill_error(e, kind, retry_ms, fmt, ap);
   va_end(ap);
   return false;
 }
 
 const ErrInfo *err_info(ErrKind kind) {
   assert(kind < ERR_COUNT);
-  return &infos[kind];
+  return &error_infos[kind];
 }
 
 const char *err_ran_name(Ran ran) {
-  return rans[ran];
+  return ran_names[ran];
 }
--- a/packages/kernel/err.h
+++ b/packages/kernel/err.h
@@ -1,4 +1,4 @@
-/* err.h: typed errors; each kind carries its remedy and its HTTP face. */
+/* err.h: typed errors; each kind has a remedy and an HTTP status. */
 #ifndef KERNEL_ERR_H
 #define KERNEL_ERR_H
 
@@ -49,13 +49,13 @@
   ERR_COUNT
 } ErrKind;
 
-/* What became of the request: the word each answer carries. */
+/* Whether the request ran; each answer states it. */
 typedef enum { RAN_NOT, RAN_YES, RAN_MAYBE } Ran;
 
 typedef struct Err {
   ErrKind kind;
   Ran ran;
-  int retry_ms; /* when coming back helps; 0: it does not */
+  int retry_ms; /* delay before a retry; 0: a retry does not help */
   char text[320];
 } Err;
 
@@ -69,7 +69,7 @@
    `return err_set(...)`. */
 bool err_set(Err *e, ErrKind kind, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
-/* As err_set, with a time to come back in milliseconds. */
+/* As err_set, with a retry delay in milliseconds. */
 bool err_retry(Err *e, ErrKind kind, int retry_ms, const char *fmt, ...)
     __attribute__((format(printf, 4, 5)));
 const ErrInfo *err_info(ErrKind kind);
--- a/packages/kernel/list.c
+++ b/packages/kernel/list.c
@@ -1,4 +1,4 @@
-/* list.c: look-up and growth. */
+/* list.c: searches and extends lists of names. */
 #include "kernel/list.h"
 
 #include <glib.h>
--- a/packages/kernel/list.h
+++ b/packages/kernel/list.h
@@ -1,12 +1,12 @@
-/* list.h: names in one text, separated by ';', as cells of the table have them.
- */
+/* list.h: a list of names in one text, separated by ';', as in the cells of the
+   operators' table. */
 #ifndef KERNEL_LIST_H
 #define KERNEL_LIST_H
 
 #include <stdbool.h>
 #include <stddef.h>
 
-/* True when `list` names `item`. */
+/* True when `list` contains `item`. */
 bool list_has(const char *list, const char *item);
 /* Adds `item` to `list` of `size` bytes unless it is there; false when there is
    no room. */
--- a/packages/kernel/log.c
+++ b/packages/kernel/log.c
@@ -1,4 +1,4 @@
-/* log.c: the structured writer behind log.h. */
+/* log.c: a GLib log writer that prints JSON lines. */
 #define G_LOG_DOMAIN "loftpath"
 #include "kernel/log.h"
 
@@ -16,43 +16,45 @@
 
 static char self[LIMIT_ID_BYTES];
 static bool verbose;
-static int most;             /* lines of log_info a second; 0: no bound */
-static int written, dropped; /* in this second; since the last word of it */
-static time_t second;
+static int max_lines_per_s; /* lines of log_info; 0: unlimited */
+/* In this second; since they were last reported. */
+static int lines_written, lines_dropped;
+static time_t current_second;
 
-/* One write for a line, so that lines of several threads do not mix. */
-static void put_line(const char *text) {
-  if (most == 0) {
+/* Uses one write for a line, so that lines of several threads do not mix. */
+static void write_text(const char *text) {
+  if (max_lines_per_s == 0) {
     fprintf(stderr, "%s\n", text);
     return;
   }
   char *line = g_strconcat(text, "\n", NULL);
   size_t len = strlen(line);
   if (write(STDOUT_FILENO, line, len) != (ssize_t)len) {
-    dropped++;
+    lines_dropped++;
     count_add(COUNT_LOG_DROPPED, 1);
   }
   g_free(line);
 }
 
-/* Messages of libraries come here too and leave as the same JSON. */
+/* Messages of libraries arrive here too, and are printed as JSON as well. */
 static GLogWriterOutput write_line(GLogLevelFlags level,
                                    const GLogField *fields, gsize n,
                                    gpointer data) {
   (void)data;
-  const char *text = "", *ready = NULL;
+  const char *text = "", *json_line = NULL;
   for (gsize i = 0; i < n; i++) {
     if (g_str_equal(fields[i].key, "MESSAGE")) text = fields[i].value;
-    if (g_str_equal(fields[i].key, "LOFTPATH_JSON")) ready = fields[i].value;
+    if (g_str_equal(fields[i].key, "LOFTPATH_JSON"))
+      json_line = fields[i].value;
   }
   if ((level & G_LOG_LEVEL_DEBUG) && !verbose) return G_LOG_WRITER_HANDLED;
-  if (ready) {
-    put_line(ready);
+  if (json_line) {
+    write_text(json_line);
     return G_LOG_WRITER_HANDLED;
   }
   json_t *o = json_pack("{s:s,s:s}", "event", "library", "text", text);
   char *s = json_dumps(o, JSON_COMPACT);
-  put_line(s);
+  write_text(s);
   free(s);
   json_decref(o);
   return G_LOG_WRITER_HANDLED;
@@ -64,8 +66,8 @@
   g_log_set_writer_func(write_line, NULL, NULL);
 }
 
-static void emit(GLogLevelFlags level, const char *name, const char *event,
-                 const char *fmt, va_list ap) {
+static void write_event(GLogLevelFlags level, const char *name,
+                        const char *event, const char *fmt, va_list ap) {
   struct timespec t;
   clock_gettime(CLOCK_REALTIME, &t);
   char *packed = g_strdup_printf("{%s}", fmt);
@@ -84,40 +86,41 @@
   json_decref(o);
 }
 
-void log_limit_rate(int lines) {
-  most = lines;
+void log_limit_rate(int max_lines) {
+  max_lines_per_s = max_lines;
   int flags = fcntl(STDOUT_FILENO, F_GETFL);
   if (flags >= 0) fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
 }
 
-/* Bounded logs are of one thread, the event loop's. */
-static bool over_bound(void) {
-  if (most == 0) return false;
+/* The rate is limited only in a process that logs from one thread, that of the
+   event loop; hence no lock. */
+static bool is_over_limit(void) {
+  if (max_lines_per_s == 0) return false;
   time_t now = time(NULL);
-  if (now != second) {
-    second = now;
-    written = 0;
-    int lost = dropped;
-    dropped = 0;
+  if (now != current_second) {
+    current_second = now;
+    lines_written = 0;
+    int lost = lines_dropped;
+    lines_dropped = 0;
     if (lost > 0) log_warn("log-dropped", "s:i", "lines", lost);
   }
-  if (++written <= most) return false;
-  dropped++;
+  if (++lines_written <= max_lines_per_s) return false;
+  lines_dropped++;
   count_add(COUNT_LOG_DROPPED, 1);
   return true;
 }
 
 void log_info(const char *event, const char *fmt, ...) {
   va_list ap;
-  if (over_bound()) return;
+  if (is_over_limit()) return;
   va_start(ap, fmt);
-  emit(G_LOG_LEVEL_MESSAGE, "info", event, fmt, ap);
+  write_event(G_LOG_LEVEL_MESSAGE, "info", event, fmt, ap);
   va_end(ap);
 }
 
 void log_warn(const char *event, const char *fmt, ...) {
   va_list ap;
   va_start(ap, fmt);
-  emit(G_LOG_LEVEL_WARNING, "warn", event, fmt, ap);
+  write_event(G_LOG_LEVEL_WARNING, "warn", event, fmt, ap);
   va_end(ap);
 }
--- a/packages/kernel/loopclock.h
+++ b/packages/kernel/loopclock.h
@@ -1,23 +1,24 @@
-/* loopclock.h: the time of an event loop's turn. libev's own (ev_now) follows
-   the time of day: when that is set back by ten seconds, a target that left a
-   moment ago may get work for ten seconds more, and words of readers count for
-   as long. This one never goes back, and counts the time for which the machine
-   was suspended; libev's timers don't. */
+/* loopclock.h: the time of an event loop's turn. libev's ev_now follows the
+   time of day: when that is set back by ten seconds, a target that has just
+   left may get requests for ten seconds more, and outdated reports of the
+   store's readers count for as long. This clock is monotonic, and counts the
+   time for which the machine was suspended; libev's timers don't. */
 #ifndef KERNEL_LOOPCLOCK_H
 #define KERNEL_LOOPCLOCK_H
 
 #include <ev.h>
 
-/* From here on it is taken anew at the begin of each turn; takes the loop's
-   user data for itself. */
+/* From this call on, the clock is read at the begin of each turn. Uses the
+   loop's user data. */
 void loopclock_start(struct ev_loop *loop);
-/* `fn` is called, before anything else of its turn, when `least_s` or more have
-   passed since the turn before: the process or its machine stood still. The
-   loop needs a timer that is shorter. One of them for each loop. */
+/* `fn` is called, before all other watchers of a turn, when `min_s` or more
+   have passed since the previous turn: the process or its machine was suspended
+   or stalled. The loop needs a timer with a shorter interval. One `fn` a loop.
+ */
 typedef void (*LoopclockGap)(void *ctx, double gap_s);
-void loopclock_on_gap(struct ev_loop *loop, double least_s, LoopclockGap fn,
+void loopclock_on_gap(struct ev_loop *loop, double min_s, LoopclockGap fn,
                       void *ctx);
-/* Seconds, comparable only to others of this process. */
+/* Seconds, comparable only within this process. */
 double loopclock_now(struct ev_loop *loop);
 
 #endif
--- a/packages/kernel/service.h
+++ b/packages/kernel/service.h
@@ -1,5 +1,5 @@
-/* service.h: the micro-kernel; services find each other by name, start in
-   order of need and stop in the reverse order. */
+/* service.h: the service registry; services find each other by name, start in
+   order of dependency and stop in the reverse order. */
 #ifndef KERNEL_SERVICE_H
 #define KERNEL_SERVICE_H
 
@@ -12,9 +12,9 @@
 
 typedef struct Service {
   const char *name;
-  const char *needs[SERVICE_NEEDS]; /* names, NULL ends */
+  const char *needs[SERVICE_NEEDS]; /* names of services, NULL-terminated */
   bool (*start)(struct Service *s, Err *e);
-  /* No new work from here on; may be NULL. */
+  /* The service accepts no new work after this; may be NULL. */
   void (*drain)(struct Service *s);
   void (*stop)(struct Service *s);
   void *state;
@@ -23,15 +23,16 @@
 typedef struct Kernel {
   Service *list[SERVICE_MAX];
   int n;
-  Service *started[SERVICE_MAX]; /* in order of start */
+  Service *started[SERVICE_MAX]; /* in start order */
   int n_started;
 } Kernel;
 
-/* False when the name is taken or the kernel is full. */
+/* False when the name is taken or the registry is full. */
 bool service_add(Kernel *k, Service *s, Err *e);
-/* State of a service, NULL when there is none of that name. */
+/* State of a service, NULL when no service has that name. */
 void *service_find(const Kernel *k, const char *name);
-/* Starts all; on failure stops what was started and names the missing one. */
+/* Starts all services. On failure stops those that were started; the error
+   names a missing dependency. */
 bool service_start(Kernel *k, Err *e);
 void service_drain(Kernel *k);
 void service_stop(Kernel *k);
--- a/packages/kernel/settings.c
+++ b/packages/kernel/settings.c
@@ -1,4 +1,4 @@
-/* settings.c: argp built from the list of settings. */
+/* settings.c: builds an argp parser from the list of settings. */
 #include "kernel/settings.h"
 
 #include <argp.h>
@@ -12,20 +12,20 @@
 #include <string.h>
 
 #define MAX_SETTINGS 32
-#define FIRST_KEY 1000
+#define FIRST_OPTION_KEY 1000
 
-static const Setting *find(const Setting *list, const char *flag) {
+static const Setting *find_setting(const Setting *list, const char *flag) {
   for (; list->flag; list++)
     if (strcmp(list->flag, flag) == 0) return list;
   assert(!"a setting of this name is in the list");
   return NULL;
 }
 
-static error_t on_option(int key, char *arg, struct argp_state *state) {
+static error_t parse_option(int key, char *arg, struct argp_state *state) {
   Setting *list = state->input;
-  if (key < FIRST_KEY || key >= FIRST_KEY + MAX_SETTINGS)
+  if (key < FIRST_OPTION_KEY || key >= FIRST_OPTION_KEY + MAX_SETTINGS)
     return ARGP_ERR_UNKNOWN;
-  list[key - FIRST_KEY].value = arg ? arg : "on";
+  list[key - FIRST_OPTION_KEY].value = arg ? arg : "on";
   return 0;
 }
 
@@ -67,7 +67,7 @@
                  s->flag, s->env, s->value);
 }
 
-static bool check(const Setting *s, Err *e) {
+static bool check_setting(const Setting *s, Err *e) {
   if (!s->value)
     return err_set(e, ERR_SETTING, "--%s (%s) is missing", s->flag, s->env);
   switch (s->type) {
@@ -78,28 +78,28 @@
   }
 }
 
-/* == the file == */
+/* == settings file == */
 
-static void take_line(Setting *list, char *line) {
+static void parse_line(Setting *list, char *line) {
   char *eq = strchr(line, '=');
   if (!eq || line[0] == '#') return;
   *eq = '\0';
   const char *flag = g_strstrip(line), *value = g_strstrip(eq + 1);
   for (; list->flag; list++)
     if (!list->value && strcmp(list->flag, flag) == 0)
-      list->value = g_strdup(value); /* for the life of the process */
+      list->value = g_strdup(value); /* never freed */
 }
 
 static bool read_file(Setting *list, const char *path, Err *e) {
   char *text = NULL;
-  GError *bad = NULL;
-  if (!g_file_get_contents(path, &text, NULL, &bad)) {
-    err_set(e, ERR_SETTING, "can't read %s: %s", path, bad->message);
-    g_error_free(bad);
+  GError *error = NULL;
+  if (!g_file_get_contents(path, &text, NULL, &error)) {
+    err_set(e, ERR_SETTING, "can't read %s: %s", path, error->message);
+    g_error_free(error);
     return false;
   }
   char **lines = g_strsplit(text, "\n", -1);
-  for (int i = 0; lines[i]; i++) take_line(list, lines[i]);
+  for (int i = 0; lines[i]; i++) parse_line(list, lines[i]);
   g_strfreev(lines);
   g_free(text);
   return true;
@@ -117,11 +117,11 @@
              s->fallback ? ", default " : "", s->fallback ? s->fallback : "");
     options[n] =
         (struct argp_option){.name = s->flag,
-                             .key = FIRST_KEY + n,
+                             .key = FIRST_OPTION_KEY + n,
                              .arg = s->type == SETTING_FLAG ? NULL : "VALUE",
                              .doc = help[n]};
   }
-  struct argp argp = {.options = options, .parser = on_option, .doc = about};
+  struct argp argp = {.options = options, .parser = parse_option, .doc = about};
   if (argp_parse(&argp, argc, argv, 0, NULL, list) != 0)
     return err_set(e, ERR_SETTING, "the flags can't be read");
   const char *path = getenv(SETTINGS_FILE);
@@ -130,20 +130,20 @@
   if (path && !read_file(list, path, e)) return false;
   for (int i = 0; i < n; i++) {
     if (!list[i].value) list[i].value = list[i].fallback;
-    if (!check(&list[i], e)) return false;
+    if (!check_setting(&list[i], e)) return false;
   }
   return true;
 }
 
 const char *settings_text(const Setting *list, const char *flag) {
-  return find(list, flag)->value;
+  return find_setting(list, flag)->value;
 }
 
 long settings_number(const Setting *list, const char *flag) {
-  return strtol(find(list, flag)->value, NULL, 10);
+  return strtol(find_setting(list, flag)->value, NULL, 10);
 }
 
 bool settings_flag(const Setting *list, const char *flag) {
-  const char *v = find(list, flag)->value;
+  const char *v = find_setting(list, flag)->value;
   return strcmp(v, "on") == 0 || strcmp(v, "1") == 0;
 }
--- a/packages/kernel/settings.h
+++ b/packages/kernel/settings.h
@@ -1,5 +1,5 @@
-/* settings.h: settings by flag and environment variable, all checked before
-   anything starts. */
+/* settings.h: settings from flags, environment variables and a file, validated
+   before anything starts. */
 #ifndef KERNEL_SETTINGS_H
 #define KERNEL_SETTINGS_H
 
@@ -9,7 +9,7 @@
 
 typedef enum {
   SETTING_TEXT,
-  SETTING_NUMBER,  /* whole, from min to max */
+  SETTING_NUMBER,  /* integer from min to max */
   SETTING_ADDRESS, /* ip:port */
   SETTING_NAME,    /* letters, digits, - and _ */
   SETTING_FLAG     /* on or off, takes no value */
@@ -25,13 +25,13 @@
   const char *value; /* filled by settings_read */
 } Setting;
 
-/* Environment variable that names a file of settings, a "flag = value" a line;
-   `#` begins a comment, names that are not known are passed over. */
+/* Environment variable with the path of a settings file, one "flag = value" a
+   line; `#` begins a comment line, unknown names are ignored. */
 #define SETTINGS_FILE "LOFTPATH_NODE_FILE"
 
-/* Reads flags first, then the environment, then the file that SETTINGS_FILE
-   names, then the fallback; `list` ends with a NULL flag. Prints help and usage
-   errors as argp does. */
+/* A value comes from the flag, else the environment, else the file that
+   SETTINGS_FILE names, else the fallback. `list` ends with a NULL flag. Prints
+   help and usage errors as argp does. */
 bool settings_read(Setting *list, int argc, char **argv, const char *about,
                    Err *e);
 const char *settings_text(const Setting *list, const char *flag);
--- a/packages/kernel/text.c
+++ b/packages/kernel/text.c
@@ -1,4 +1,4 @@
-/* text.c: from jansson's allocator to GLib's. */
+/* text.c: copies text from jansson's allocator to GLib's. */
 #include "kernel/text.h"
 
 #include <glib.h>
--- a/packages/peer/codec.h
+++ b/packages/peer/codec.h
@@ -70,8 +70,7 @@
 #define CODEC_FEED_KINDS 8
 /* Two kinds that come from a neighbour, not from a reader. An instance that
    does not know them ignores them. */
-#define CODEC_FEED_PART_REQUEST                                                \
-  6 /* request for a part of the list of targets */
+#define CODEC_FEED_PART_REQUEST 6 /* for a part of the list of targets */
 #define CODEC_FEED_PART                                                        \
   7 /* the part: `from` is its number, `revision` the list's, `lapsed`:        \
    another part follows; `revision` 0: there is no list yet */
--- a/packages/peer/peer.c
+++ b/packages/peer/peer.c
@@ -11,8 +11,7 @@
 #include "kernel/clock.h"
 #include "kernel/count.h"
 
-#define MAX_QUEUED_FRAMES                                                      \
-  1000 /* max frames queued for an address; more are dropped */
+#define MAX_QUEUED_FRAMES 1000 /* for an address; more are dropped */
 /* A SYN to a machine without power is lost, and TCP repeats it after a second.
    Instances are 4 ms apart, so a new attempt is made sooner. */
 #define CONNECT_TIMEOUT_MS 200
@@ -25,10 +24,9 @@
    messages of a busy instance during several turns of its event loop, and one
    configuration. More is dropped and counted: every message is repeated later,
    or its content is read from the store. */
-#define DEMAND_MAX_QUEUED_FRAMES 64  /* frames */
+#define DEMAND_MAX_QUEUED_FRAMES 64
 #define DEMAND_MAX_BYTES (256 << 10) /* in DEMAND_WINDOW_S */
-#define DEMAND_WINDOW_S                                                        \
-  1.5 /* a connection whose peer does not read ends after the ack timeout */
+#define DEMAND_WINDOW_S 1.5          /* as ACK_TIMEOUT_MS, which ends the link */
 #define IDLE_CHECK_S 1.0 /* between checks for idle links */
 
 typedef struct Frame {
@@ -297,7 +295,8 @@
   return l;
 }
 
-/* Whether a link has room for `n` more bytes, as its receiver may not read. */
+/* Reserves `n` bytes of a link, whose receiver may not be reading; false when
+   they exceed DEMAND_MAX_BYTES. */
 static bool reserve_link_bytes(PeerLink *l, double now, size_t n) {
   if (now - l->window_start >= DEMAND_WINDOW_S) {
     l->window_start = now;
