--- a/tests/codec_again.h
+++ b/tests/codec_again.h
@@ -1,4 +1,4 @@
-/* codec_again.h: writes a message that was read, of any kind; for tests. */
+/* codec_again.h: encodes a decoded message of any type again; for tests. */
 #ifndef TESTS_CODEC_AGAIN_H
 #define TESTS_CODEC_AGAIN_H
 
--- a/tests/fuzz_codec.c
+++ b/tests/fuzz_codec.c
@@ -1,13 +1,12 @@
-/* fuzz_codec.c: frames of any bytes do no harm, and what is read as a message
-   is one that our own encoder may have written: written again and read, it is
+/* fuzz_codec.c: frames of arbitrary bytes are decoded safely, and a decoded
+   message is one that our encoder can produce: encoded and decoded again, it is
    the same. Built by fuzz.sh. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "codec_again.h"
 
-/* What was written of a message, read and written once more, has the same
-   bytes. */
+/* Encodes a message, decodes it and encodes it again; the bytes must be equal. */
 static void check(const CodecMsg *m) {
   msgpack_sbuffer once, twice;
   CodecMsg again;
--- a/tests/test_catchup.c
+++ b/tests/test_catchup.c
@@ -1,11 +1,11 @@
-/* test_catchup.c: when an instance that reads nothing asks the store itself.
+/* test_catchup.c: when an instance that relies on readers reads the store itself.
 
-   The load that it answers: a fleet in which three instances read the store for
-   all, and others are restarted in series while one of the three has lost it.
-   Readers tell what they read once a second at least, and each 0.7 s that the
-   store does not answer them. A restarted instance lists what is some seconds
-   old, so that the readers' messages do not lead on from there. It has 3 s to
-   learn of a leaving target. */
+   Guards against a restarted instance that lags: three instances read the store
+   for the fleet, and one of them loses it while others are restarted one by one.
+   Readers report what they read at least once a second, and every 0.7 s that the
+   store does not answer. The first list of a restarted instance is some seconds
+   old, so that the reports are not contiguous to it. It has 3 s to learn that a
+   target is leaving. */
 #include <criterion/criterion.h>
 
 #include "member/catchup.h"
@@ -22,13 +22,13 @@
 
 Test(catchup, who_is_told_of_everything_asks_nothing) {
   start(10);
-  cr_assert(!catchup_can_skip_store(&c, 10), "nobody was heard yet");
+  cr_assert(!catchup_can_skip_store(&c, 10), "no report has arrived yet");
   for (double t = 10; t < 20; t += READ_EVERY_S) {
     catchup_note_read(&c, t, true);
     cr_assert(catchup_can_skip_store(&c, t + READ_EVERY_S));
     cr_assert(!catchup_is_lagging(&c));
   }
-  cr_assert(!catchup_can_skip_store(&c, 21), "the readers have fallen silent");
+  cr_assert(!catchup_can_skip_store(&c, 21), "the readers' reports have stopped");
 }
 
 Test(catchup, who_is_behind_asks_until_the_store_answers) {
@@ -58,12 +58,12 @@
   catchup_note_read(&c, 11, true);
   catchup_note_read(&c, 11.2, false);
   cr_assert(!catchup_can_skip_store(&c, 11.2),
-            "though it was told just before");
+            "though a report came just before");
   catchup_note_read(&c, 11.4, true);
   cr_assert(catchup_can_skip_store(&c, 11.4));
 }
 
-/* Two readers read, the third says that the store is away, its word first. */
+/* Two readers read; the third reports first that the store is unavailable. */
 Test(catchup, one_reader_that_lost_the_store_holds_up_nobody) {
   double read_at = 10.4, away_at = 10.1;
   start(10);
@@ -77,7 +77,7 @@
       read_at += READ_EVERY_S;
     }
     if (catchup_is_lagging(&c))
-      cr_assert(!catchup_can_skip_store(&c, t), "held up at %.2f", t);
+      cr_assert(!catchup_can_skip_store(&c, t), "delayed at %.2f", t);
     cr_assert(t < 10.5 || !catchup_store_is_unavailable(&c, t));
   }
 }
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -1,5 +1,5 @@
-/* test_codec.c: what one instance packs another understands, and nothing else
-   does harm. */
+/* test_codec.c: messages survive encoding and decoding, and damaged data is
+   rejected safely. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <string.h>
@@ -72,7 +72,7 @@
   msgpack_sbuffer_clear(&b);
   n.m.peer[0] = '\0';
   codec_put_member_update(&b, &n);
-  cr_assert_not(same(&b, &m), "a member without an address is no member");
+  cr_assert_not(same(&b, &m), "a member needs an address");
   msgpack_sbuffer_destroy(&b);
 }
 
@@ -220,8 +220,8 @@
   msgpack_sbuffer_destroy(&b);
 }
 
-/* A configuration as operators with many routes have it: `n` alike but for
-   their names and paths. */
+/* A configuration of `n` routes that differ in name and path only, as operators
+   with many routes have it. */
 static char *many_routes(int n) {
   GString *s = g_string_new("{\"routes\":[");
   for (int i = 0; i < n; i++)
@@ -235,8 +235,8 @@
   return g_string_free(s, FALSE);
 }
 
-/* It has to find room on a link between instances, 256 kB in 1.5 s beside all
-   else, and in what a reader tells, 64 kB. */
+/* It has to fit on a link between instances, 256 kB in 1.5 s for all messages,
+   and into a reader's report, 64 kB. */
 Test(codec, a_large_configuration_travels_in_a_tenth_of_its_size) {
   char *text = many_routes(1640);
   Packed p = packed_new(text);
@@ -266,14 +266,15 @@
   packed_free(&p);
   p = packed_new(text);
   p.size += 1;
-  cr_assert_null(packed_text(&p), "of another length");
+  cr_assert_null(packed_text(&p), "the length differs");
   p.size = UINT32_MAX;
-  cr_assert_null(packed_text(&p), "longer than any");
+  cr_assert_null(packed_text(&p), "exceeds the max length");
   packed_free(&p);
   g_free(text);
 }
 
-/* What is handed on from instance to instance is read and written at each. */
+/* A forwarded message is decoded and encoded at each instance, which must not
+   change its figures. */
 Test(codec, figures_in_thousandths_do_not_shrink_on_their_way) {
   for (int64_t ms = 0; ms < 5000; ms++) {
     CodecSuspect s = {.msg = {.age_s = (double)ms / 1000}};
@@ -332,8 +333,8 @@
   }
 }
 
-/* An instance of an older build hears a newer one's words in one frame with
-   those that it knows: what stands behind them in the frame is not lost. */
+/* An instance of an older build receives messages of unknown types in one frame
+   with others: those that follow in the frame must not be lost. */
 Test(codec, a_message_of_an_unknown_type_is_passed_over) {
   LoadsMsg l = {.target = 5};
   msgpack_sbuffer b;
@@ -355,7 +356,7 @@
   msgpack_sbuffer_destroy(&b);
 }
 
-/* Seeded damage: cut short, bytes changed, noise. */
+/* Damage from a seeded generator: truncation, changed bytes, noise. */
 Test(codec, damaged_frames_are_refused_or_read_as_something_valid) {
   GRand *r = g_rand_new_with_seed(1);
   Member beat = {.id = "n.1", .region = "r", .peer = "tcp://1.2.3.4:5"};
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -1,7 +1,8 @@
-/* test_golden.c: bytes of messages between instances, and texts of objects in
-   the store, as builds in production write them. Builds run side by side while
-   instances are replaced, so what one writes the other has to read: bytes
-   change by a new kind of message or a new member, never in place. */
+/* test_golden.c: golden bytes of messages between instances, and golden texts of
+   objects in the store, as builds in production write them. Two builds run side
+   by side while instances are replaced, so that each has to read what the other
+   writes. A format changes by a new message type or a new member, never in
+   place. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <stdlib.h>
@@ -10,7 +11,7 @@
 #include "codec_again.h"
 #include "stored_again.h"
 
-/* == what is written == */
+/* == messages of this build == */
 
 static void put_beat(msgpack_sbuffer *b) {
   Member m = {.id = "n.1",
@@ -172,7 +173,7 @@
   codec_put_limit(b, &m);
 }
 
-/* == as builds in production write it == */
+/* == messages of the builds in production == */
 
 typedef struct Golden {
   const char *name, *hex;
@@ -299,7 +300,7 @@
   }
 }
 
-/* As a newer build may write them: with a member that this one knows not. */
+/* A newer build may write objects with a member that this one does not know. */
 Test(golden, objects_with_new_members_are_read) {
   for (size_t i = 0; i < G_N_ELEMENTS(stored_kinds); i++) {
     char *golden = golden_text(stored_kinds[i].name);
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -1,9 +1,9 @@
-/* test_handover.c: the list of targets on its way from neighbour to neighbour:
-   its text, who is asked when, and what is handed out.
+/* test_handover.c: the transfer of the list of targets between neighbours: its
+   text, which neighbour is asked when, and what is handed out.
 
-   The load that this answers: a thousand instances start together, or half of
-   them after a loss of power, before ten thousand targets; the store gives 200
-   entries a page, and each page has its price. */
+   The case behind it: a thousand instances start together, or half of them after
+   a power loss, with ten thousand targets; the store returns 200 entries a page,
+   and each page is priced. */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -37,7 +37,7 @@
   targets_set(ctx, NOW, t);
 }
 
-/* Copies all parts; their number and bytes. */
+/* Copies all parts; returns their number, and their size in *bytes. */
 static int copy(Targets *from, Targets *to, size_t *bytes) {
   RosterAt at = {0};
   bool more = true;
@@ -93,7 +93,7 @@
   static const char *const bad[] = {
       "", "[]", "{}", "{\"services\":[\"s\"],\"dcs\":[\"a\"],\"rows\":7}",
       "{\"services\":[\"s\"],\"dcs\":[\"a\"],\"rows\":[[1]]}",
-      /* one good row, one that names no service */
+      /* one valid row, one with an unknown service */
       "{\"services\":[\"s\"],\"dcs\":[\"a\"],\"rows\":[[\"x\",\"1.1.1.1:1\",0,"
       "0,4,false,0,0,9],[\"y\",\"1.1.1.1:1\",3,0,4,false,0,0,9]]}",
       "{\"services\":[\"s\"],\"dcs\":[\"a\"],\"rows\":[[\"x\",\"1.1.1.1:1\",0,"
@@ -107,12 +107,12 @@
   targets_free(t);
 }
 
-/* == who is asked == */
+/* == requests == */
 
 Test(handover, one_neighbour_is_asked_at_a_time_and_part_by_part) {
   Handover h = {0};
   cr_assert(handover_try_neighbour(&h, 1, "n1"));
-  cr_assert_not(handover_try_neighbour(&h, 1.1, "n2"), "one is asked");
+  cr_assert_not(handover_try_neighbour(&h, 1.1, "n2"), "a request is pending");
   cr_assert_eq(handover_receive_part(&h, 1.2, "n2", 0, 50, true),
                HANDOVER_UNEXPECTED);
   cr_assert_eq(handover_receive_part(&h, 1.2, "n1", 3, 50, true),
@@ -127,7 +127,7 @@
   cr_assert_eq(handover_receive_part(&h, 1.4, "n1", 2, 49, true),
                HANDOVER_UNEXPECTED);
   cr_assert_eq(handover_receive_part(&h, 1.4, "n1", 0, 60, true),
-               HANDOVER_FIRST_PART, "the list was made anew");
+               HANDOVER_FIRST_PART, "the source made a new snapshot");
   cr_assert_eq(handover_receive_part(&h, 1.5, "n1", 1, 60, false),
                HANDOVER_LAST_PART);
 }
@@ -151,7 +151,7 @@
   for (int k = 0; k < 20; k++) {
     cr_assert(handover_try_neighbour(&h, k * 0.3, "n1"));
     handover_note_no_list(&h, "n2");
-    cr_assert_str_eq(h.source, "n1", "it was not asked");
+    cr_assert_str_eq(h.source, "n1", "n2 was not asked");
     handover_note_no_list(&h, "n1");
     cr_assert_not(handover_must_read_store(&h, k * 0.3, 0, 0.5));
   }
@@ -189,7 +189,7 @@
       more = m.lapsed;
       ask = (HandoverRequest){.part = ask.part + 1, .revision = 700};
     }
-    cr_assert_not(giving_part(x, NOW, 700, &ask, &m), "there are no more");
+    cr_assert_not(giving_part(x, NOW, 700, &ask, &m), "no part is left");
   }
   cr_assert_leq(g.made, 5);
   giving_free(x);
@@ -202,15 +202,15 @@
   CodecFeed m, word = {.kind = 1, .from = 700, .revision = 705};
   HandoverRequest first = {0}, stale = {.part = 1, .revision = 600};
   int words = 0;
-  giving_note(x, &word); /* nobody asked yet */
+  giving_note(x, &word); /* no request yet */
   cr_assert(giving_part(x, NOW, 700, &first, &m));
   giving_note(x, &word);
-  word.from = word.revision; /* nothing new */
+  word.from = word.revision; /* no change */
   giving_note(x, &word);
   giving_words(x, count, &words);
   cr_assert_eq(words, 1);
   cr_assert(giving_part(x, NOW + 1, 710, &stale, &m));
-  cr_assert(m.from == 0 && m.revision == 700, "from its beginning");
+  cr_assert(m.from == 0 && m.revision == 700, "restarts from the first part");
   cr_assert(giving_part(x, NOW + HANDOVER_LIST_TTL_S + 1, 720, &first, &m));
   cr_assert_eq(m.revision, 720);
   words = 0;
--- a/tests/test_kernel.c
+++ b/tests/test_kernel.c
@@ -1,4 +1,4 @@
-/* test_kernel.c: services, errors, the platform's pace. */
+/* test_kernel.c: services, errors, and the rate limit of store calls. */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -74,15 +74,15 @@
   cr_assert(urgent >= 100 && urgent <= 105, "%d in ten seconds", urgent);
 }
 
-/* The platform's rate is of the whole fleet: after an outage all come at once.
- */
+/* The store's rate limit is shared by the fleet: after an outage all instances
+   call at once. */
 Test(pace, a_share_of_the_rate_from_now_on) {
   Pace p;
   int calls = 0;
   pace_init(&p, 10, 0);
   pace_rate(&p, 0.25, 0);
   for (int i = 0; i <= 1000; i++) calls += pace_take(&p, i * 0.01, true) <= 0;
-  cr_assert_eq(calls, 4, "two at once and one each four seconds: %d", calls);
+  cr_assert_eq(calls, 4, "two at once, then one every four seconds: %d", calls);
   pace_rate(&p, 10, 10);
   calls = 0;
   for (int i = 0; i <= 1000; i++)
--- a/tests/test_loopclock.c
+++ b/tests/test_loopclock.c
@@ -1,8 +1,8 @@
 /* test_loopclock.c: the loop's time while the time of day is set.
 
-   Answers: a machine whose time of day is corrected by ten seconds. Whatever
-   has a bound (a target that left, a word that counts for 1.5 s, a request's
-   deadline) must keep it. */
+   Guards against timeouts that stretch or shrink when a machine's time of day is
+   corrected by ten seconds: that of a target that left, of a reader's report,
+   which counts for 1.5 s, or a request's deadline. */
 #define _GNU_SOURCE
 #include <criterion/criterion.h>
 #include <sys/syscall.h>
@@ -16,9 +16,9 @@
 #define TURN_S 0.02
 
 static time_t set_by;
-static time_t suspended; /* seconds that only the clock of such time counts */
+static time_t suspended; /* seconds that only CLOCK_BOOTTIME counts */
 
-/* Takes the place of the C library's: only the time of day is set. */
+/* Replaces the C library's function: only the time of day is changed. */
 int clock_gettime(clockid_t id, struct timespec *t) {
   int r = (int)syscall(SYS_clock_gettime, id, t);
   if (id == CLOCK_REALTIME) t->tv_sec += set_by;
@@ -26,7 +26,7 @@
   return r;
 }
 
-/* The one that libev reads it with. */
+/* The function with which libev reads the time of day. */
 int gettimeofday(struct timeval *restrict t, void *restrict zone) {
   (void)zone;
   struct timespec now;
@@ -56,7 +56,7 @@
   turn(loop, TURN_S);
   double before = loopclock_now(loop), day = ev_now(loop);
   set_by = by;
-  for (int i = 0; i < 60; i++) turn(loop, TURN_S); /* libev looks each 0.5 s */
+  for (int i = 0; i < 60; i++) turn(loop, TURN_S); /* libev checks every 0.5 s */
   double took = loopclock_now(loop) - before;
   cr_assert(took >= 60 * TURN_S * 0.9 && took < 5, "%f", took);
   double moved = ev_now(loop) - day - took;
@@ -72,7 +72,7 @@
   check_step(STEP_S);
 }
 
-/* == a machine that is suspended == */
+/* == suspended machine == */
 
 typedef struct Gaps {
   int n;
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -1,4 +1,4 @@
-/* test_member.c: views, homes and who is gone. */
+/* test_member.c: views, homes, heartbeats and the loss of members. */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -91,7 +91,8 @@
   member_free(s);
 }
 
-/* An edit takes moments to reach everybody: only who stands still is stuck. */
+/* A new table takes moments to reach all: a member whose table advances is not
+   stale, one whose table stays is. */
 Test(member, who_keeps_an_older_table_is_told_from_who_is_on_the_way) {
   Member self = member(0), other = member(1);
   MemberSet *s = member_new(&self);
@@ -100,7 +101,7 @@
   View *v = member_view(s, 1.5);
   cr_assert_float_eq(view_find(v, "n1.1")->table_stale_s, 0.5, 1e-9);
   view_free(v);
-  other.table = 5; /* behind, but moving */
+  other.table = 5; /* older than ours, but newer than before */
   member_receive_heartbeat(s, 9, &other);
   v = member_view(s, 10);
   cr_assert_float_eq(view_find(v, "n1.1")->table_stale_s, 1, 1e-9);
@@ -112,7 +113,7 @@
   view_free(v);
   other.table = 7;
   member_receive_heartbeat(s, 22, &other);
-  member_update_self(s, false, 8); /* a new edit: it was level a moment ago */
+  member_update_self(s, false, 8); /* a new table: `other` had the latest a moment ago */
   v = member_view(s, 23);
   cr_assert_float_eq(view_find(v, "n1.1")->table_stale_s, 1, 1e-9);
   view_free(v);
@@ -121,7 +122,7 @@
 
 /* == heartbeats == */
 
-/* Heartbeats due at `now`; of those to members of our region in *near. */
+/* Number of heartbeats due at `now`; in *near those within our region. */
 static int beats(MemberSet *s, double now, int *near) {
   GArray *due = g_array_new(FALSE, FALSE, sizeof(MemberHeartbeat));
   member_collect_heartbeats(s, now, due);
@@ -146,7 +147,7 @@
   return s;
 }
 
-/* The first greetings are lost while a link is made, so there are some. */
+/* The first greetings are lost while a link is set up, so several are sent. */
 static int greetings(MemberSet *s, double from) {
   int n = 0, near;
   for (int i = 1; i <= 8; i++) n += beats(s, from + i * 0.25, &near);
@@ -156,15 +157,15 @@
 Test(member, heartbeats_of_a_large_fleet_are_spread_out) {
   MemberSet *s = large_fleet();
   int all = 0, near_all = 0, near;
-  cr_assert_eq(beats(s, 1, &near), 349, "everybody is greeted");
+  cr_assert_eq(beats(s, 1, &near), 349, "each new member is greeted");
   greetings(s, 1);
   for (double now = 3; now < 603; now += 0.1) {
     all += beats(s, now, &near);
     near_all += near;
   }
   cr_assert(all * 160 / 600.0 <= MEMBER_NEAR_BYTES_PER_S + MEMBER_FAR_BYTES_PER_S, "%d", all);
-  cr_assert(near_all >= 49 * 600 / 6, "each 6 s in the region: %d", near_all);
-  cr_assert(all - near_all >= 300 * 3, "beyond, each 200 s: %d", all);
+  cr_assert(near_all >= 49 * 600 / 6, "every 6 s within the region: %d", near_all);
+  cr_assert(all - near_all >= 300 * 3, "every 200 s to other regions: %d", all);
   member_free(s);
 }
 
@@ -173,7 +174,7 @@
   cr_assert_not(member_tick(s, 33));
   cr_assert(member_tick(s, 1 + 5.4 * MEMBER_MAX_MISSED_HEARTBEATS));
   View *v = member_view(s, 34);
-  cr_assert_eq(v->n, 1 + 300, "the other regions promised less");
+  cr_assert_eq(v->n, 1 + 300, "the other regions' intervals are longer");
   view_free(v);
   member_free(s);
 }
@@ -187,14 +188,14 @@
   snprintf(m.region, sizeof m.region, "g3");
   member_receive_heartbeat(s, 4, &m);
   cr_assert_eq(beats(s, 4, &near), 1);
-  cr_assert_eq(greetings(s, 4), 3, "and some times more");
+  cr_assert_eq(greetings(s, 4), 3, "and several times more");
   MemberSeed seed = {.name = "n500", .peer = "tcp://10.0.9.9:1"};
   member_apply_list(s, 6.1, &seed, 1);
   cr_assert_eq(beats(s, 6.1, &near), 1);
   member_apply_list(s, 6.2, &seed, 1);
-  cr_assert_eq(beats(s, 6.2, &near), 0, "not with each reading of the list");
+  cr_assert_eq(beats(s, 6.2, &near), 0, "not after each read of the list");
   member_expedite_heartbeats(s);
-  cr_assert_eq(beats(s, 6.3, &near), 351, "all hear what is urgent");
+  cr_assert_eq(beats(s, 6.3, &near), 351, "an urgent change is sent to all");
   member_free(s);
 }
 
@@ -214,7 +215,7 @@
   int near;
   member_add_introduced(s, 1, &other);
   View *v = member_view(s, 1);
-  cr_assert_eq(v->n, 1, "a word of others is not its own");
+  cr_assert_eq(v->n, 1, "an introduction is no heartbeat");
   view_free(v);
   cr_assert_eq(beats(s, 1, &near), 1);
   member_receive_heartbeat(s, 1.1, &other);
@@ -222,7 +223,7 @@
   cr_assert_eq(v->n, 2);
   view_free(v);
   member_add_introduced(s, 2, &self);
-  cr_assert_eq(beats(s, 1.2, &near), 1, "only the greeting of who is new");
+  cr_assert_eq(beats(s, 1.2, &near), 1, "only the greeting of the new member");
   member_free(s);
 }
 
@@ -231,22 +232,22 @@
   MemberSet *s = member_new(&self);
   member_receive_heartbeat(s, 1, &a);
   cr_assert_null(member_pick_introduction(s, 1, a.peer),
-                 "nobody else is known");
+                 "no other member is known");
   member_receive_heartbeat(s, 1, &b);
   bool told = false;
   for (int i = 0; i < 4; i++) {
     const Member *m = member_pick_introduction(s, 2, a.peer);
-    if (m) cr_assert_str_eq(m->id, b.id, "nobody is introduced to itself");
+    if (m) cr_assert_str_eq(m->id, b.id, "no member is introduced to itself");
     told |= m != NULL;
   }
   cr_assert(told);
   cr_assert_null(member_pick_introduction(s, 60, a.peer),
-                 "a view at rest is not told");
+                 "an unchanged view is not announced");
   member_free(s);
 }
 
-/* All greetings were lost while many instances started; the next one came
-   after 112 s. */
+/* While many instances started, all greetings to a seed were lost, and the next
+   one came only after 112 s. */
 Test(member, a_seed_that_does_not_answer_is_greeted_again_soon) {
   Member self = member(0);
   MemberSet *s = member_new(&self);
@@ -254,7 +255,7 @@
   int near, n = 0;
   member_apply_list(s, 1, &seed, 1);
   for (int i = 0; i < 20; i++) n += beats(s, 1 + i * 0.1, &near);
-  cr_assert_geq(n, 9, "each 0.2 s, while all may be starting: %d", n);
+  cr_assert_geq(n, 9, "every 0.2 s, while all may be starting: %d", n);
   n = 0;
   for (int i = 20; i < 600; i++) n += beats(s, 1 + i * 0.1, &near);
   cr_assert_geq(n, 6, "then 0.2, 0.4 and so on to 30 seconds apart: %d", n);
--- a/tests/test_readers.c
+++ b/tests/test_readers.c
@@ -1,4 +1,5 @@
-/* test_readers.c: who reads the store for the others, as each sees it. */
+/* test_readers.c: which instances read the store for the others, in each one's
+   own judgement. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <stdio.h>
@@ -39,7 +40,8 @@
   return readers_duty(all[i], now) == READERS_DUTY_ALL;
 }
 
-/* A second in which those that read tell all that are up; how many did. */
+/* Simulates a second in which the readers report to all that are up; returns the
+   number of readers. */
 static int second(double now, int n) {
   int reading = 0;
   for (int i = 0; i < n; i++) {
@@ -83,7 +85,7 @@
   stop(FLEET);
 }
 
-/* Each call is priced, also while the store is away. */
+/* Each call is priced, also while the store is unavailable. */
 Test(readers, while_the_store_is_away_a_few_try_it_for_all) {
   start(FLEET);
   for (int t = 1; t < 10; t++) second(t, FLEET);
@@ -93,7 +95,7 @@
   cr_assert_eq(n, READERS_MAX_TRYING, "%d try", n);
   for (int i = 0; i < FLEET; i++) away[i] = false;
   second(31, FLEET);
-  cr_assert_eq(second(32, FLEET), READERS_PER_REGION, "it is back");
+  cr_assert_eq(second(32, FLEET), READERS_PER_REGION, "the store is available again");
   stop(FLEET);
 }
 
@@ -104,17 +106,17 @@
   int n = 0, served = 0;
   for (int t = 10; t < 20; t++) n = second(t, FLEET);
   for (int i = 0; i < FLEET; i++) served += reads(i, 20) && !away[i];
-  cr_assert_eq(served, READERS_PER_REGION, "%d of %d that read are served",
+  cr_assert_eq(served, READERS_PER_REGION, "the store answers %d of %d readers",
                served, n);
   cr_assert_leq(n, READERS_MAX_TRYING);
   stop(FLEET);
 }
 
-/* == a cut that leaves out a few == */
+/* == network partitions that leave a few in reach of the store == */
 
-/* A large fleet with its feeds in short: whoever reads asks the store every
-   0.6 s and tells all others; who reads nothing waits for their word, 1.5 s
-   long, and then reads for itself. Steps of 0.2 s, as the feed has them. */
+/* A large fleet with simplified feeds: a reader calls the store every 0.6 s and
+   reports to all others; any other instance reads for itself when it gets no
+   report for 1.5 s. Steps of 0.2 s, as in the feed. */
 #define MOST 295
 #define STEP_S 0.2
 #define STALE_S 1.5
@@ -125,10 +127,10 @@
 typedef struct Instance {
   Readers *readers;
   char id[LIMIT_ID_BYTES];
-  Way way;     /* to the store */
-  int version; /* that it knows */
-  double told; /* last word of one who reads, with its version */
-  double away; /* last word that the store does not answer */
+  Way way;     /* its connection to the store */
+  int version; /* of the data that it knows */
+  double told; /* last report of a read, with its version */
+  double away; /* last report that the store does not answer */
   double read_at;
   bool knocked;
 } Instance;
@@ -186,7 +188,7 @@
   }
 }
 
-/* One call; those who read tell of it. */
+/* One call to the store; a reader reports its result. */
 static void ask_store(Instance *x) {
   static const ReadersStoreResult words[] = {
       READERS_STORE_ANSWERED, READERS_STORE_REFUSED, READERS_STORE_UNREACHABLE};
@@ -237,12 +239,12 @@
   return n;
 }
 
-/* The instances that are left out of the cut; each number is of one that is
-   not among the first eight choices of its fleet. */
+/* The instances that stay in reach of the store; none is among the first eight
+   choices of its fleet. */
 static const int few[] = {3, 40, 77};
 
-/* The cut begins at 10 s; those left out are in touch 3 s later, and have 2 s
-   for what is acknowledged from then on. */
+/* The partition begins at 10 s. The instances that still reach the store find
+   that out within 3 s, and have 2 s to learn of a change after that. */
 static void check_cut(int n, int n_left) {
   begin_all(n);
   run_until(10);
@@ -253,7 +255,7 @@
   for (int k = 0; k < n_left; k++)
     cr_assert_eq(fleet[few[k]].version, 2, "%d of %d", few[k], n);
   run_until(18);
-  cr_assert_eq(behind(), 0, "%d of %d were not told by them", behind(), n);
+  cr_assert_eq(behind(), 0, "%d of %d got no report of it", behind(), n);
   newest = 3;
   run_until(20);
   cr_assert_eq(behind(), 0, "%d of %d", behind(), n);
@@ -266,7 +268,7 @@
     for (int left = 1; left <= 3; left++) check_cut(sizes[s], left);
 }
 
-/* Two are cut before the others, and reach the store again while those do
+/* Two are cut off before the others, and reach the store again while those do
    not. */
 Test(readers, whose_cut_ends_first_reads_and_tells) {
   begin_all(86);
@@ -301,7 +303,8 @@
   end_all();
 }
 
-/* The store answers a few and turns the others away: found within a round. */
+/* The store answers one instance and rejects the others: it finds out within a
+   round. */
 Test(readers, who_is_served_while_others_are_turned_away_is_found) {
   begin_all(86);
   run_until(10);
@@ -313,8 +316,8 @@
   end_all();
 }
 
-/* Calls in 10 s of an outage of all: each is priced, also one that is turned
-   away; one that is cut off does not arrive. */
+/* Calls in 10 s of an outage for the whole fleet. Each is priced, also a rejected
+   one; those of an instance that is cut off do not arrive. */
 static int calls_of_outage(int n, Way way) {
   begin_all(n);
   run_until(10);
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -1,5 +1,5 @@
-/* test_spread.c: a message reaches each instance once, by few copies of each.
- */
+/* test_spread.c: a message reaches each instance of a region once, and no
+   instance sends many copies. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <stdio.h>
@@ -10,7 +10,7 @@
 #define MOST 1000
 
 static int got[MOST], sent[MOST], hops[MOST];
-static View *seen[MOST]; /* the view of each; NULL: it is dark */
+static View *seen[MOST]; /* the view of each; NULL: unreachable */
 
 static Member member(int i) {
   Member m = {0};
@@ -42,7 +42,8 @@
   spread_free(s);
 }
 
-/* All see all of `n`, but for what `blind` tells of one viewer. */
+/* Builds the views of `n` instances; `sees` (NULL: always true) tells whether a
+   viewer's view holds another one. */
 static void start(int n, bool (*sees)(int viewer, int other)) {
   Member *list = g_new0(Member, (gsize)n);
   memset(got, 0, sizeof got);
@@ -80,7 +81,7 @@
   each_gets_one(1000, 3);
 }
 
-/* Each view lacks three of its own, as while news are on the way. */
+/* Each view lacks three members of its own, as while updates are in transit. */
 static bool lacks_some(int viewer, int other) {
   return viewer == other || (other * 31 + viewer * 17) % 100 != 0;
 }
@@ -100,7 +101,8 @@
   stop(295);
 }
 
-/* One in six is dark and not yet missed: three readers reach nearly all. */
+/* One in six is unreachable and still in all views: the trees of three readers
+   together reach nearly all others. */
 Test(spread, three_trees_reach_nearly_all_past_dark_members) {
   start(295, NULL);
   int missed = 0;
@@ -110,7 +112,7 @@
   hand_on(200, "", 0);
   for (int i = 0; i < 295; i++)
     missed += seen[i] && i % 50 != 49 && got[i] == 0;
-  cr_log_info("of 295 with 49 dark: %d missed by all three", missed);
+  cr_log_info("of 295 with 49 unreachable: %d missed by all three", missed);
   cr_assert_leq(missed, 15, "%d", missed);
   stop(295);
 }
@@ -132,7 +134,7 @@
       crossed += strcmp(next[j].to->dc, part[k].to->dc) != 0;
     spread_free(t);
   }
-  cr_assert_leq(crossed, 60, "%d of 289; of all to all 230 would", crossed);
+  cr_assert_leq(crossed, 60, "%d of 289; all to all, 230 would cross", crossed);
   spread_free(s);
   stop(295);
 }
