--- a/packages/peer/packed.c
+++ b/packages/peer/packed.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <zlib.h>
 
-#define COMPRESS_MIN_BYTES 512 /* shorter texts gain less than it costs */
+#define COMPRESS_MIN_BYTES 512   /* shorter texts gain less than it costs */
 #define TEXT_MAX_BYTES (8 << 20) /* as of an answer of the store */
 
 /* True when the compressed text is shorter. */
--- a/packages/peer/peer.c
+++ b/packages/peer/peer.c
@@ -26,8 +26,8 @@
    or its content is read from the store. */
 #define DEMAND_MAX_QUEUED_FRAMES 64
 #define DEMAND_MAX_BYTES (256 << 10) /* in DEMAND_WINDOW_S */
-#define DEMAND_WINDOW_S 1.5          /* as ACK_TIMEOUT_MS, which ends the link */
-#define IDLE_CHECK_S 1.0 /* between checks for idle links */
+#define DEMAND_WINDOW_S 1.5 /* as ACK_TIMEOUT_MS, which ends the link */
+#define IDLE_CHECK_S 1.0    /* between checks for idle links */
 
 typedef struct Frame {
   char addr[LIMIT_NAME_BYTES];
--- a/tests/codec_again.h
+++ b/tests/codec_again.h
@@ -4,7 +4,7 @@
 
 #include "peer/codec.h"
 
-static inline void codec_again(msgpack_sbuffer *b, const CodecMsg *m) {
+static inline void codec_encode_again(msgpack_sbuffer *b, const CodecMsg *m) {
   switch (m->type) {
   case CODEC_HEARTBEAT: codec_put_heartbeat(b, &m->heartbeat); break;
   case CODEC_LEDGER: codec_put_ledger(b, &m->ledger); break;
--- a/tests/fuzz_codec.c
+++ b/tests/fuzz_codec.c
@@ -6,7 +6,8 @@
 
 #include "codec_again.h"
 
-/* Encodes a message, decodes it and encodes it again; the bytes must be equal. */
+/* Encodes a message, decodes it and encodes it again; the bytes must be equal.
+ */
 static void check(const CodecMsg *m) {
   msgpack_sbuffer once, twice;
   CodecMsg again;
@@ -14,10 +15,10 @@
   if (m->type == CODEC_TYPES) return;
   msgpack_sbuffer_init(&once);
   msgpack_sbuffer_init(&twice);
-  codec_again(&once, m);
+  codec_encode_again(&once, m);
   if (!codec_get(once.data, once.size, &off, &again)) abort();
   if (again.type != m->type || off != once.size) abort();
-  codec_again(&twice, &again);
+  codec_encode_again(&twice, &again);
   if (once.size != twice.size) abort();
   if (memcmp(once.data, twice.data, once.size) != 0) abort();
   codec_clear(&again);
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -6,7 +6,7 @@
 
 #include "peer/codec.h"
 
-static bool same(const msgpack_sbuffer *b, CodecMsg *m) {
+static bool decodes_whole(const msgpack_sbuffer *b, CodecMsg *m) {
   size_t off = 0;
   return codec_get(b->data, b->size, &off, m) && off == b->size;
 }
@@ -23,7 +23,7 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_ledger(&b, &l);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_LEDGER);
   cr_assert_eq(memcmp(&m.ledger, &l, sizeof l), 0);
   msgpack_sbuffer_destroy(&b);
@@ -37,17 +37,17 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_load(&b, &l);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_LOAD);
   cr_assert_eq(memcmp(&m.load, &l, sizeof l), 0);
   msgpack_sbuffer_clear(&b);
   codec_put_heartbeat(&b, &beat);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(memcmp(&m.heartbeat, &beat, sizeof beat), 0);
   msgpack_sbuffer_destroy(&b);
 }
 
-Test(codec, news_of_members_round_trip) {
+Test(codec, member_updates_round_trip) {
   GossipUpdate n = {
       .m = {.id = "n.1", .region = "r", .dc = "d", .peer = "tcp://a"},
       .generation = 7,
@@ -61,18 +61,18 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_member_update(&b, &n);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_MEMBER_UPDATE);
   cr_assert_eq(memcmp(&m.member_update, &n, sizeof n), 0);
   msgpack_sbuffer_clear(&b);
   codec_put_gossip(&b, &g);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert(m.gossip.kind == g.kind && m.gossip.subject == g.subject);
   cr_assert(m.gossip.digest == 3 && m.gossip.table == 9 && m.gossip.is_reply);
   msgpack_sbuffer_clear(&b);
   n.m.peer[0] = '\0';
   codec_put_member_update(&b, &n);
-  cr_assert_not(same(&b, &m), "a member needs an address");
+  cr_assert_not(decodes_whole(&b, &m), "a member needs an address");
   msgpack_sbuffer_destroy(&b);
 }
 
@@ -86,7 +86,7 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_once(&b, &o);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.once.bill.tokens, 77);
   cr_assert_eq(m.once.answer.len, 3);
   cr_assert_eq(memcmp(m.once.answer.body, "x\0y", 3), 0);
@@ -101,14 +101,14 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_work(&b, &w);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_WORK);
   cr_assert(m.work.target == w.target && m.work.open == 9);
   cr_assert_eq(m.work.tokens, w.tokens);
   msgpack_sbuffer_destroy(&b);
 }
 
-Test(codec, what_is_said_of_a_suspect_round_trips) {
+Test(codec, a_suspect_message_round_trips) {
   msgpack_sbuffer b;
   CodecMsg m;
   CodecSuspect in = {.until = "a/n3.1",
@@ -119,7 +119,7 @@
                              .age_s = 2.25}};
   msgpack_sbuffer_init(&b);
   codec_put_suspect(&b, &in);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_SUSPECT);
   cr_assert_str_eq(m.suspect.until, in.until);
   cr_assert_eq(m.suspect.msg.kind, in.msg.kind);
@@ -130,7 +130,7 @@
   msgpack_sbuffer_destroy(&b);
 }
 
-Test(codec, what_was_seen_of_a_pool_round_trips) {
+Test(codec, a_pool_report_round_trips) {
   TargetsPoolWord w = {
       .pool = 7,
       .word = {
@@ -139,7 +139,7 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_pool(&b, &w);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_POOL);
   cr_assert_eq(m.pool.pool, 7);
   cr_assert(m.pool.word.long_read == 1e9 && m.pool.word.short_read == 5);
@@ -147,7 +147,7 @@
   msgpack_sbuffer_clear(&b);
   w.word.held = -1;
   codec_put_pool(&b, &w);
-  cr_assert_not(same(&b, &m), "a count is never below 0");
+  cr_assert_not(decodes_whole(&b, &m), "a count is never below 0");
   msgpack_sbuffer_destroy(&b);
 }
 
@@ -178,18 +178,18 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_parts(&b, &w);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_PARTS);
   cr_assert(m.parts.target == 7 && m.parts.n == 2);
   cr_assert(m.parts.names[0] == UINT64_MAX && m.parts.names[1] == 3);
   msgpack_sbuffer_clear(&b);
   w.n = ASK_PARTS;
   codec_put_parts(&b, &w);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   msgpack_sbuffer_destroy(&b);
 }
 
-Test(codec, what_was_read_round_trips) {
+Test(codec, a_feed_report_round_trips) {
   CodecFeed f = {.reader = 77,
                  .until = "dc/n.1",
                  .store_result = READERS_STORE_REFUSED,
@@ -201,16 +201,17 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_feed(&b, &f);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_null(packed_text(&m.feed.changes), "no change");
   msgpack_sbuffer_clear(&b);
   f.changes = packed_new("[{\"gone\":true}]");
   codec_put_feed(&b, &f);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_FEED);
   cr_assert(m.feed.kind == 1 && m.feed.from == 5 && m.feed.lapsed);
   cr_assert_eq(m.feed.revision, UINT64_MAX);
-  cr_assert(m.feed.reader == 77 && m.feed.store_result == READERS_STORE_REFUSED);
+  cr_assert(m.feed.reader == 77 &&
+            m.feed.store_result == READERS_STORE_REFUSED);
   cr_assert_str_eq(m.feed.until, "dc/n.1");
   char *text = packed_text(&m.feed.changes);
   cr_assert_str_eq(text, "[{\"gone\":true}]");
@@ -222,7 +223,7 @@
 
 /* A configuration of `n` routes that differ in name and path only, as operators
    with many routes have it. */
-static char *many_routes(int n) {
+static char *make_routes(int n) {
   GString *s = g_string_new("{\"routes\":[");
   for (int i = 0; i < n; i++)
     g_string_append_printf(s,
@@ -237,8 +238,8 @@
 
 /* It has to fit on a link between instances, 256 kB in 1.5 s for all messages,
    and into a reader's report, 64 kB. */
-Test(codec, a_large_configuration_travels_in_a_tenth_of_its_size) {
-  char *text = many_routes(1640);
+Test(codec, a_large_configuration_is_sent_in_a_tenth_of_its_size) {
+  char *text = make_routes(1640);
   Packed p = packed_new(text);
   msgpack_sbuffer b;
   CodecMsg m;
@@ -246,7 +247,7 @@
   cr_assert_lt(p.n, p.size / 10, "%u of %u", p.n, p.size);
   msgpack_sbuffer_init(&b);
   codec_put_config(&b, 7, &p);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.config.version, 7);
   char *got = packed_text(&m.config.text);
   cr_assert_str_eq(got, text);
@@ -257,8 +258,8 @@
   msgpack_sbuffer_destroy(&b);
 }
 
-Test(codec, a_damaged_text_is_none) {
-  char *text = many_routes(100);
+Test(codec, a_damaged_text_is_rejected) {
+  char *text = make_routes(100);
   Packed p = packed_new(text);
   p.data[p.n / 2] ^= 0x55;
   p.data[p.n / 2 + 1] ^= 0x55;
@@ -275,7 +276,7 @@
 
 /* A forwarded message is decoded and encoded at each instance, which must not
    change its figures. */
-Test(codec, figures_in_thousandths_do_not_shrink_on_their_way) {
+Test(codec, forwarded_thousandths_keep_their_value) {
   for (int64_t ms = 0; ms < 5000; ms++) {
     CodecSuspect s = {.msg = {.age_s = (double)ms / 1000}};
     for (int hop = 0; hop < 3; hop++) {
@@ -283,7 +284,7 @@
       CodecMsg m;
       msgpack_sbuffer_init(&b);
       codec_put_suspect(&b, &s);
-      cr_assert(same(&b, &m));
+      cr_assert(decodes_whole(&b, &m));
       s = m.suspect;
       msgpack_sbuffer_destroy(&b);
     }
@@ -291,7 +292,7 @@
   }
 }
 
-Test(codec, words_on_bounded_targets_round_trip) {
+Test(codec, permits_and_limits_round_trip) {
   static const double limits[] = {0, 0.29, 1.7, 100, QUOTA_UNLIMITED};
   for (size_t i = 0; i < G_N_ELEMENTS(limits); i++) {
     TallyPermitAsk ask = {.number = 1,
@@ -316,11 +317,13 @@
     codec_put_permit(&b, &permit);
     codec_put_limit(&b, &limit);
     cr_assert(codec_get(b.data, b.size, &off, &m));
-    cr_assert(m.permit_request.number == 1 && m.permit_request.target == UINT64_MAX);
+    cr_assert(m.permit_request.number == 1 &&
+              m.permit_request.target == UINT64_MAX);
     cr_assert(m.permit_request.counter == 3 && m.permit_request.run == 4);
     cr_assert_float_eq(m.permit_request.bounds.cold, 14.9, 1e-9);
     cr_assert(m.permit_request.bounds.limit == limits[i]);
-    cr_assert(m.permit_request.bounds.beyond_limit && m.permit_request.reach == 0.5);
+    cr_assert(m.permit_request.bounds.beyond_limit &&
+              m.permit_request.reach == 0.5);
     cr_assert(codec_get(b.data, b.size, &off, &m));
     cr_assert_eq(m.permit.verdict, TALLY_GIVEN);
     cr_assert(m.permit.number == 5 && m.permit.wait_s == 0.25);
@@ -335,7 +338,7 @@
 
 /* An instance of an older build receives messages of unknown types in one frame
    with others: those that follow in the frame must not be lost. */
-Test(codec, a_message_of_an_unknown_type_is_passed_over) {
+Test(codec, a_message_of_an_unknown_type_is_skipped) {
   LoadsMsg l = {.target = 5};
   msgpack_sbuffer b;
   msgpack_packer p;
@@ -357,7 +360,7 @@
 }
 
 /* Damage from a seeded generator: truncation, changed bytes, noise. */
-Test(codec, damaged_frames_are_refused_or_read_as_something_valid) {
+Test(codec, damaged_frames_are_rejected_or_decoded_to_valid_messages) {
   GRand *r = g_rand_new_with_seed(1);
   Member beat = {.id = "n.1", .region = "r", .peer = "tcp://1.2.3.4:5"};
   LedgerMsg l = {.kind = LEDGER_DRAW, .grant = 5};
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -1,8 +1,8 @@
-/* test_golden.c: golden bytes of messages between instances, and golden texts of
-   objects in the store, as builds in production write them. Two builds run side
-   by side while instances are replaced, so that each has to read what the other
-   writes. A format changes by a new message type or a new member, never in
-   place. */
+/* test_golden.c: golden bytes of messages between instances, and golden texts
+   of objects in the store, as builds in production write them. Two builds run
+   side by side while instances are replaced, so that each has to read what the
+   other writes. A format changes by a new message type or a new member, never
+   in place. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <stdlib.h>
@@ -13,7 +13,7 @@
 
 /* == messages of this build == */
 
-static void put_beat(msgpack_sbuffer *b) {
+static void put_heartbeat(msgpack_sbuffer *b) {
   Member m = {.id = "n.1",
               .region = "r",
               .dc = "d",
@@ -25,7 +25,7 @@
   codec_put_heartbeat(b, &m);
 }
 
-static void put_news(msgpack_sbuffer *b) {
+static void put_member_update(msgpack_sbuffer *b) {
   GossipUpdate n = {.m = {.id = "n.1",
                           .region = "r",
                           .dc = "d",
@@ -80,7 +80,7 @@
   codec_put_load(b, &m);
 }
 
-static void put_conf(msgpack_sbuffer *b) {
+static void put_config(msgpack_sbuffer *b) {
   Packed text = {.size = 10, .n = 3, .data = (void *)"abc"};
   codec_put_config(b, 7, &text);
 }
@@ -114,12 +114,12 @@
   codec_put_parts(b, &m);
 }
 
-static void put_tally_ask(msgpack_sbuffer *b) {
+static void put_tally_query(msgpack_sbuffer *b) {
   TallyAsk m = {.number = 1, .target = 2, .parts = {2, {3, 4}}};
   codec_put_tally_query(b, &m);
 }
 
-static void put_tally_word(msgpack_sbuffer *b) {
+static void put_tally_report(msgpack_sbuffer *b) {
   TallyWord m = {.number = 1,
                  .target = 2,
                  .open = 3,
@@ -146,7 +146,7 @@
   codec_put_suspect(b, &m);
 }
 
-static void put_permit_ask(msgpack_sbuffer *b) {
+static void put_permit_request(msgpack_sbuffer *b) {
   TallyPermitAsk m = {
       .number = 1,
       .target = 2,
@@ -185,9 +185,9 @@
     {"beat",
      "9900a36e2e31a172a164af7463703a2f2f312e322e332e343a35a9312e32"
      "2e332e343a360109cd01f4",
-     CODEC_HEARTBEAT, put_beat},
+     CODEC_HEARTBEAT, put_heartbeat},
     {"news", "9809a36e2e31a172a164af7463703a2f2f312e322e332e343a35010301",
-     CODEC_MEMBER_UPDATE, put_news},
+     CODEC_MEMBER_UPDATE, put_member_update},
     {"gossip", "960a0102cfffffffffffffffff0301", CODEC_GOSSIP, put_gossip},
     {"ledger",
      "9c0102a461636d65cfffffffffffffffffcd03e8cf000001000000000003"
@@ -198,17 +198,17 @@
      "61696ec404626f6479",
      CODEC_ONCE, put_once},
     {"load", "950305ce000111700101", CODEC_LOAD, put_load},
-    {"conf", "9404070ac403616263", CODEC_CONFIG, put_conf},
+    {"conf", "9404070ac403616263", CODEC_CONFIG, put_config},
     {"feed", "9a0501a564206e2e3101020304010ac403616263", CODEC_FEED, put_feed},
     {"work", "9406cfffffffffffffffff03cd4268", CODEC_WORK, put_work},
     {"pool", "9607010203cd1194ccfa", CODEC_POOL, put_pool},
     {"parts", "9508010202cfffffffffffffffff", CODEC_PARTS, put_parts},
-    {"tally_ask", "960b0102020304", CODEC_TALLY_QUERY, put_tally_ask},
-    {"tally_word", "980c01020304050201", CODEC_TALLY_REPORT, put_tally_word},
+    {"tally_ask", "960b0102020304", CODEC_TALLY_QUERY, put_tally_query},
+    {"tally_word", "980c01020304050201", CODEC_TALLY_REPORT, put_tally_report},
     {"tally_run", "970d010201030104", CODEC_TALLY_RUN, put_tally_run},
     {"suspect", "980ea564206e2e310101020304cd05dc", CODEC_SUSPECT, put_suspect},
     {"permit_ask", "990f01020304cd38a4cd06a401cd01f4", CODEC_PERMIT_REQUEST,
-     put_permit_ask},
+     put_permit_request},
     {"permit", "9610010202ccfac0", CODEC_PERMIT, put_permit},
     {"limit", "961101a564206e2e310102cd02bc", CODEC_LIMIT, put_limit},
 };
@@ -220,7 +220,7 @@
   return s;
 }
 
-static void bytes_of(const char *hex, msgpack_sbuffer *b) {
+static void put_bytes_of(const char *hex, msgpack_sbuffer *b) {
   for (const char *c = hex; *c; c += 2) {
     char two[] = {c[0], c[1], '\0'};
     char byte = (char)strtoul(two, NULL, 16);
@@ -253,18 +253,18 @@
   }
 }
 
-Test(golden, messages_of_before_are_read_whole) {
+Test(golden, earlier_messages_are_read_whole) {
   for (size_t i = 0; i < G_N_ELEMENTS(messages); i++) {
     msgpack_sbuffer b, again;
     CodecMsg m;
     size_t off = 0;
     msgpack_sbuffer_init(&b);
     msgpack_sbuffer_init(&again);
-    bytes_of(messages[i].hex, &b);
+    put_bytes_of(messages[i].hex, &b);
     cr_assert(codec_get(b.data, b.size, &off, &m), "%s: %s", messages[i].name,
               REMEDY);
     cr_assert(m.type == messages[i].type && off == b.size);
-    codec_again(&again, &m);
+    codec_encode_again(&again, &m);
     GString *hex = hex_of(&again);
     cr_assert_str_eq(hex->str, messages[i].hex, "%s: %s", messages[i].name,
                      REMEDY);
@@ -284,18 +284,18 @@
   return g_strchomp(text);
 }
 
-static void same_again(const StoredKind *k, const char *text,
-                       const char *golden) {
+static void check_encodes_same(const StoredKind *k, const char *text,
+                               const char *golden) {
   char *again = k->again(text);
   cr_assert_not_null(again, "%s: %s", k->name, REMEDY);
   cr_assert_str_eq(again, golden, "%s: %s", k->name, REMEDY);
   g_free(again);
 }
 
-Test(golden, objects_of_before_are_read_and_written_as_before) {
+Test(golden, earlier_objects_are_read_and_written_as_before) {
   for (size_t i = 0; i < G_N_ELEMENTS(stored_kinds); i++) {
     char *golden = golden_text(stored_kinds[i].name);
-    same_again(&stored_kinds[i], golden, golden);
+    check_encodes_same(&stored_kinds[i], golden, golden);
     g_free(golden);
   }
 }
@@ -306,7 +306,7 @@
     char *golden = golden_text(stored_kinds[i].name);
     if (golden[0] == '{') {
       char *newer = g_strconcat("{\"new\":[1],", golden + 1, NULL);
-      same_again(&stored_kinds[i], newer, golden);
+      check_encodes_same(&stored_kinds[i], newer, golden);
       g_free(newer);
     }
     g_free(golden);
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -1,9 +1,9 @@
 /* test_handover.c: the transfer of the list of targets between neighbours: its
    text, which neighbour is asked when, and what is handed out.
 
-   The case behind it: a thousand instances start together, or half of them after
-   a power loss, with ten thousand targets; the store returns 200 entries a page,
-   and each page is priced. */
+   The case behind it: a thousand instances start together, or half of them
+   after a power loss, with ten thousand targets; the store returns 200 entries
+   a page, and each page is priced. */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,7 +15,7 @@
 
 #define NOW 100.0
 
-static TargetInfo info(int i) {
+static TargetInfo make_info(int i) {
   TargetInfo t = {.slots = 64, .revision = (uint64_t)(1000 + i), .born = 7 + i};
   snprintf(t.id, sizeof t.id, "i-%08x", (unsigned)i * 2654435761U);
   snprintf(t.addr, sizeof t.addr, "10.0.%d.%d:80", i / 256, i % 256);
@@ -24,21 +24,21 @@
   return t;
 }
 
-static Targets *some(int n) {
+static Targets *make_targets(int n) {
   Targets *s = targets_new("a", 1);
   for (int i = 0; i < n; i++) {
-    TargetInfo t = info(i);
+    TargetInfo t = make_info(i);
     targets_set(s, NOW, &t);
   }
   return s;
 }
 
-static void take(void *ctx, const TargetInfo *t) {
+static void set_target(void *ctx, const TargetInfo *t) {
   targets_set(ctx, NOW, t);
 }
 
 /* Copies all parts; returns their number, and their size in *bytes. */
-static int copy(Targets *from, Targets *to, size_t *bytes) {
+static int copy_list(Targets *from, Targets *to, size_t *bytes) {
   RosterAt at = {0};
   bool more = true;
   int parts = 0;
@@ -46,7 +46,7 @@
     char *text = roster_part(from, NOW, &at, &more);
     Packed p = packed_new(text);
     *bytes += p.n;
-    cr_assert(roster_read(text, take, to));
+    cr_assert(roster_read(text, set_target, to));
     packed_free(&p);
     free(text);
   }
@@ -57,13 +57,13 @@
   static const int sizes[] = {0, 1, 499, 500, 501, 10000, 20000};
   for (size_t k = 0; k < G_N_ELEMENTS(sizes); k++) {
     int n = sizes[k];
-    Targets *s = some(n), *t = targets_new("b", 2);
+    Targets *s = make_targets(n), *t = targets_new("b", 2);
     size_t bytes;
-    int parts = copy(s, t, &bytes);
+    int parts = copy_list(s, t, &bytes);
     cr_assert_leq(parts, n / ROSTER_ROWS + 3, "%d", n);
     cr_assert_eq(targets_count(t, "models") + targets_count(t, "desk"), n);
     for (int i = 0; i < n; i += 97) {
-      TargetInfo x = info(i);
+      TargetInfo x = make_info(i);
       cr_assert_eq(targets_life(t, x.id), targets_life(s, x.id));
     }
     cr_assert_leq(bytes / (size_t)MAX(n, 1), n > 500 ? 60 : 400, "%d", n);
@@ -72,24 +72,24 @@
   }
 }
 
-Test(handover, who_has_left_is_not_in_it_and_who_leaves_is) {
-  Targets *s = some(3), *t = targets_new("b", 2);
-  TargetInfo leaves = info(1);
+Test(handover, the_list_holds_leaving_targets_but_none_that_left) {
+  Targets *s = make_targets(3), *t = targets_new("b", 2);
+  TargetInfo leaves = make_info(1);
   size_t bytes;
   leaves.leaving = true;
   leaves.revision = 5000;
   targets_set(s, NOW, &leaves);
-  targets_gone(s, NOW, info(2).id, false);
-  copy(s, t, &bytes);
-  cr_assert_neq(targets_life(t, info(0).id), 0);
+  targets_gone(s, NOW, make_info(2).id, false);
+  copy_list(s, t, &bytes);
+  cr_assert_neq(targets_life(t, make_info(0).id), 0);
   cr_assert_neq(targets_life(t, leaves.id), 0);
-  cr_assert_eq(targets_life(t, info(2).id), 0);
+  cr_assert_eq(targets_life(t, make_info(2).id), 0);
   cr_assert_eq(targets_count(t, "models") + targets_count(t, "desk"), 1);
   targets_free(s);
   targets_free(t);
 }
 
-Test(handover, a_damaged_part_brings_nothing) {
+Test(handover, a_damaged_part_adds_no_target) {
   static const char *const bad[] = {
       "", "[]", "{}", "{\"services\":[\"s\"],\"dcs\":[\"a\"],\"rows\":7}",
       "{\"services\":[\"s\"],\"dcs\":[\"a\"],\"rows\":[[1]]}",
@@ -102,14 +102,14 @@
       "0,4,false,0,0,9,9]]}"};
   Targets *t = targets_new("b", 2);
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++)
-    cr_assert_not(roster_read(bad[i], take, t), "%s", bad[i]);
+    cr_assert_not(roster_read(bad[i], set_target, t), "%s", bad[i]);
   cr_assert_eq(targets_count(t, "s"), 0);
   targets_free(t);
 }
 
 /* == requests == */
 
-Test(handover, one_neighbour_is_asked_at_a_time_and_part_by_part) {
+Test(handover, one_neighbour_is_asked_at_a_time_for_one_part) {
   Handover h = {0};
   cr_assert(handover_try_neighbour(&h, 1, "n1"));
   cr_assert_not(handover_try_neighbour(&h, 1.1, "n2"), "a request is pending");
@@ -132,7 +132,7 @@
                HANDOVER_LAST_PART);
 }
 
-Test(handover, silence_leads_to_another_neighbour_and_then_to_the_store) {
+Test(handover, unresponsive_neighbours_lead_to_another_and_then_the_store) {
   Handover h = {0};
   double now = 1;
   for (int k = 0; k < HANDOVER_MAX_UNRESPONSIVE; k++) {
@@ -146,7 +146,7 @@
   cr_assert_lt(now, 5, "the balancer waits");
 }
 
-Test(handover, who_has_nothing_yet_is_no_reason_to_ask_the_store) {
+Test(handover, a_neighbour_without_a_list_causes_no_store_read) {
   Handover h = {0};
   for (int k = 0; k < 20; k++) {
     cr_assert(handover_try_neighbour(&h, k * 0.3, "n1"));
@@ -165,57 +165,57 @@
   int made;
 } Giver;
 
-static char *make(void *ctx, RosterAt *at, bool *more) {
+static char *make_part(void *ctx, RosterAt *at, bool *more) {
   Giver *g = ctx;
   g->made++;
   return roster_part(g->targets, NOW, at, more);
 }
 
-static void count(void *ctx, const CodecFeed *m) {
+static void count_change(void *ctx, const CodecFeed *m) {
   (void)m;
   ++*(int *)ctx;
 }
 
-Test(handover, parts_are_made_once_for_all_who_ask) {
-  Giver g = {.targets = some(1700)};
-  Giving *x = giving_new(make, &g);
+Test(handover, parts_are_made_once_for_all_requesters) {
+  Giver g = {.targets = make_targets(1700)};
+  Giving *x = giving_new(make_part, &g);
   CodecFeed m;
   for (int child = 0; child < 16; child++) {
-    HandoverRequest ask = {0};
+    HandoverRequest request = {0};
     bool more = true;
     while (more) {
-      cr_assert(giving_part(x, NOW + child * 0.1, 700, &ask, &m));
-      cr_assert(m.from == ask.part && m.revision == 700);
+      cr_assert(giving_part(x, NOW + child * 0.1, 700, &request, &m));
+      cr_assert(m.from == request.part && m.revision == 700);
       more = m.lapsed;
-      ask = (HandoverRequest){.part = ask.part + 1, .revision = 700};
+      request = (HandoverRequest){.part = request.part + 1, .revision = 700};
     }
-    cr_assert_not(giving_part(x, NOW, 700, &ask, &m), "no part is left");
+    cr_assert_not(giving_part(x, NOW, 700, &request, &m), "no part is left");
   }
   cr_assert_leq(g.made, 5);
   giving_free(x);
   targets_free(g.targets);
 }
 
-Test(handover, what_came_since_goes_with_the_list_and_an_old_one_is_made_anew) {
-  Giver g = {.targets = some(10)};
-  Giving *x = giving_new(make, &g);
-  CodecFeed m, word = {.kind = 1, .from = 700, .revision = 705};
+Test(handover, later_changes_follow_the_list_and_an_old_list_is_replaced) {
+  Giver g = {.targets = make_targets(10)};
+  Giving *x = giving_new(make_part, &g);
+  CodecFeed m, change = {.kind = 1, .from = 700, .revision = 705};
   HandoverRequest first = {0}, stale = {.part = 1, .revision = 600};
-  int words = 0;
-  giving_note(x, &word); /* no request yet */
+  int n_changes = 0;
+  giving_note(x, &change); /* no request yet */
   cr_assert(giving_part(x, NOW, 700, &first, &m));
-  giving_note(x, &word);
-  word.from = word.revision; /* no change */
-  giving_note(x, &word);
-  giving_words(x, count, &words);
-  cr_assert_eq(words, 1);
+  giving_note(x, &change);
+  change.from = change.revision; /* no change */
+  giving_note(x, &change);
+  giving_words(x, count_change, &n_changes);
+  cr_assert_eq(n_changes, 1);
   cr_assert(giving_part(x, NOW + 1, 710, &stale, &m));
   cr_assert(m.from == 0 && m.revision == 700, "restarts from the first part");
   cr_assert(giving_part(x, NOW + HANDOVER_LIST_TTL_S + 1, 720, &first, &m));
   cr_assert_eq(m.revision, 720);
-  words = 0;
-  giving_words(x, count, &words);
-  cr_assert_eq(words, 0);
+  n_changes = 0;
+  giving_words(x, count_change, &n_changes);
+  cr_assert_eq(n_changes, 0);
   giving_free(x);
   targets_free(g.targets);
 }
--- a/tests/test_kernel.c
+++ b/tests/test_kernel.c
@@ -5,49 +5,49 @@
 #include "kernel/service.h"
 #include "store/pace.h"
 
-static char trace[32];
+static char start_stop_trace[32];
 
-static bool up(Service *s, Err *e) {
+static bool start_traced(Service *s, Err *e) {
   (void)e;
-  strcat(trace, s->name);
+  strcat(start_stop_trace, s->name);
   return true;
 }
 
-static void down(Service *s) {
-  strcat(trace, "-");
-  strcat(trace, s->name);
+static void stop_traced(Service *s) {
+  strcat(start_stop_trace, "-");
+  strcat(start_stop_trace, s->name);
 }
 
-Test(service, start_in_order_of_need_and_stop_in_reverse) {
+Test(service, start_in_order_of_dependency_and_stop_in_reverse) {
   Kernel k = {0};
   Err e = {0};
-  Service c = {"c", {"b", "a"}, up, NULL, down, NULL};
-  Service b = {"b", {"a"}, up, NULL, down, NULL};
-  Service a = {"a", {NULL}, up, NULL, down, &a};
-  trace[0] = '\0';
+  Service c = {"c", {"b", "a"}, start_traced, NULL, stop_traced, NULL};
+  Service b = {"b", {"a"}, start_traced, NULL, stop_traced, NULL};
+  Service a = {"a", {NULL}, start_traced, NULL, stop_traced, &a};
+  start_stop_trace[0] = '\0';
   cr_assert(service_add(&k, &c, &e) && service_add(&k, &b, &e) &&
             service_add(&k, &a, &e));
   cr_assert(service_start(&k, &e));
   service_stop(&k);
-  cr_assert_str_eq(trace, "abc-c-b-a");
+  cr_assert_str_eq(start_stop_trace, "abc-c-b-a");
   cr_assert_eq(service_find(&k, "a"), &a);
   cr_assert_null(service_find(&k, "z"));
 }
 
-Test(service, a_missing_need_is_named) {
+Test(service, a_missing_dependency_is_named) {
   Kernel k = {0};
   Err e = {0};
-  Service c = {"c", {"gone"}, up, NULL, down, NULL};
+  Service c = {"c", {"gone"}, start_traced, NULL, stop_traced, NULL};
   service_add(&k, &c, &e);
   cr_assert_not(service_start(&k, &e));
   cr_assert_not_null(strstr(e.text, "gone"));
 }
 
-Test(service, a_circle_of_needs_is_refused) {
+Test(service, a_cyclic_dependency_is_rejected) {
   Kernel k = {0};
   Err e = {0};
-  Service a = {"a", {"b"}, up, NULL, down, NULL};
-  Service b = {"b", {"a"}, up, NULL, down, NULL};
+  Service a = {"a", {"b"}, start_traced, NULL, stop_traced, NULL};
+  Service b = {"b", {"a"}, start_traced, NULL, stop_traced, NULL};
   service_add(&k, &a, &e);
   service_add(&k, &b, &e);
   cr_assert_not(service_start(&k, &e));
--- a/tests/test_loopclock.c
+++ b/tests/test_loopclock.c
@@ -1,8 +1,8 @@
 /* test_loopclock.c: the loop's time while the time of day is set.
 
-   Guards against timeouts that stretch or shrink when a machine's time of day is
-   corrected by ten seconds: that of a target that left, of a reader's report,
-   which counts for 1.5 s, or a request's deadline. */
+   Guards against timeouts that stretch or shrink when a machine's time of day
+   is corrected by ten seconds: that of a target that left, of a reader's
+   report, which counts for 1.5 s, or a request's deadline. */
 #define _GNU_SOURCE
 #include <criterion/criterion.h>
 #include <sys/syscall.h>
@@ -15,14 +15,14 @@
 #define STEP_S 10
 #define TURN_S 0.02
 
-static time_t set_by;
-static time_t suspended; /* seconds that only CLOCK_BOOTTIME counts */
+static time_t time_of_day_step;
+static time_t suspended_s; /* seconds that only CLOCK_BOOTTIME counts */
 
 /* Replaces the C library's function: only the time of day is changed. */
 int clock_gettime(clockid_t id, struct timespec *t) {
   int r = (int)syscall(SYS_clock_gettime, id, t);
-  if (id == CLOCK_REALTIME) t->tv_sec += set_by;
-  if (id == CLOCK_BOOTTIME) t->tv_sec += suspended;
+  if (id == CLOCK_REALTIME) t->tv_sec += time_of_day_step;
+  if (id == CLOCK_BOOTTIME) t->tv_sec += suspended_s;
   return r;
 }
 
@@ -42,7 +42,7 @@
 }
 
 /* One turn of at least `seconds`. */
-static void turn(struct ev_loop *loop, double seconds) {
+static void run_turn(struct ev_loop *loop, double seconds) {
   ev_timer t;
   ev_timer_init(&t, on_timer, seconds, 0);
   ev_timer_start(loop, &t);
@@ -51,12 +51,13 @@
 
 static void check_step(int by) {
   struct ev_loop *loop = ev_loop_new(EVFLAG_AUTO);
-  set_by = 0;
+  time_of_day_step = 0;
   loopclock_start(loop);
-  turn(loop, TURN_S);
+  run_turn(loop, TURN_S);
   double before = loopclock_now(loop), day = ev_now(loop);
-  set_by = by;
-  for (int i = 0; i < 60; i++) turn(loop, TURN_S); /* libev checks every 0.5 s */
+  time_of_day_step = by;
+  for (int i = 0; i < 60; i++)
+    run_turn(loop, TURN_S); /* libev checks every 0.5 s */
   double took = loopclock_now(loop) - before;
   cr_assert(took >= 60 * TURN_S * 0.9 && took < 5, "%f", took);
   double moved = ev_now(loop) - day - took;
@@ -68,7 +69,7 @@
   check_step(-STEP_S);
 }
 
-Test(loopclock, it_does_not_leap_with_the_time_of_day) {
+Test(loopclock, it_does_not_jump_with_the_time_of_day) {
   check_step(STEP_S);
 }
 
@@ -85,17 +86,17 @@
   g->last = gap_s;
 }
 
-Test(loopclock, time_in_which_the_machine_was_suspended_counts) {
+Test(loopclock, suspended_time_counts) {
   static const int jumps[] = {1, 5, 30};
   struct ev_loop *loop = ev_loop_new(EVFLAG_AUTO);
   Gaps g = {0};
   loopclock_start(loop);
   loopclock_on_gap(loop, 1.0, on_gap, &g);
   for (int i = 0; i < 3; i++) {
-    turn(loop, TURN_S);
+    run_turn(loop, TURN_S);
     double before = loopclock_now(loop);
-    suspended += jumps[i];
-    turn(loop, TURN_S);
+    suspended_s += jumps[i];
+    run_turn(loop, TURN_S);
     double took = loopclock_now(loop) - before;
     cr_assert(took >= jumps[i] && took < jumps[i] + 1, "%f", took);
     cr_assert_eq(g.n, i + 1);
@@ -109,7 +110,7 @@
   Gaps g = {0};
   loopclock_start(loop);
   loopclock_on_gap(loop, 1.0, on_gap, &g);
-  for (int i = 0; i < 3; i++) turn(loop, 0.5);
+  for (int i = 0; i < 3; i++) run_turn(loop, 0.5);
   cr_assert_eq(g.n, 0);
   ev_loop_destroy(loop);
 }
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -61,7 +61,7 @@
   view_free(v);
 }
 
-Test(member, silence_ends_a_member_and_a_restart_the_older_one) {
+Test(member, missed_heartbeats_or_a_restart_remove_a_member) {
   Member self = member(0), other = member(1);
   MemberSet *s = member_new(&self);
   cr_assert(member_receive_heartbeat(s, 1, &other));
@@ -73,12 +73,14 @@
   cr_assert_eq(v->n, 2);
   cr_assert_null(view_find(v, "n1.1"));
   view_free(v);
-  cr_assert_not(member_tick(s, 3 + MEMBER_HEARTBEAT_S * (MEMBER_MAX_MISSED_HEARTBEATS - 1)));
-  cr_assert(member_tick(s, 3 + MEMBER_HEARTBEAT_S * MEMBER_MAX_MISSED_HEARTBEATS));
+  cr_assert_not(member_tick(s, 3 + MEMBER_HEARTBEAT_S *
+                                       (MEMBER_MAX_MISSED_HEARTBEATS - 1)));
+  cr_assert(
+      member_tick(s, 3 + MEMBER_HEARTBEAT_S * MEMBER_MAX_MISSED_HEARTBEATS));
   member_free(s);
 }
 
-Test(member, the_platform_says_who_leaves) {
+Test(member, the_platforms_list_marks_leaving_members) {
   Member self = member(0), other = member(1);
   MemberSet *s = member_new(&self);
   member_receive_heartbeat(s, 1, &other);
@@ -93,7 +95,7 @@
 
 /* A new table takes moments to reach all: a member whose table advances is not
    stale, one whose table stays is. */
-Test(member, who_keeps_an_older_table_is_told_from_who_is_on_the_way) {
+Test(member, a_stale_table_is_told_apart_from_an_advancing_one) {
   Member self = member(0), other = member(1);
   MemberSet *s = member_new(&self);
   member_receive_heartbeat(s, 1, &other);
@@ -113,7 +115,8 @@
   view_free(v);
   other.table = 7;
   member_receive_heartbeat(s, 22, &other);
-  member_update_self(s, false, 8); /* a new table: `other` had the latest a moment ago */
+  member_update_self(s, false,
+                     8); /* a new table: `other` had the latest a moment ago */
   v = member_view(s, 23);
   cr_assert_float_eq(view_find(v, "n1.1")->table_stale_s, 1, 1e-9);
   view_free(v);
@@ -123,7 +126,7 @@
 /* == heartbeats == */
 
 /* Number of heartbeats due at `now`; in *near those within our region. */
-static int beats(MemberSet *s, double now, int *near) {
+static int count_heartbeats(MemberSet *s, double now, int *near) {
   GArray *due = g_array_new(FALSE, FALSE, sizeof(MemberHeartbeat));
   member_collect_heartbeats(s, now, due);
   int n = (int)due->len;
@@ -148,28 +151,32 @@
 }
 
 /* The first greetings are lost while a link is set up, so several are sent. */
-static int greetings(MemberSet *s, double from) {
+static int count_greetings(MemberSet *s, double from) {
   int n = 0, near;
-  for (int i = 1; i <= 8; i++) n += beats(s, from + i * 0.25, &near);
+  for (int i = 1; i <= 8; i++) n += count_heartbeats(s, from + i * 0.25, &near);
   return n;
 }
 
 Test(member, heartbeats_of_a_large_fleet_are_spread_out) {
   MemberSet *s = large_fleet();
   int all = 0, near_all = 0, near;
-  cr_assert_eq(beats(s, 1, &near), 349, "each new member is greeted");
-  greetings(s, 1);
+  cr_assert_eq(count_heartbeats(s, 1, &near), 349,
+               "each new member is greeted");
+  count_greetings(s, 1);
   for (double now = 3; now < 603; now += 0.1) {
-    all += beats(s, now, &near);
+    all += count_heartbeats(s, now, &near);
     near_all += near;
   }
-  cr_assert(all * 160 / 600.0 <= MEMBER_NEAR_BYTES_PER_S + MEMBER_FAR_BYTES_PER_S, "%d", all);
-  cr_assert(near_all >= 49 * 600 / 6, "every 6 s within the region: %d", near_all);
+  cr_assert(all * 160 / 600.0 <=
+                MEMBER_NEAR_BYTES_PER_S + MEMBER_FAR_BYTES_PER_S,
+            "%d", all);
+  cr_assert(near_all >= 49 * 600 / 6, "every 6 s within the region: %d",
+            near_all);
   cr_assert(all - near_all >= 300 * 3, "every 200 s to other regions: %d", all);
   member_free(s);
 }
 
-Test(member, a_loss_in_a_large_region_is_seen_in_half_a_minute) {
+Test(member, a_loss_in_a_large_region_is_detected_in_half_a_minute) {
   MemberSet *s = large_fleet();
   cr_assert_not(member_tick(s, 33));
   cr_assert(member_tick(s, 1 + 5.4 * MEMBER_MAX_MISSED_HEARTBEATS));
@@ -179,37 +186,39 @@
   member_free(s);
 }
 
-Test(member, who_is_new_is_greeted_at_once) {
+Test(member, a_new_member_is_greeted_at_once) {
   MemberSet *s = large_fleet();
   int near;
-  beats(s, 1, &near);
-  greetings(s, 1);
+  count_heartbeats(s, 1, &near);
+  count_greetings(s, 1);
   Member m = member(400);
   snprintf(m.region, sizeof m.region, "g3");
   member_receive_heartbeat(s, 4, &m);
-  cr_assert_eq(beats(s, 4, &near), 1);
-  cr_assert_eq(greetings(s, 4), 3, "and several times more");
+  cr_assert_eq(count_heartbeats(s, 4, &near), 1);
+  cr_assert_eq(count_greetings(s, 4), 3, "and several times more");
   MemberSeed seed = {.name = "n500", .peer = "tcp://10.0.9.9:1"};
   member_apply_list(s, 6.1, &seed, 1);
-  cr_assert_eq(beats(s, 6.1, &near), 1);
+  cr_assert_eq(count_heartbeats(s, 6.1, &near), 1);
   member_apply_list(s, 6.2, &seed, 1);
-  cr_assert_eq(beats(s, 6.2, &near), 0, "not after each read of the list");
+  cr_assert_eq(count_heartbeats(s, 6.2, &near), 0,
+               "not after each read of the list");
   member_expedite_heartbeats(s);
-  cr_assert_eq(beats(s, 6.3, &near), 351, "an urgent change is sent to all");
+  cr_assert_eq(count_heartbeats(s, 6.3, &near), 351,
+               "an urgent change is sent to all");
   member_free(s);
 }
 
-Test(member, a_small_fleet_beats_twice_a_second) {
+Test(member, a_small_fleet_sends_heartbeats_twice_a_second) {
   Member self = member(0), other = member(1);
   MemberSet *s = member_new(&self);
   member_receive_heartbeat(s, 1, &other);
   int near, n = 0;
-  for (int i = 0; i < 40; i++) n += beats(s, 1 + i * 0.25, &near);
+  for (int i = 0; i < 40; i++) n += count_heartbeats(s, 1 + i * 0.25, &near);
   cr_assert_eq(n, 20);
   member_free(s);
 }
 
-Test(member, who_is_introduced_is_greeted_and_counts_once_it_speaks) {
+Test(member, an_introduced_instance_is_a_member_after_its_heartbeat) {
   Member self = member(0), other = member(1);
   MemberSet *s = member_new(&self);
   int near;
@@ -217,30 +226,31 @@
   View *v = member_view(s, 1);
   cr_assert_eq(v->n, 1, "an introduction is no heartbeat");
   view_free(v);
-  cr_assert_eq(beats(s, 1, &near), 1);
+  cr_assert_eq(count_heartbeats(s, 1, &near), 1);
   member_receive_heartbeat(s, 1.1, &other);
   v = member_view(s, 1.2);
   cr_assert_eq(v->n, 2);
   view_free(v);
   member_add_introduced(s, 2, &self);
-  cr_assert_eq(beats(s, 1.2, &near), 1, "only the greeting of the new member");
+  cr_assert_eq(count_heartbeats(s, 1.2, &near), 1,
+               "only the greeting of the new member");
   member_free(s);
 }
 
-Test(member, a_change_of_the_view_is_told_with_heartbeats) {
+Test(member, a_change_of_the_view_is_announced_with_heartbeats) {
   Member self = member(0), a = member(1), b = member(2);
   MemberSet *s = member_new(&self);
   member_receive_heartbeat(s, 1, &a);
   cr_assert_null(member_pick_introduction(s, 1, a.peer),
                  "no other member is known");
   member_receive_heartbeat(s, 1, &b);
-  bool told = false;
+  bool introduced = false;
   for (int i = 0; i < 4; i++) {
     const Member *m = member_pick_introduction(s, 2, a.peer);
     if (m) cr_assert_str_eq(m->id, b.id, "no member is introduced to itself");
-    told |= m != NULL;
+    introduced |= m != NULL;
   }
-  cr_assert(told);
+  cr_assert(introduced);
   cr_assert_null(member_pick_introduction(s, 60, a.peer),
                  "an unchanged view is not announced");
   member_free(s);
@@ -248,16 +258,16 @@
 
 /* While many instances started, all greetings to a seed were lost, and the next
    one came only after 112 s. */
-Test(member, a_seed_that_does_not_answer_is_greeted_again_soon) {
+Test(member, an_unresponsive_seed_is_greeted_again_soon) {
   Member self = member(0);
   MemberSet *s = member_new(&self);
   MemberSeed seed = {.name = "seed", .peer = "tcp://10.0.9.9:1"};
   int near, n = 0;
   member_apply_list(s, 1, &seed, 1);
-  for (int i = 0; i < 20; i++) n += beats(s, 1 + i * 0.1, &near);
+  for (int i = 0; i < 20; i++) n += count_heartbeats(s, 1 + i * 0.1, &near);
   cr_assert_geq(n, 9, "every 0.2 s, while all may be starting: %d", n);
   n = 0;
-  for (int i = 20; i < 600; i++) n += beats(s, 1 + i * 0.1, &near);
+  for (int i = 20; i < 600; i++) n += count_heartbeats(s, 1 + i * 0.1, &near);
   cr_assert_geq(n, 6, "then 0.2, 0.4 and so on to 30 seconds apart: %d", n);
   cr_assert_leq(n, 9);
   member_free(s);
--- a/tests/test_readers.c
+++ b/tests/test_readers.c
@@ -12,7 +12,7 @@
 static Readers *all[FLEET];
 static View *view;
 static bool up[FLEET];
-static bool away[FLEET]; /* the store does not answer it */
+static bool unavailable[FLEET]; /* the store does not answer it */
 
 static void id_of(int i, char *out) {
   snprintf(out, LIMIT_ID_BYTES, "n%02d.1", i);
@@ -25,7 +25,7 @@
     g_strlcpy(list[i].region, "r", LIMIT_NAME_BYTES);
     all[i] = readers_new(list[i].id, "r");
     up[i] = true;
-    away[i] = false;
+    unavailable[i] = false;
   }
   view = view_new(list, n);
   for (int i = 0; i < n; i++) readers_update_view(all[i], view);
@@ -36,28 +36,28 @@
   view_free(view);
 }
 
-static bool reads(int i, double now) {
+static bool is_reader(int i, double now) {
   return readers_duty(all[i], now) == READERS_DUTY_ALL;
 }
 
-/* Simulates a second in which the readers report to all that are up; returns the
-   number of readers. */
-static int second(double now, int n) {
+/* Simulates a second in which the readers report to all that are up; returns
+   the number of readers. */
+static int simulate_second(double now, int n) {
   int reading = 0;
   for (int i = 0; i < n; i++) {
     char id[LIMIT_ID_BYTES];
-    if (!up[i] || !reads(i, now)) continue;
+    if (!up[i] || !is_reader(i, now)) continue;
     id_of(i, id);
     reading++;
     for (int k = 0; k < n; k++)
-      if (up[k] && k != i) readers_note_report(all[k], now, id, away[i]);
+      if (up[k] && k != i) readers_note_report(all[k], now, id, unavailable[i]);
   }
   return reading;
 }
 
 Test(readers, a_small_fleet_reads_each_for_itself) {
   start(FLEET_SMALL_INSTANCES - 1);
-  cr_assert_eq(second(1, FLEET_SMALL_INSTANCES - 1), 0);
+  cr_assert_eq(simulate_second(1, FLEET_SMALL_INSTANCES - 1), 0);
   for (int i = 0; i < FLEET_SMALL_INSTANCES - 1; i++)
     cr_assert_eq(readers_duty(all[i], 2), READERS_DUTY_OWN);
   stop(FLEET_SMALL_INSTANCES - 1);
@@ -66,46 +66,47 @@
 Test(readers, a_few_read_for_a_large_fleet) {
   start(FLEET);
   for (int t = 1; t < 100; t++)
-    cr_assert_eq(second(t, FLEET), READERS_PER_REGION);
+    cr_assert_eq(simulate_second(t, FLEET), READERS_PER_REGION);
   stop(FLEET);
 }
 
-Test(readers, others_take_the_place_of_those_that_fall_silent) {
+Test(readers, others_replace_unresponsive_readers) {
   start(FLEET);
-  for (int t = 1; t < 10; t++) second(t, FLEET);
+  for (int t = 1; t < 10; t++) simulate_second(t, FLEET);
   for (int i = 0; i < FLEET; i++)
-    up[i] = !reads(i, 10); /* all readers are lost */
+    up[i] = !is_reader(i, 10); /* all readers are lost */
   int n = 0;
-  for (int t = 10; t < 15; t++) n = second(t, FLEET);
+  for (int t = 10; t < 15; t++) n = simulate_second(t, FLEET);
   cr_assert_eq(n, READERS_PER_REGION, "%d read after five seconds", n);
   for (int i = 0; i < FLEET; i++) up[i] = true;
-  second(16, FLEET);
-  cr_assert_eq(second(17, FLEET), READERS_PER_REGION,
+  simulate_second(16, FLEET);
+  cr_assert_eq(simulate_second(17, FLEET), READERS_PER_REGION,
                "the first choices are back");
   stop(FLEET);
 }
 
 /* Each call is priced, also while the store is unavailable. */
-Test(readers, while_the_store_is_away_a_few_try_it_for_all) {
+Test(readers, while_the_store_is_unavailable_a_few_try_it_for_all) {
   start(FLEET);
-  for (int t = 1; t < 10; t++) second(t, FLEET);
-  for (int i = 0; i < FLEET; i++) away[i] = true;
+  for (int t = 1; t < 10; t++) simulate_second(t, FLEET);
+  for (int i = 0; i < FLEET; i++) unavailable[i] = true;
   int n = 0;
-  for (int t = 10; t < 30; t++) n = second(t, FLEET);
+  for (int t = 10; t < 30; t++) n = simulate_second(t, FLEET);
   cr_assert_eq(n, READERS_MAX_TRYING, "%d try", n);
-  for (int i = 0; i < FLEET; i++) away[i] = false;
-  second(31, FLEET);
-  cr_assert_eq(second(32, FLEET), READERS_PER_REGION, "the store is available again");
+  for (int i = 0; i < FLEET; i++) unavailable[i] = false;
+  simulate_second(31, FLEET);
+  cr_assert_eq(simulate_second(32, FLEET), READERS_PER_REGION,
+               "the store is available again");
   stop(FLEET);
 }
 
-Test(readers, who_is_served_while_the_first_are_turned_away_reads_for_all) {
+Test(readers, an_answered_instance_replaces_rejected_readers) {
   start(FLEET);
-  for (int t = 1; t < 10; t++) second(t, FLEET);
-  for (int i = 0; i < FLEET; i++) away[i] = reads(i, 10);
+  for (int t = 1; t < 10; t++) simulate_second(t, FLEET);
+  for (int i = 0; i < FLEET; i++) unavailable[i] = is_reader(i, 10);
   int n = 0, served = 0;
-  for (int t = 10; t < 20; t++) n = second(t, FLEET);
-  for (int i = 0; i < FLEET; i++) served += reads(i, 20) && !away[i];
+  for (int t = 10; t < 20; t++) n = simulate_second(t, FLEET);
+  for (int i = 0; i < FLEET; i++) served += is_reader(i, 20) && !unavailable[i];
   cr_assert_eq(served, READERS_PER_REGION, "the store answers %d of %d readers",
                served, n);
   cr_assert_leq(n, READERS_MAX_TRYING);
@@ -117,25 +118,25 @@
 /* A large fleet with simplified feeds: a reader calls the store every 0.6 s and
    reports to all others; any other instance reads for itself when it gets no
    report for 1.5 s. Steps of 0.2 s, as in the feed. */
-#define MOST 295
+#define MAX_INSTANCES 295
 #define STEP_S 0.2
 #define STALE_S 1.5
 #define READ_S 0.6
 
-typedef enum { ANSWERS, TURNS_AWAY, CUT_OFF } Way;
+typedef enum { STORE_ANSWERS, STORE_REJECTS, STORE_UNREACHABLE } StoreAccess;
 
 typedef struct Instance {
   Readers *readers;
   char id[LIMIT_ID_BYTES];
-  Way way;     /* its connection to the store */
-  int version; /* of the data that it knows */
-  double told; /* last report of a read, with its version */
-  double away; /* last report that the store does not answer */
-  double read_at;
-  bool knocked;
+  StoreAccess access;           /* its connection to the store */
+  int version;                  /* of the data that it knows */
+  double read_report_at;        /* last report of a read, with its version */
+  double unavailable_report_at; /* last report that the store does not answer */
+  double next_read_at;
+  bool probed;
 } Instance;
 
-static Instance fleet[MOST];
+static Instance fleet[MAX_INSTANCES];
 static int size, newest, calls;
 static double clock_s;
 
@@ -151,89 +152,89 @@
   g_free(list);
 }
 
-static void begin(Instance *x) {
+static void start_instance(Instance *x) {
   x->readers = readers_new(x->id, "r");
-  x->told = x->away = -STALE_S;
-  x->read_at = 0;
-  x->knocked = false;
+  x->read_report_at = x->unavailable_report_at = -STALE_S;
+  x->next_read_at = 0;
+  x->probed = false;
 }
 
-static void begin_all(int n) {
+static void start_fleet(int n) {
   size = n;
   newest = 1;
   clock_s = 0;
   for (int i = 0; i < n; i++) {
     fleet[i] = (Instance){.version = 1};
     snprintf(fleet[i].id, LIMIT_ID_BYTES, "n%03d.1", i);
-    begin(&fleet[i]);
+    start_instance(&fleet[i]);
   }
   fill_view();
 }
 
-static void end_all(void) {
+static void stop_fleet(void) {
   for (int i = 0; i < size; i++) readers_free(fleet[i].readers);
 }
 
-static void tell_all(const Instance *x, ReadersStoreResult word) {
+static void report_to_all(const Instance *x, ReadersStoreResult result) {
   for (int i = 0; i < size; i++) {
     Instance *y = &fleet[i];
     if (y == x) continue;
-    readers_note_report(y->readers, clock_s, x->id, word);
-    if (word != READERS_STORE_ANSWERED) {
-      y->away = clock_s;
+    readers_note_report(y->readers, clock_s, x->id, result);
+    if (result != READERS_STORE_ANSWERED) {
+      y->unavailable_report_at = clock_s;
       continue;
     }
-    y->told = clock_s;
+    y->read_report_at = clock_s;
     y->version = x->version > y->version ? x->version : y->version;
   }
 }
 
 /* One call to the store; a reader reports its result. */
-static void ask_store(Instance *x) {
-  static const ReadersStoreResult words[] = {
+static void call_store(Instance *x) {
+  static const ReadersStoreResult results[] = {
       READERS_STORE_ANSWERED, READERS_STORE_REFUSED, READERS_STORE_UNREACHABLE};
-  if (x->way != CUT_OFF) calls++;
-  if (x->way == ANSWERS) x->version = newest;
-  readers_note_own_call(x->readers, clock_s, words[x->way]);
+  if (x->access != STORE_UNREACHABLE) calls++;
+  if (x->access == STORE_ANSWERS) x->version = newest;
+  readers_note_own_call(x->readers, clock_s, results[x->access]);
   if (readers_duty(x->readers, clock_s) == READERS_DUTY_ALL)
-    tell_all(x, words[x->way]);
+    report_to_all(x, results[x->access]);
 }
 
-static void look(Instance *x) {
-  if (x->knocked && x->way != CUT_OFF) {
-    x->knocked = false;
-    if (readers_request_is_due(x->readers, clock_s)) ask_store(x);
+static void probe_store(Instance *x) {
+  if (x->probed && x->access != STORE_UNREACHABLE) {
+    x->probed = false;
+    if (readers_request_is_due(x->readers, clock_s)) call_store(x);
     return;
   }
-  x->knocked = readers_probe_is_due(x->readers, clock_s) || x->knocked;
+  x->probed = readers_probe_is_due(x->readers, clock_s) || x->probed;
 }
 
-static void step(Instance *x) {
-  bool reads = readers_duty(x->readers, clock_s) != READERS_DUTY_NONE;
-  bool told = clock_s - x->told < STALE_S;
-  bool away = clock_s - x->away < STALE_S;
-  if (!reads && told) return;
-  if (!reads && away) {
-    look(x);
+static void run_step(Instance *x) {
+  bool is_reader = readers_duty(x->readers, clock_s) != READERS_DUTY_NONE;
+  bool told = clock_s - x->read_report_at < STALE_S;
+  bool away = clock_s - x->unavailable_report_at < STALE_S;
+  if (!is_reader && told) return;
+  if (!is_reader && away) {
+    probe_store(x);
     return;
   }
-  if (clock_s < x->read_at) return;
-  x->read_at = clock_s + READ_S;
-  ask_store(x);
+  if (clock_s < x->next_read_at) return;
+  x->next_read_at = clock_s + READ_S;
+  call_store(x);
 }
 
 static void run_until(double until) {
   for (; clock_s < until; clock_s += STEP_S)
-    for (int i = 0; i < size; i++) step(&fleet[i]);
+    for (int i = 0; i < size; i++) run_step(&fleet[i]);
 }
 
 /* All but the `n_left` instances `left` lose the store. */
-static void leave_out(Way others, const int *left, int n_left) {
-  for (int i = 0; i < size; i++) fleet[i].way = others;
-  for (int k = 0; k < n_left; k++) fleet[left[k]].way = ANSWERS;
+static void cut_off_others(StoreAccess others, const int *left, int n_left) {
+  for (int i = 0; i < size; i++) fleet[i].access = others;
+  for (int k = 0; k < n_left; k++) fleet[left[k]].access = STORE_ANSWERS;
 }
 
-static int behind(void) {
+static int count_lagging(void) {
   int n = 0;
   for (int i = 0; i < size; i++) n += fleet[i].version < newest;
   return n;
@@ -241,99 +242,101 @@
 
 /* The instances that stay in reach of the store; none is among the first eight
    choices of its fleet. */
-static const int few[] = {3, 40, 77};
+static const int reachable[] = {3, 40, 77};
 
 /* The partition begins at 10 s. The instances that still reach the store find
    that out within 3 s, and have 2 s to learn of a change after that. */
-static void check_cut(int n, int n_left) {
-  begin_all(n);
+static void check_partition(int n, int n_left) {
+  start_fleet(n);
   run_until(10);
-  leave_out(CUT_OFF, few, n_left);
+  cut_off_others(STORE_UNREACHABLE, reachable, n_left);
   run_until(14);
   newest = 2;
   run_until(16);
   for (int k = 0; k < n_left; k++)
-    cr_assert_eq(fleet[few[k]].version, 2, "%d of %d", few[k], n);
+    cr_assert_eq(fleet[reachable[k]].version, 2, "%d of %d", reachable[k], n);
   run_until(18);
-  cr_assert_eq(behind(), 0, "%d of %d got no report of it", behind(), n);
+  cr_assert_eq(count_lagging(), 0, "%d of %d got no report of it",
+               count_lagging(), n);
   newest = 3;
   run_until(20);
-  cr_assert_eq(behind(), 0, "%d of %d", behind(), n);
-  end_all();
+  cr_assert_eq(count_lagging(), 0, "%d of %d", count_lagging(), n);
+  stop_fleet();
 }
 
-Test(readers, who_is_left_out_of_a_cut_reads_and_tells) {
-  static const int sizes[] = {86, MOST};
+Test(readers, instances_outside_a_partition_read_and_report) {
+  static const int sizes[] = {86, MAX_INSTANCES};
   for (int s = 0; s < 2; s++)
-    for (int left = 1; left <= 3; left++) check_cut(sizes[s], left);
+    for (int left = 1; left <= 3; left++) check_partition(sizes[s], left);
 }
 
 /* Two are cut off before the others, and reach the store again while those do
    not. */
-Test(readers, whose_cut_ends_first_reads_and_tells) {
-  begin_all(86);
+Test(readers, instances_whose_partition_heals_first_read_and_report) {
+  start_fleet(86);
   run_until(5);
-  fleet[few[0]].way = fleet[few[1]].way = CUT_OFF;
+  fleet[reachable[0]].access = fleet[reachable[1]].access = STORE_UNREACHABLE;
   run_until(8);
-  for (int i = 0; i < size; i++) fleet[i].way = CUT_OFF;
+  for (int i = 0; i < size; i++) fleet[i].access = STORE_UNREACHABLE;
   run_until(11);
-  fleet[few[0]].way = fleet[few[1]].way = ANSWERS;
+  fleet[reachable[0]].access = fleet[reachable[1]].access = STORE_ANSWERS;
   run_until(14);
   newest = 2;
   run_until(16);
-  cr_assert_eq(fleet[few[0]].version, 2);
-  cr_assert_eq(fleet[few[1]].version, 2);
-  end_all();
+  cr_assert_eq(fleet[reachable[0]].version, 2);
+  cr_assert_eq(fleet[reachable[1]].version, 2);
+  stop_fleet();
 }
 
-Test(readers, who_restarts_beside_a_cut_reads_and_tells) {
-  begin_all(86);
+Test(readers, an_instance_restarted_outside_a_partition_reads_and_reports) {
+  start_fleet(86);
   run_until(10);
-  leave_out(CUT_OFF, few, 1);
+  cut_off_others(STORE_UNREACHABLE, reachable, 1);
   run_until(12);
-  Instance *x = &fleet[few[1]];
+  Instance *x = &fleet[reachable[1]];
   readers_free(x->readers);
-  snprintf(x->id, LIMIT_ID_BYTES, "n%03d.2", few[1]);
-  begin(x);
+  snprintf(x->id, LIMIT_ID_BYTES, "n%03d.2", reachable[1]);
+  start_instance(x);
   fill_view();
   run_until(16);
   newest = 2;
   run_until(18);
   cr_assert_eq(x->version, 2);
-  end_all();
+  stop_fleet();
 }
 
 /* The store answers one instance and rejects the others: it finds out within a
    round. */
-Test(readers, who_is_served_while_others_are_turned_away_is_found) {
-  begin_all(86);
+Test(readers, an_answered_instance_among_rejected_ones_reads) {
+  start_fleet(86);
   run_until(10);
-  leave_out(TURNS_AWAY, few, 1);
+  cut_off_others(STORE_REJECTS, reachable, 1);
   run_until(10 + 86 / READERS_FLEET_CALLS_PER_S + 3);
   newest = 2;
   run_until(clock_s + 2);
-  cr_assert_eq(fleet[few[0]].version, 2);
-  end_all();
+  cr_assert_eq(fleet[reachable[0]].version, 2);
+  stop_fleet();
 }
 
-/* Calls in 10 s of an outage for the whole fleet. Each is priced, also a rejected
-   one; those of an instance that is cut off do not arrive. */
-static int calls_of_outage(int n, Way way) {
-  begin_all(n);
+/* Calls in 10 s of an outage for the whole fleet. Each is priced, also a
+   rejected one; those of an instance that is cut off do not arrive. */
+static int count_outage_calls(int n, StoreAccess access) {
+  start_fleet(n);
   run_until(10);
-  leave_out(way, NULL, 0);
+  cut_off_others(access, NULL, 0);
   run_until(16);
   calls = 0;
   run_until(26);
-  end_all();
+  stop_fleet();
   return calls;
 }
 
 Test(readers, calls_of_an_outage_do_not_grow_with_the_fleet) {
-  double most = 10 * (READERS_MAX_TRYING / READ_S + READERS_FLEET_CALLS_PER_S);
-  int small = calls_of_outage(86, TURNS_AWAY);
-  int large = calls_of_outage(MOST, TURNS_AWAY);
-  cr_assert_leq(small, most * 1.1, "%d calls", small);
-  cr_assert_leq(large, most * 1.1, "%d calls", large);
-  cr_assert_eq(calls_of_outage(MOST, CUT_OFF), 0);
+  double max_calls =
+      10 * (READERS_MAX_TRYING / READ_S + READERS_FLEET_CALLS_PER_S);
+  int small = count_outage_calls(86, STORE_REJECTS);
+  int large = count_outage_calls(MAX_INSTANCES, STORE_REJECTS);
+  cr_assert_leq(small, max_calls * 1.1, "%d calls", small);
+  cr_assert_leq(large, max_calls * 1.1, "%d calls", large);
+  cr_assert_eq(count_outage_calls(MAX_INSTANCES, STORE_UNREACHABLE), 0);
 }
