--- a/packages/kernel/limits.h
+++ b/packages/kernel/limits.h
@@ -56,9 +56,7 @@
 /* Until an unanswered draw is sent again. Homes are milliseconds away, and
    requests give up after 0.1 s. */
 #define LEDGER_REDRAW_S 0.06
-#define LEDGER_RESEND_S                                                        \
-  0.3 /* until another unanswered message is sent again                        \
-       */
+#define LEDGER_RESEND_S 0.3          /* the same for other messages */
 #define LEDGER_REPORT_INTERVAL_S 2.0 /* between reports of an account */
 /* Seconds of demand that an account covers. After the loss of all instances all
    tokens in accounts count as spent, so larger accounts lose more. */
@@ -82,9 +80,7 @@
 
 /* == records of requests == */
 
-#define ONCE_KEEP_S                                                            \
-  600.0 /* a finished request can be queried for this long                     \
-         */
+#define ONCE_KEEP_S 600.0     /* a finished request is kept this long */
 #define ONCE_CLAIM_WAIT_S 2.0 /* a claim not stored by then is abandoned */
 #define ONCE_RESEND_S 0.2
 #define ONCE_BILL_BATCH_S 5.0 /* between writes of bills to the store */
--- a/packages/kernel/loopclock.h
+++ b/packages/kernel/loopclock.h
@@ -11,12 +11,12 @@
 /* From this call on, the clock is read at the begin of each turn. Uses the
    loop's user data. */
 void loopclock_start(struct ev_loop *loop);
-/* `fn` is called, before all other watchers of a turn, when `min_s` or more
+/* `fn` is called, before all other watchers of a turn, when `min_gap_s` or more
    have passed since the previous turn: the process or its machine was suspended
    or stalled. The loop needs a timer with a shorter interval. One `fn` a loop.
  */
 typedef void (*LoopclockGap)(void *ctx, double gap_s);
-void loopclock_on_gap(struct ev_loop *loop, double min_s, LoopclockGap fn,
+void loopclock_on_gap(struct ev_loop *loop, double min_gap_s, LoopclockGap fn,
                       void *ctx);
 /* Seconds, comparable only within this process. */
 double loopclock_now(struct ev_loop *loop);
--- a/packages/member/gossip.c
+++ b/packages/member/gossip.c
@@ -21,7 +21,7 @@
 /* A suspect, a member that answered no probe, has this long to refute that:
    some round trips over the ring. */
 #define SUSPECT_S 2.0
-/* A dead member is remembered this long, so that old updates do not revive it.
+/* A dead member is remembered this long, so that old updates don't revive it.
  */
 #define DEAD_TTL_S 60.0
 /* One dead member is probed at this interval, since a network partition may
@@ -49,9 +49,8 @@
    state. */
 #define MANY_UPDATES 32
 #define MANY_UPDATES_FANOUT 6
-#define MAX_SENDERS 4 /* senders of an update that are remembered */
-#define PARTIAL_STATE_UPDATES                                                  \
-  16 /* updates sent where the full state is not due */
+#define MAX_SENDERS 4            /* senders of an update that are remembered */
+#define PARTIAL_STATE_UPDATES 16 /* sent where the full state is not due */
 
 /* What is known of one member. */
 typedef struct Entry {
@@ -100,8 +99,7 @@
   guint turn;            /* neighbour that is probed next */
   double ping_at, dead_probe_at, expire_at;
   double full_state_at; /* when the full state was last sent */
-  double differs_since; /* a neighbour's digest differs since then, 0: it does
-                           not */
+  double differs_since; /* a neighbour's digest differs since; 0: it does not */
   uint64_t version;
 };
 
@@ -181,8 +179,7 @@
   return end;
 }
 
-/* The first of ring[from, end) whose hash is `point` or higher, wrapping round.
- */
+/* The first of ring[from, end) with a hash of `point` or higher, wrapping. */
 static Entry *after_point(const Gossip *g, guint from, guint end,
                           uint64_t point) {
   for (guint i = from; i < end; i++) {
@@ -650,10 +647,10 @@
 
 /* == open and close == */
 
-Gossip *gossip_new(const Member *self, uint32_t seed) {
+Gossip *gossip_new(const Member *self, uint32_t rng_seed) {
   Gossip *g = g_new0(Gossip, 1);
   GossipUpdate n = {.m = *self, .generation = 1, .state = GOSSIP_ALIVE};
-  g->rng = g_rand_new_with_seed(seed);
+  g->rng = g_rand_new_with_seed(rng_seed);
   g->entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
   g->ring = g_ptr_array_new();
   g->neighbours = g_ptr_array_new();
--- a/packages/peer/codec.h
+++ b/packages/peer/codec.h
@@ -68,12 +68,12 @@
 void codec_feed_free(void *copy);
 
 #define CODEC_FEED_KINDS 8
-/* Two kinds that come from a neighbour, not from a reader. An instance that
-   does not know them ignores them. */
+/* Two values of `kind` for messages of a neighbour, not of a reader. An
+   instance that does not know them ignores them. */
 #define CODEC_FEED_PART_REQUEST 6 /* for a part of the list of targets */
-#define CODEC_FEED_PART                                                        \
-  7 /* the part: `from` is its number, `revision` the list's, `lapsed`:        \
-   another part follows; `revision` 0: there is no list yet */
+/* The part: `from` is its number, `revision` the list's, `lapsed`: another part
+   follows; `revision` 0: there is no list yet. */
+#define CODEC_FEED_PART 7
 
 typedef struct CodecSuspect {
   char until[SPREAD_PLACE_BYTES]; /* as CodecFeed.until; unused for a mark */
--- a/packages/peer/format.h
+++ b/packages/peer/format.h
@@ -1,5 +1,4 @@
-/* format.h: constants of the wire format; shared by encode.c and decode.c only.
- */
+/* format.h: constants of the wire format, for encode.c and decode.c only. */
 #ifndef PEER_FORMAT_H
 #define PEER_FORMAT_H
 
--- a/packages/peer/peer.c
+++ b/packages/peer/peer.c
@@ -38,15 +38,14 @@
 
 typedef struct PeerLink {
   void *socket;
-  double used_at,
-      window_start; /* last use; start of the window that `bytes` counts */
-  size_t bytes;
+  double used_at, window_start;
+  size_t bytes; /* sent since window_start */
 } PeerLink;
 
 struct Peer {
   void *ctx, *pull;
   uint64_t self;
-  int wake_peer_thread;
+  int wake_fd;
   bool on_demand;
   double idle_checked_at;
   GHashTable *links; /* addr -> PeerLink */
@@ -72,7 +71,7 @@
   p->ctx = zmq_ctx_new();
   p->pull = zmq_socket(p->ctx, ZMQ_PULL);
   p->self = text_hash(self);
-  p->wake_peer_thread = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+  p->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
   p->links = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_link);
   p->frames = g_ptr_array_new_with_free_func(free_frame);
   p->shared_frames = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -97,7 +96,7 @@
   g_hash_table_destroy(p->links);
   zmq_close(p->pull);
   zmq_ctx_term(p->ctx);
-  close(p->wake_peer_thread);
+  close(p->wake_fd);
   g_hash_table_destroy(p->shared_frames);
   g_ptr_array_free(p->frames, TRUE);
   pthread_mutex_destroy(&p->lock);
@@ -151,7 +150,7 @@
 
 static void wake_peer_thread(Peer *p) {
   uint64_t one = 1;
-  ssize_t n = write(p->wake_peer_thread, &one, sizeof one);
+  ssize_t n = write(p->wake_fd, &one, sizeof one);
   (void)n; /* a full counter has woken the thread already */
 }
 
@@ -402,10 +401,10 @@
 void peer_poll(Peer *p, int wait_ms, PeerHandler h, void *ctx) {
   send_frames(p);
   zmq_pollitem_t items[] = {{p->pull, 0, ZMQ_POLLIN, 0},
-                            {NULL, p->wake_peer_thread, ZMQ_POLLIN, 0}};
+                            {NULL, p->wake_fd, ZMQ_POLLIN, 0}};
   zmq_poll(items, 2, wait_ms);
   uint64_t n;
-  ssize_t got = read(p->wake_peer_thread, &n, sizeof n);
+  ssize_t got = read(p->wake_fd, &n, sizeof n);
   (void)got;
   receive_frames(p, h, ctx);
   send_frames(p);
