--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -118,7 +118,7 @@
 /* == budgets == */
 
 typedef struct Names {
-  bool shards[LIMIT_SHARDS];
+  bool shards[LIMIT_BUDGET_SHARDS];
   GPtrArray *names;
 } Names;
 
@@ -158,7 +158,7 @@
 
 static bool add_shard(Platform *p, int index, const Names *n, json_t *list,
                       Err *err) {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   shard_object_name(index, name);
   PlatformAnswer a = platform_get(p, name);
   if (a.kind != ERR_NONE && a.kind != ERR_STORE_ABSENT)
@@ -182,7 +182,7 @@
   json_t *list = json_array();
   snapshots_read(e->snapshots, collect, &n);
   Platform *p = platform_open(e->options.platform, STORE_WAIT_S);
-  for (int i = 0; ok && i < LIMIT_SHARDS; i++)
+  for (int i = 0; ok && i < LIMIT_BUDGET_SHARDS; i++)
     if (n.shards[i]) ok = add_shard(p, i, &n, list, &err);
   platform_close(p);
   g_ptr_array_free(n.names, TRUE);
@@ -266,10 +266,11 @@
   for (int i = 0; i < v->n; i++) {
     const Member *m = &v->list[i];
     json_array_append_new(
-        list, json_pack("{s:s,s:s,s:s,s:s,s:s,s:b,s:I,s:f}", "id", m->id,
-                        "region", m->region, "datacentre", m->dc, "http",
-                        m->http, "peer", m->peer, "leaving", (int)m->leaving,
-                        "table", (json_int_t)m->table, "stuck_s", m->stuck_s));
+        list,
+        json_pack("{s:s,s:s,s:s,s:s,s:s,s:b,s:I,s:f}", "id", m->id, "region",
+                  m->region, "datacentre", m->dc, "http", m->http, "peer",
+                  m->peer, "leaving", (int)m->leaving, "table",
+                  (json_int_t)m->table, "stuck_s", m->table_stale_s));
   }
   view_free(v);
   return list;
--- a/packages/fleet/cluster.c
+++ b/packages/fleet/cluster.c
@@ -115,7 +115,7 @@
     switch (a.action) {
     case LEDGER_ACTION_SEND:
       m = view_find(c->view, a.to);
-      if (m) peer_ledger(c->peer, m->peer, m->id, &a.msg);
+      if (m) peer_send_ledger(c->peer, m->peer, m->id, &a.msg);
       break;
     case LEDGER_ACTION_GET:
     case LEDGER_ACTION_PUT: call_store(c, &a); break;
@@ -138,7 +138,7 @@
 }
 
 static int rank_of_self(const Cluster *c) {
-  const char *self = gossip_me(c->members)->id;
+  const char *self = gossip_get_self(c->members)->id;
   int i = 0;
   while (i < c->view->n && strcmp(c->view->list[i].id, self) < 0) i++;
   return i;
@@ -153,12 +153,12 @@
   spread_free(c->spread);
   view_free(c->view);
   c->view = gossip_view(c->members);
-  c->spread = spread_new(c->view, gossip_me(c->members));
+  c->spread = spread_new(c->view, gossip_get_self(c->members));
   c->viewed = version;
   c->changed = now;
   log_info("view", "s:i", "members", c->view->n);
   remember_ids(c);
-  readers_view(c->readers, c->view);
+  readers_update_view(c->readers, c->view);
   tallies_view(c->tallies, now, c->view);
   c->ev.instances(c->ctx, rank_of_self(c), c->view->n);
   if (!c->settled) return;
@@ -184,11 +184,11 @@
 /* Sends what the core of members wants to be sent. */
 static void act_members(Cluster *c) {
   GossipAction a;
-  while (gossip_next(c->members, &a)) {
-    if (a.is_news)
-      peer_news(c->peer, a.to, a.id, &a.news);
+  while (gossip_take_action(c->members, &a)) {
+    if (a.is_update)
+      peer_send_member_update(c->peer, a.to, a.id, &a.update);
     else
-      peer_gossip(c->peer, a.to, a.id, &a.msg);
+      peer_send_gossip(c->peer, a.to, a.id, &a.msg);
   }
 }
 
@@ -197,14 +197,14 @@
 /* Somebody has had a newer one for a while: the store is out of our reach. */
 static void ask_conf(Cluster *c) {
   double now = now_of(c);
-  const Member *newer = gossip_newer(c->members, c->conf);
+  const Member *newer = gossip_find_newer_table(c->members, c->conf);
   if (!newer) c->conf_behind = now;
   if (!newer || now - c->conf_behind < CONF_ASK_S) return;
   if (now - c->conf_asked < CONF_ASK_S) return;
   c->conf_asked = now;
   log_info("configuration-asked", "s:s,s:I,s:I", "of", newer->id, "theirs",
            (json_int_t)newer->table, "ours", (json_int_t)c->conf);
-  peer_conf(c->peer, newer->peer, newer->id, c->conf, &(Packed){0});
+  peer_send_config(c->peer, newer->peer, newer->id, c->conf, &(Packed){0});
 }
 
 /* After a restart of many each of them may ask: the work is done once. */
@@ -216,7 +216,7 @@
   return &c->conf_text;
 }
 
-static void unpack_conf(Cluster *c, const char *from, const CodecConf *m) {
+static void unpack_conf(Cluster *c, const char *from, const CodecConfig *m) {
   char *text = packed_text(&m->text);
   if (text)
     c->ev.conf(c->ctx, text);
@@ -226,14 +226,14 @@
   g_free(text);
 }
 
-static void take_conf(Cluster *c, const char *from, const CodecConf *m) {
+static void take_conf(Cluster *c, const char *from, const CodecConfig *m) {
   if (m->text.size > 0) {
     if (m->version > c->conf) unpack_conf(c, from, m);
     return;
   }
   const Member *asker = view_find(c->view, from);
   if (asker && c->conf > m->version)
-    peer_conf(c->peer, asker->peer, asker->id, c->conf, pack_conf(c));
+    peer_send_config(c->peer, asker->peer, asker->id, c->conf, pack_conf(c));
 }
 
 /* == what readers of the store tell == */
@@ -245,7 +245,7 @@
 /* Hands it on to those of our region whom we are to care for. */
 static void hand_on(Cluster *c, const char *until, SendCopy send,
                     const void *msg) {
-  SpreadPart part[SPREAD_FAN];
+  SpreadPart part[SPREAD_FANOUT];
   int n = c->spread ? spread_split(c->spread, until, part) : 0;
   for (int i = 0; i < n; i++) send(c, part[i].to, part[i].until, msg);
 }
@@ -254,7 +254,7 @@
                       const void *msg) {
   CodecFeed copy = *(const CodecFeed *)msg;
   g_strlcpy(copy.until, until, sizeof copy.until);
-  peer_feed(c->peer, to->peer, to->id, &copy);
+  peer_send_feed(c->peer, to->peer, to->id, &copy);
 }
 
 /* Whether a member before the `i`-th is of its region. */
@@ -267,7 +267,7 @@
 /* One member of each other region tells the others there; `name` chooses. */
 static void tell_regions(Cluster *c, uint64_t name, SendCopy send,
                          const void *msg) {
-  const Member *me = gossip_me(c->members);
+  const Member *me = gossip_get_self(c->members);
   for (int i = 0; i < c->view->n; i++) {
     const char *region = c->view->list[i].region;
     if (strcmp(region, me->region) == 0 || region_is_known(c->view, i))
@@ -279,10 +279,11 @@
 
 static void take_feed(Cluster *c, const char *from, const CodecFeed *feed) {
   const char *reader = g_hash_table_lookup(c->ids, &feed->reader);
-  bool to_us = feed->kind == CODEC_FEED_ASK || feed->kind == CODEC_FEED_PART;
+  bool to_us =
+      feed->kind == CODEC_FEED_PART_REQUEST || feed->kind == CODEC_FEED_PART;
   if (!to_us) hand_on(c, feed->until, send_feed, feed);
   if (!to_us && reader)
-    readers_heard(c->readers, now_of(c), reader, feed->word);
+    readers_note_report(c->readers, now_of(c), reader, feed->store_result);
   c->ev.feed(c->ctx, from, feed);
 }
 
@@ -291,7 +292,7 @@
 #define SUSPECT_HOMES 2 /* that count its marks: one may be lost with them */
 
 static bool is_self(const Cluster *c, const Member *m) {
-  return strcmp(m->id, gossip_me(c->members)->id) == 0;
+  return strcmp(m->id, gossip_get_self(c->members)->id) == 0;
 }
 
 static void tell_homes(Cluster *c, const SuspectsMsg *m) {
@@ -302,7 +303,7 @@
     if (is_self(c, homes[i]))
       c->ev.suspect(c->ctx, m);
     else
-      peer_suspect(c->peer, homes[i]->peer, homes[i]->id, &word);
+      peer_send_suspect(c->peer, homes[i]->peer, homes[i]->id, &word);
   }
 }
 
@@ -310,7 +311,7 @@
                          const void *msg) {
   CodecSuspect copy = *(const CodecSuspect *)msg;
   g_strlcpy(copy.until, until, sizeof copy.until);
-  peer_suspect(c->peer, to->peer, to->id, &copy);
+  peer_send_suspect(c->peer, to->peer, to->id, &copy);
 }
 
 static void take_suspect(Cluster *c, const CodecSuspect *word) {
@@ -325,7 +326,7 @@
                        const void *msg) {
   CodecLimit copy = *(const CodecLimit *)msg;
   g_strlcpy(copy.until, until, sizeof copy.until);
-  peer_limit(c->peer, to->peer, to->id, &copy);
+  peer_send_limit(c->peer, to->peer, to->id, &copy);
 }
 
 static void take_limit(Cluster *c, const CodecLimit *word) {
@@ -347,9 +348,9 @@
 
 static void on_message(void *ctx, uint64_t from, CodecMsg *m) {
   Cluster *c = ctx;
-  if (m->type == CODEC_NEWS || m->type == CODEC_GOSSIP) {
-    if (m->type == CODEC_NEWS)
-      gossip_news(c->members, now_of(c), from, &m->news);
+  if (m->type == CODEC_MEMBER_UPDATE || m->type == CODEC_GOSSIP) {
+    if (m->type == CODEC_MEMBER_UPDATE)
+      gossip_receive_update(c->members, now_of(c), from, &m->member_update);
     else
       gossip_receive(c->members, now_of(c), from, &m->gossip);
     act_members(c);
@@ -360,8 +361,8 @@
     count_add(COUNT_PEER_DROPPED, 1);
     return;
   }
-  if (m->type == CODEC_CONF) {
-    take_conf(c, id, &m->conf);
+  if (m->type == CODEC_CONFIG) {
+    take_conf(c, id, &m->config);
   } else if (m->type == CODEC_WORK) {
     c->ev.work(c->ctx, from, &m->work);
   } else if (m->type == CODEC_PARTS) {
@@ -386,7 +387,7 @@
   (void)loop;
   (void)revents;
   Cluster *c = w->data;
-  peer_turn(c->peer, on_message, c);
+  peer_receive(c->peer, on_message, c);
 }
 
 /* Before the loop sleeps: messages of one turn leave together. Sending may
@@ -396,7 +397,7 @@
   (void)revents;
   Cluster *c = w->data;
   if (!peer_flush(c->peer)) return;
-  peer_turn(c->peer, on_message, c);
+  peer_receive(c->peer, on_message, c);
   peer_flush(c->peer);
 }
 
@@ -414,7 +415,7 @@
   (void)revents;
   Cluster *c = w->data;
   double now = now_of(c);
-  gossip_self(c->members, c->leaving, c->conf);
+  gossip_update_self(c->members, c->leaving, c->conf);
   gossip_tick(c->members, now);
   act_members(c);
   refresh_view(c);
@@ -434,15 +435,15 @@
 
 /* Only the IP counts: all instances use the same port for each other. */
 static void read_seeds(Cluster *c, const char *seeds) {
-  const char *port = strrchr(gossip_me(c->members)->peer, ':');
+  const char *port = strrchr(gossip_get_self(c->members)->peer, ':');
   char **list = g_strsplit(seeds, ",", -1);
   for (int i = 0; list[i]; i++) {
-    char peer[LIMIT_NAME];
+    char peer[LIMIT_NAME_BYTES];
     char *ip = g_strstrip(list[i]);
     ip[strcspn(ip, ":")] = '\0';
     if (!ip[0]) continue;
     g_snprintf(peer, sizeof peer, "tcp://%s%s", ip, port);
-    gossip_seed(c->members, now_of(c), peer);
+    gossip_add_seed(c->members, now_of(c), peer);
   }
   g_strfreev(list);
 }
@@ -469,7 +470,7 @@
   c->ctx = ctx;
   c->peer = peer;
   c->started = loopclock_now(loop);
-  peer_on_demand(peer);
+  peer_use_on_demand_links(peer);
   c->members = gossip_new(&o->self, o->seed);
   TalliesEvents tallies = {ev->tally, ev->permit};
   c->tallies = tallies_new(peer, o->self.id, o->regions, &tallies, ctx);
@@ -514,21 +515,21 @@
   return duty;
 }
 
-void cluster_met(Cluster *c, ReadersWord word) {
-  readers_met(c->readers, now_of(c), word);
+void cluster_met(Cluster *c, ReadersStoreResult word) {
+  readers_note_own_call(c->readers, now_of(c), word);
 }
 
 bool cluster_knocks(Cluster *c) {
-  return readers_knocks(c->readers, now_of(c));
+  return readers_probe_is_due(c->readers, now_of(c));
 }
 
 bool cluster_asks(Cluster *c) {
-  return readers_asks(c->readers, now_of(c));
+  return readers_request_is_due(c->readers, now_of(c));
 }
 
 /* The next other instance of our region from *i on; NULL: none. */
 static const Member *next_near(const Cluster *c, int *i) {
-  const Member *me = gossip_me(c->members);
+  const Member *me = gossip_get_self(c->members);
   while (*i < c->view->n) {
     const Member *m = &c->view->list[(*i)++];
     bool near = strcmp(m->region, me->region) == 0;
@@ -539,7 +540,7 @@
 
 void cluster_feed(Cluster *c, const CodecFeed *feed) {
   CodecFeed ours = *feed;
-  ours.reader = text_hash(gossip_me(c->members)->id);
+  ours.reader = text_hash(gossip_get_self(c->members)->id);
   ours.until[0] = '\0';
   hand_on(c, ours.until, send_feed, &ours);
 }
@@ -548,26 +549,26 @@
   const Member *m = view_find(c->view, id);
   CodecFeed copy = *feed;
   if (!m) return;
-  spread_alone(m, copy.until);
-  peer_feed(c->peer, m->peer, m->id, &copy);
+  spread_single_end(m, copy.until);
+  peer_send_feed(c->peer, m->peer, m->id, &copy);
 }
 
 void cluster_work(Cluster *c, const TargetWork *work) {
   const Member *m;
   if (cluster_is_large(c)) return;
   for (int i = 0; (m = next_near(c, &i));)
-    peer_work(c->peer, m->peer, m->id, work);
+    peer_send_work(c->peer, m->peer, m->id, work);
 }
 
 void cluster_parts(Cluster *c, const TargetParts *parts) {
   const Member *m;
   if (cluster_is_large(c)) return;
   for (int i = 0; (m = next_near(c, &i));)
-    peer_parts(c->peer, m->peer, m->id, parts);
+    peer_send_parts(c->peer, m->peer, m->id, parts);
 }
 
 bool cluster_is_large(const Cluster *c) {
-  return c->view->n >= FLEET_SMALL;
+  return c->view->n >= FLEET_SMALL_INSTANCES;
 }
 
 void cluster_tally_ask(Cluster *c, const TallyQuery *a) {
@@ -604,7 +605,7 @@
   const Member *m;
   if (cluster_is_large(c)) return;
   for (int i = 0; (m = next_near(c, &i));)
-    peer_pool(c->peer, m->peer, m->id, word);
+    peer_send_pool(c->peer, m->peer, m->id, word);
 }
 
 void cluster_away(Cluster *c, bool away) {
@@ -634,7 +635,7 @@
 
 void cluster_drain(Cluster *c) {
   c->leaving = true;
-  gossip_self(c->members, true, c->conf);
+  gossip_update_self(c->members, true, c->conf);
   ledger_drain(c->ledger, now_of(c));
 }
 
--- a/packages/fleet/lane.c
+++ b/packages/fleet/lane.c
@@ -32,7 +32,7 @@
 
 static void do_ledger(Lane *l) {
   LedgerAction a;
-  char addr[LIMIT_NAME];
+  char addr[LIMIT_NAME_BYTES];
   while (ledger_next_action(l->ledger, &a)) {
     Job j = {.urgent = true,
              .done = on_ledger_stored,
@@ -43,7 +43,7 @@
     switch (a.action) {
     case LEDGER_ACTION_SEND:
       if (l->host->address(l->host->ctx, a.to, addr))
-        peer_ledger(l->host->peer, addr, a.to, &a.msg);
+        peer_send_ledger(l->host->peer, addr, a.to, &a.msg);
       break;
     case LEDGER_ACTION_GET:
     case LEDGER_ACTION_PUT:
@@ -61,7 +61,7 @@
 
 static void do_once(Lane *l) {
   OnceAction a;
-  char addr[LIMIT_NAME];
+  char addr[LIMIT_NAME_BYTES];
   while (once_next_action(l->once, &a)) {
     Job j = {.ctx = l,
              .caller_shard = a.shard,
@@ -71,7 +71,7 @@
     switch (a.action) {
     case ONCE_DO_SEND:
       if (l->host->address(l->host->ctx, a.to, addr))
-        peer_once(l->host->peer, addr, a.to, &a.msg);
+        peer_send_once(l->host->peer, addr, a.to, &a.msg);
       break;
     case ONCE_DO_GET:
     case ONCE_DO_PUT:
--- a/packages/fleet/tallies.c
+++ b/packages/fleet/tallies.c
@@ -7,7 +7,7 @@
 struct Tallies {
   Peer *peer;
   const Regions *regions;
-  char self[LIMIT_ID];
+  char self[LIMIT_ID_BYTES];
   uint64_t hash; /* of `self` */
   Tally *tally;
   const View *view;
@@ -86,7 +86,7 @@
   if (!is_self(t, m)) {
     TallyQuery out = *a;
     out.parts = parts_to(t, m, &a->parts, a->regions);
-    peer_tally_ask(t->peer, m->peer, m->id, &out);
+    peer_send_tally_query(t->peer, m->peer, m->id, &out);
     return;
   }
   TallyReport w = tally_report(t->tally, now, a);
@@ -102,14 +102,14 @@
   }
   TallyRun out = *r;
   out.parts = parts_to(t, m, &r->parts, r->regions);
-  peer_tally_run(t->peer, m->peer, m->id, &out);
+  peer_send_tally_run(t->peer, m->peer, m->id, &out);
 }
 
 void tallies_ask_permit(Tallies *t, double now, const TallyPermitRequest *a) {
   const Member *m = counter_of(t, a->counter);
   if (!m) return;
   if (!is_self(t, m)) {
-    peer_permit_ask(t->peer, m->peer, m->id, a);
+    peer_send_permit_request(t->peer, m->peer, m->id, a);
     return;
   }
   TallyPermit p = tally_decide_permit(t->tally, now, t->hash, a);
@@ -124,7 +124,7 @@
     return;
   }
   CodecLimit word = {.msg = *m};
-  peer_limit(t->peer, to->peer, to->id, &word);
+  peer_send_limit(t->peer, to->peer, to->id, &word);
 }
 
 bool tallies_limit_news(Tallies *t, double now, double again_s, TallyLimit *m) {
@@ -137,18 +137,18 @@
                             const TallyPermitRequest *a) {
   if (!count_for(t, a->counter)) return;
   TallyPermit p = tally_decide_permit(t->tally, now, text_hash(from->id), a);
-  peer_permit(t->peer, from->peer, from->id, &p);
+  peer_send_permit(t->peer, from->peer, from->id, &p);
 }
 
 bool tallies_take(Tallies *t, double now, const Member *from,
                   const CodecMsg *m) {
-  if (m->type == CODEC_TALLY_ASK) {
-    TallyReport w = tally_report(t->tally, now, &m->tally_ask);
-    peer_tally_word(t->peer, from->peer, from->id, &w);
-  } else if (m->type == CODEC_TALLY_WORD) {
+  if (m->type == CODEC_TALLY_QUERY) {
+    TallyReport w = tally_report(t->tally, now, &m->tally_query);
+    peer_send_tally_report(t->peer, from->peer, from->id, &w);
+  } else if (m->type == CODEC_TALLY_REPORT) {
     t->ev.word(t->ctx, &m->tally_report);
-  } else if (m->type == CODEC_PERMIT_ASK) {
-    take_permit_ask(t, now, from, &m->permit_ask);
+  } else if (m->type == CODEC_PERMIT_REQUEST) {
+    take_permit_ask(t, now, from, &m->permit_request);
   } else if (m->type == CODEC_PERMIT) {
     t->ev.permit(t->ctx, &m->permit);
   } else if (m->type == CODEC_LIMIT && !m->limit.to_all) {
--- a/packages/ledger/holder.c
+++ b/packages/ledger/holder.c
@@ -207,7 +207,7 @@
 static double draw_resend_s(const Ledger *l, const HolderBudget *b) {
   bool answered_recently =
       b->draw_answered_at > 0 && l->now - b->draw_answered_at < RECENT_ANSWER_S;
-  return answered_recently ? LEDGER_RESEND : LEDGER_REDRAW;
+  return answered_recently ? LEDGER_RESEND_S : LEDGER_REDRAW_S;
 }
 
 void holder_reserve(Ledger *l, uint64_t handle, const char *budget,
@@ -225,7 +225,7 @@
   b->reserve_called_at = l->now;
   if (reserve_from_account(l, b, handle, amount)) return;
   Waiter *w = g_new0(Waiter, 1);
-  *w = (Waiter){handle, amount, l->now + LEDGER_DRAW_WAIT, ERR_BUDGET_CUT};
+  *w = (Waiter){handle, amount, l->now + LEDGER_DRAW_WAIT_S, ERR_BUDGET_CUT};
   g_queue_push_tail(&b->waiters, w);
   g_hash_table_insert(l->waiting, g_memdup2(&handle, sizeof handle), b);
   if (b->draw_sent_at == 0 || l->now - b->draw_sent_at >= draw_resend_s(l, b))
@@ -369,7 +369,8 @@
     if (a->closing) return_tokens(l, b, a, free_tokens(a));
     int64_t keep = tokens_to_keep(l, b);
     int64_t max_free =
-        keep ? b->typical_tokens + (int64_t)(b->demand_per_s * LEDGER_IDLE) : 0;
+        keep ? b->typical_tokens + (int64_t)(b->demand_per_s * LEDGER_IDLE_S)
+             : 0;
     /* For a budget that is seldom used, one report covers both the spent and
        the returned tokens. */
     bool will_report_soon = b->demand_per_s < 1 && a->reserved > 0;
@@ -377,7 +378,7 @@
         free_tokens(a) > max_free)
       return_tokens(l, b, a, free_tokens(a) - keep);
     bool pending = !is_acked(a) || a->closing;
-    double wait = a->closing ? LEDGER_RESEND : LEDGER_REPORT_EVERY;
+    double wait = a->closing ? LEDGER_RESEND_S : LEDGER_REPORT_INTERVAL_S;
     if (pending && l->now - a->reported_at >= wait) send_report(l, b, a);
   }
 }
@@ -414,7 +415,7 @@
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     HolderBudget *b = v;
     bool at_rest = !b->needs_tick && !b->waiters.head && !l->draining;
-    if (at_rest && l->now - b->ticked_at < LEDGER_LOOK) continue;
+    if (at_rest && l->now - b->ticked_at < LEDGER_IDLE_CHECK_S) continue;
     b->demand_per_s *= exp(-(l->now - b->ticked_at) / DEMAND_AVERAGE_S);
     b->ticked_at = l->now;
     tick_accounts(l, b);
--- a/packages/ledger/home.c
+++ b/packages/ledger/home.c
@@ -59,7 +59,7 @@
   int64_t need = total_need(h) - have;
   int64_t ahead = (int64_t)outage_reserve_tokens(l, h) - have;
   int64_t cap = MAX(0, outage_reserve_max(l, h, have, remaining) - have);
-  if (need > 0) ahead = MAX(ahead, need + LEDGER_MIN_DRAW);
+  if (need > 0) ahead = MAX(ahead, need + LEDGER_MIN_DRAW_TOKENS);
   int64_t n = MAX(need, MIN(ahead, cap));
   return CLAMP(n, 0, remaining);
 }
@@ -312,7 +312,7 @@
     d = g_new0(Draw, 1);
     g_strlcpy(d->holder, from, sizeof d->holder);
     d->received_at = l->now;
-    d->deadline = l->now + LEDGER_DRAW_WAIT - DRAW_GRACE_S;
+    d->deadline = l->now + LEDGER_DRAW_WAIT_S - DRAW_GRACE_S;
     g_ptr_array_add(h->draws, d);
   }
   d->need = m->need;
@@ -403,7 +403,7 @@
     s->is_answered = false;
     s->sent_at = 0;
   }
-  bool too_early = l->now - s->gone_since < LEDGER_SEAL_AFTER;
+  bool too_early = l->now - s->gone_since < LEDGER_SEAL_AFTER_S;
   if (too_early || s->is_answered || l->now - s->sent_at < 1.0) return;
   s->sent_at = l->now;
   if (!g->witness[0]) {
@@ -424,7 +424,7 @@
 static bool must_watch(const Ledger *l, const ShardState *s,
                        const ShardGrant *g) {
   if (strcmp(g->region, l->region) == 0) return ledger_is_home(l, s->index);
-  if (view_count(l->view, g->region) > 0) return false;
+  if (view_count_members(l->view, g->region) > 0) return false;
   const Member *m = view_home(l->view, NULL, l->shard_keys[s->index], 0);
   return m && strcmp(m->id, l->self) == 0;
 }
@@ -479,7 +479,7 @@
   double reserve = outage_reserve_tokens(l, h);
   int64_t have = home_free_tokens(g);
   int64_t share = outage_reserve_max(l, h, have, MAX(h->remaining, 0));
-  int64_t keep = MAX(MIN((int64_t)reserve, share), LEDGER_MIN_DRAW);
+  int64_t keep = MAX(MIN((int64_t)reserve, share), LEDGER_MIN_DRAW_TOKENS);
   bool may_write =
       l->now - shard_of(l, h)->written_at > SURPLUS_WRITE_INTERVAL_S;
   if (may_write && (double)have > SURPLUS_RATIO * (double)keep &&
@@ -494,9 +494,10 @@
    shards in use, so that the fleet keeps the platform's rate at any size. */
 static double report_write_interval_s(const Ledger *l) {
   int n = 0;
-  for (int i = 0; i < LIMIT_SHARDS; i++) n += l->rows_by_shard[i] != NULL;
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++)
+    n += l->rows_by_shard[i] != NULL;
   double spread = n * l->lanes * MAX(l->regions, 1) / REPORT_WRITES_PER_S;
-  return MAX(LEDGER_WRITE_EVERY, spread);
+  return MAX(LEDGER_WRITE_INTERVAL_S, spread);
 }
 
 static bool is_unused(const HomeBudget *h) {
@@ -519,7 +520,7 @@
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     HomeBudget *h = v;
     double dt = l->now - h->ticked_at;
-    if (dt < LEDGER_LOOK && is_at_rest(l, h)) continue;
+    if (dt < LEDGER_IDLE_CHECK_S && is_at_rest(l, h)) continue;
     h->ticked_at = l->now;
     outage_tick(l, h, dt);
     if (h->home_grant) tick_grant(l, h);
--- a/packages/ledger/ledger.c
+++ b/packages/ledger/ledger.c
@@ -109,7 +109,7 @@
 }
 
 static void clear_rows_by_shard(Ledger *l) {
-  for (int i = 0; i < LIMIT_SHARDS; i++) {
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++) {
     if (l->rows_by_shard[i]) g_ptr_array_free(l->rows_by_shard[i], TRUE);
     l->rows_by_shard[i] = NULL;
   }
@@ -123,8 +123,8 @@
   l->view = view_new(NULL, 0);
   l->lanes = 1;
   l->view_epoch = 1;
-  for (int i = 0; i < LIMIT_SHARDS; i++) {
-    char name[LIMIT_NAME];
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++) {
+    char name[LIMIT_NAME_BYTES];
     shard_object_name(i, name);
     l->shard_keys[i] = XXH64(name, strlen(name), 0);
   }
@@ -152,7 +152,7 @@
   g_queue_clear_full(&l->self_messages, g_free);
   g_queue_clear(&l->touched_shards);
   clear_rows_by_shard(l);
-  for (int i = 0; i < LIMIT_SHARDS; i++) sync_shard_free(l->shards[i]);
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++) sync_shard_free(l->shards[i]);
   g_hash_table_destroy(l->reservations);
   g_hash_table_destroy(l->waiting);
   g_hash_table_destroy(l->holder_budgets);
@@ -177,11 +177,13 @@
   l->now = now;
   view_free(l->view);
   l->view = view_copy(v);
-  bool is_small = v->n <= MEMBER_SMALL;
-  l->account_cover_s = is_small ? LEDGER_ACCOUNT_SMALL : LEDGER_ACCOUNT_S;
-  l->witness_ahead_s = is_small ? LEDGER_ACCOUNT_SMALL : LEDGER_AGREED_S;
-  l->regions = view_regions(v);
-  l->region_members = view_count(v, l->region);
+  bool is_small = v->n <= MEMBER_SMALL_INSTANCES;
+  l->account_cover_s =
+      is_small ? LEDGER_ACCOUNT_SMALL_FLEET_S : LEDGER_ACCOUNT_S;
+  l->witness_ahead_s =
+      is_small ? LEDGER_ACCOUNT_SMALL_FLEET_S : LEDGER_AGREED_S;
+  l->regions = view_count_regions(v);
+  l->region_members = view_count_members(v, l->region);
   l->view_epoch++;
   process_queued(l);
 }
--- a/packages/ledger/ledger.h
+++ b/packages/ledger/ledger.h
@@ -39,7 +39,7 @@
    do no harm. */
 typedef struct LedgerMsg {
   LedgerKind kind;
-  char budget[LIMIT_NAME];
+  char budget[LIMIT_NAME_BYTES];
   uint64_t grant;
   int64_t granted, returned, spent, limit;
   int64_t need, want;
@@ -56,7 +56,7 @@
 
 typedef struct LedgerAction {
   LedgerActionKind action;
-  char to[LIMIT_ID];
+  char to[LIMIT_ID_BYTES];
   LedgerMsg msg;
   int shard;
   uint64_t version;
@@ -68,7 +68,7 @@
 
 /* The row of one budget in the configuration table. */
 typedef struct LedgerBudget {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   int64_t total;           /* prepaid tokens */
   uint64_t version;        /* table version that last changed this row */
   double outage_reserve_s; /* seconds of measured demand that each region's
--- a/packages/ledger/shard.c
+++ b/packages/ledger/shard.c
@@ -34,11 +34,11 @@
 }
 
 int shard_index(const char *budget) {
-  return (int)(XXH64(budget, strlen(budget), 0) % LIMIT_SHARDS);
+  return (int)(XXH64(budget, strlen(budget), 0) % LIMIT_BUDGET_SHARDS);
 }
 
 void shard_object_name(int index, char *out) {
-  snprintf(out, LIMIT_NAME, "budget/%03d", index);
+  snprintf(out, LIMIT_NAME_BYTES, "budget/%03d", index);
 }
 
 ShardBudget *shard_find_budget(Shard *s, const char *name) {
@@ -157,7 +157,7 @@
   sum_reports(g, true, &spent);
   int64_t outstanding = shard_grant_outstanding(g);
   bool is_complete = g->limit_is_exact && outstanding <= spent;
-  if (!is_complete && now - g->changed_unix_s < (int64_t)LEDGER_RETIRE)
+  if (!is_complete && now - g->changed_unix_s < (int64_t)LEDGER_RETIRE_S)
     return false;
   if (!is_complete) sum_reports(g, false, &spent);
   b->closed_spent += spent; /* exceeds the outstanding tokens only if a target
--- a/packages/ledger/shard.h
+++ b/packages/ledger/shard.h
@@ -26,10 +26,10 @@
 
 typedef struct ShardGrant {
   uint64_t id;
-  char home[LIMIT_ID];    /* the only instance that raises `granted` */
-  char witness[LIMIT_ID]; /* must agree to each raise of the home's limit;
+  char home[LIMIT_ID_BYTES];    /* the only instance that raises `granted` */
+  char witness[LIMIT_ID_BYTES]; /* must agree to each raise of the home's limit;
                              "": none, then the limit is the whole grant */
-  char region[LIMIT_NAME];
+  char region[LIMIT_NAME_BYTES];
   int64_t granted, returned, spent; /* cumulative */
   bool sealed;
   bool limit_is_exact;    /* sealed by its own home: `limit` is the number of
@@ -42,7 +42,7 @@
 } ShardGrant;
 
 typedef struct ShardBudget {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   int64_t total;          /* prepaid, from the table */
   uint64_t table_version; /* of `total` */
   int64_t closed_spent;   /* spent from grants that were removed */
--- a/packages/ledger/state.h
+++ b/packages/ledger/state.h
@@ -14,7 +14,7 @@
    free = granted - returned - spent - reserved, never below 0. */
 typedef struct Account {
   uint64_t grant;
-  char home[LIMIT_ID];
+  char home[LIMIT_ID_BYTES];
   int64_t granted, returned, spent, reserved;
   int64_t acked_returned, acked_spent; /* acknowledged by a home */
   bool closing;    /* takes no new reservations, returns its free tokens */
@@ -38,7 +38,7 @@
 
 /* The holder's side of one budget. */
 typedef struct HolderBudget {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   int shard;
   GPtrArray *accounts;
   GQueue waiters;           /* Waiter* */
@@ -62,7 +62,7 @@
 } HolderShare;
 
 typedef struct Draw {
-  char holder[LIMIT_ID];
+  char holder[LIMIT_ID_BYTES];
   int64_t need, want;
   double received_at, deadline;
 } Draw;
@@ -72,8 +72,8 @@
    allotted <= limit. */
 typedef struct HomeGrant {
   uint64_t id;
-  char witness[LIMIT_ID];
-  char next_witness[LIMIT_ID];                 /* "": none */
+  char witness[LIMIT_ID_BYTES];
+  char next_witness[LIMIT_ID_BYTES];           /* "": none */
   bool replacing_witness, next_witness_agreed; /* by `next_witness` */
   double drawn_at;                             /* when the last DRAW arrived */
   bool stored; /* the document contains this grant */
@@ -82,17 +82,18 @@
   int64_t allotted, returned_by_holders, spent; /* sums over `shares` */
   int64_t limit, limit_requested;
   double raise_sent_at;
-  double unanswered_since;     /* the first RAISE since the witness last
-                                  answered; 0: none */
-  char unresponsive[LIMIT_ID]; /* a witness that did not answer; "": none */
-  GHashTable *shares;          /* holder id -> HolderShare */
+  double unanswered_since;           /* the first RAISE since the witness last
+                                        answered; 0: none */
+  char unresponsive[LIMIT_ID_BYTES]; /* a witness that did not answer; "": none
+                                      */
+  GHashTable *shares;                /* holder id -> HolderShare */
   int64_t stored_spent, stored_returned;
 } HomeGrant;
 
 /* A report on a grant of another home, to be written to the document. */
 typedef struct OrphanReport {
   uint64_t grant;
-  char holder[LIMIT_ID];
+  char holder[LIMIT_ID_BYTES];
   int64_t returned, spent;
   bool final, applied;
   double received_at;
@@ -101,7 +102,7 @@
 /* The sealing of a grant whose home is gone. */
 typedef struct PendingSeal {
   uint64_t grant;
-  char witness[LIMIT_ID]; /* that the SEAL is sent to */
+  char witness[LIMIT_ID_BYTES]; /* that the SEAL is sent to */
   bool is_answered;
   int64_t limit, returned_to_home;
   double sent_at;
@@ -110,7 +111,7 @@
 
 /* The home's side of one budget. */
 typedef struct HomeBudget {
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   HomeGrant *home_grant;
   GPtrArray *draws;          /* Draw* */
   GPtrArray *orphan_reports; /* OrphanReport* */
@@ -124,7 +125,7 @@
   double recalled_at;  /* when this home last recalled; -1: never */
   double return_until; /* another home recalls: until then free tokens go back
                           to the store at once */
-  char recaller[LIMIT_ID];
+  char recaller[LIMIT_ID_BYTES];
   bool notify_recaller;
   int64_t remaining, unspent; /* from the last version of the document */
 } HomeBudget;
@@ -157,8 +158,8 @@
 } WitnessedGrant;
 
 struct Ledger {
-  char self[LIMIT_ID];
-  char region[LIMIT_NAME];
+  char self[LIMIT_ID_BYTES];
+  char region[LIMIT_NAME_BYTES];
   GRand *rng;
   LedgerFaults faults;
   View *view;
@@ -169,24 +170,25 @@
   int lanes;
   double report_write_s; /* seconds between two writes of spend reports */
   GHashTable *rows;      /* name -> LedgerBudget, as in the table */
-  GPtrArray *rows_by_shard[LIMIT_SHARDS];  /* the same rows; NULL: none */
-  const Member *first_homes[LIMIT_SHARDS]; /* the shard's home in this region
-                                              at `first_home_epoch`; NULL:
-                                              nobody */
-  uint32_t first_home_epoch[LIMIT_SHARDS]; /* `view_epoch` of that entry */
-  uint32_t view_epoch;                     /* number of views so far */
+  GPtrArray *rows_by_shard[LIMIT_BUDGET_SHARDS]; /* the same rows; NULL: none */
+  const Member *first_homes[LIMIT_BUDGET_SHARDS]; /* the shard's home in this
+                                              region at `first_home_epoch`;
+                                              NULL: nobody */
+  uint32_t
+      first_home_epoch[LIMIT_BUDGET_SHARDS]; /* `view_epoch` of that entry */
+  uint32_t view_epoch;                       /* number of views so far */
   double account_cover_s;      /* seconds of demand that an account covers */
   double witness_ahead_s;      /* that a witness agrees to in advance */
   int regions, region_members; /* regions in the view; instances of this
                                   region in it */
-  uint64_t shard_keys[LIMIT_SHARDS];
+  uint64_t shard_keys[LIMIT_BUDGET_SHARDS];
   GHashTable *closed_grants;  /* grants whose account here was closed; it is
                                  never opened again */
   GHashTable *holder_budgets; /* name -> HolderBudget */
   GHashTable *reservations;   /* handle -> Reservation */
   GHashTable *waiting;        /* handle -> HolderBudget, for queued handles */
   GHashTable *home_budgets;   /* name -> HomeBudget */
-  ShardState *shards[LIMIT_SHARDS];
+  ShardState *shards[LIMIT_BUDGET_SHARDS];
   GHashTable *witnessed; /* grant -> WitnessedGrant */
   GQueue actions;        /* LedgerAction* */
   GQueue self_messages;  /* LedgerMsg* from this instance to itself */
--- a/packages/ledger/stored.c
+++ b/packages/ledger/stored.c
@@ -317,14 +317,14 @@
   for (guint i = 0; i < s->budgets->len; i++) {
     const HomeBudget *h = s->budgets->pdata[i];
     const LedgerBudget *row = g_hash_table_lookup(l->rows, h->name);
-    double threshold = row ? LEDGER_UNUSED * (double)row->total : 0;
+    double threshold = row ? LEDGER_MAX_UNUSED_RATIO * (double)row->total : 0;
     if ((double)h->remaining >= threshold) return false;
   }
   return s->budgets->len > 0;
 }
 
 void sync_store_restored(Ledger *l) {
-  for (int i = 0; i < LIMIT_SHARDS; i++) {
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++) {
     ShardState *s = l->shards[i];
     if (s) s->retry_at = l->now + RESTORE_SPREAD_S * g_rand_double(l->rng);
   }
@@ -411,7 +411,7 @@
 }
 
 void sync_tick(Ledger *l) {
-  for (int i = 0; i < LIMIT_SHARDS; i++) {
+  for (int i = 0; i < LIMIT_BUDGET_SHARDS; i++) {
     ShardState *s = l->shards[i];
     bool is_home = l->rows_by_shard[i] && ledger_is_home(l, i) && !l->draining;
     if (!s && !is_home) continue;
@@ -420,7 +420,7 @@
       s->next_read_at = l->now + READ_INTERVAL_S;
       s->must_reread = s->dirty = true;
     }
-    if (is_home && l->now - s->grants_checked_at >= LEDGER_LOOK) {
+    if (is_home && l->now - s->grants_checked_at >= LEDGER_IDLE_CHECK_S) {
       s->grants_checked_at = l->now;
       home_check_grants(l, s);
     }
--- a/packages/ledger/witness.c
+++ b/packages/ledger/witness.c
@@ -71,7 +71,7 @@
     if (other_dc) break;
   }
   if (!best) best = fallback;
-  g_strlcpy(out, best ? best->id : "", LIMIT_ID);
+  g_strlcpy(out, best ? best->id : "", LIMIT_ID_BYTES);
 }
 
 static void send_raise(Ledger *l, HomeBudget *h, const char *to) {
@@ -104,7 +104,7 @@
   /* The headroom agreed in advance is written off if this home dies. So it is
      little for a small budget, and for a large one enough that not every
      allotment needs a message. */
-  ahead = MAX(ahead, MIN(LEDGER_MIN_DRAW, h->remaining / 2048));
+  ahead = MAX(ahead, MIN(LEDGER_MIN_DRAW_TOKENS, h->remaining / 2048));
   ahead = MIN(ahead, MAX(home_free_tokens(g) - n, 0));
   if (g->limit_requested - g->allotted >= n + ahead / 2) return;
   g->limit_requested = g->allotted + n + ahead;
@@ -123,7 +123,7 @@
    above the old limit. */
 static void replace_witness(Ledger *l, HomeBudget *h) {
   HomeGrant *g = h->home_grant;
-  char next[LIMIT_ID];
+  char next[LIMIT_ID_BYTES];
   witness_choose(l, g->id, g->unresponsive, next);
   if (strcmp(next, g->witness) == 0) return;
   if (!next[0]) {
@@ -189,7 +189,7 @@
       g->replacing_witness = false;
       replace_witness(l, h);
     } else if (!g->next_witness_agreed &&
-               l->now - g->raise_sent_at >= LEDGER_RESEND) {
+               l->now - g->raise_sent_at >= LEDGER_RESEND_S) {
       send_raise(l, h, g->next_witness);
     }
     return;
@@ -208,6 +208,6 @@
   }
   if (!g->witness[0]) return;
   bool is_open = g->limit_requested > g->limit;
-  if (is_open && l->now - g->raise_sent_at >= LEDGER_RESEND)
+  if (is_open && l->now - g->raise_sent_at >= LEDGER_RESEND_S)
     send_raise(l, h, g->witness);
 }
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -89,7 +89,7 @@
 
 typedef struct Node {
   struct ev_loop *loop;
-  char id[LIMIT_ID];
+  char id[LIMIT_ID_BYTES];
   Store *store;
   Feed *feed;
   Regions *regions;
@@ -260,7 +260,7 @@
   int of = MAX(count, n->seeds);
   n->instances = count;
   targets_set_rank(n->targets, loopclock_now(n->loop), rank, of);
-  targets_set_parts_exchanged(n->targets, count < FLEET_SMALL);
+  targets_set_parts_exchanged(n->targets, count < FLEET_SMALL_INSTANCES);
   retries_set_instances(n->retries, loopclock_now(n->loop), count);
 }
 
@@ -307,7 +307,7 @@
   return roster_part(n->targets, loopclock_now(n->loop), at, more);
 }
 
-static void on_met(void *ctx, ReadersWord word) {
+static void on_met(void *ctx, ReadersStoreResult word) {
   Node *n = ctx;
   cluster_met(n->cluster, word);
 }
@@ -648,7 +648,7 @@
   snprintf(n->id, sizeof n->id, "%.36s.%08x", settings_text(settings, "name"),
            random_number());
   log_open(n->id, false);
-  log_bound(LOG_LINES);
+  log_limit_rate(LOG_LINES);
   signal(SIGPIPE, SIG_IGN);
   n->loop = ev_default_loop(EVFLAG_AUTO);
   if (n->loop) loopclock_start(n->loop);
--- a/packages/once/claim.c
+++ b/packages/once/claim.c
@@ -31,7 +31,7 @@
     s->index = i;
     s->claims = g_ptr_array_new_with_free_func(free_claim);
     s->unlisted = g_array_new(FALSE, FALSE, sizeof(UnlistedPart));
-    pace_init(&s->pace, CLAIM_WRITES, o->now);
+    pace_init(&s->pace, CLAIM_SHARD_WRITES_PER_S, o->now);
   }
   s->used_at = o->now;
   return s;
@@ -159,7 +159,7 @@
                .nonce = c->nonce,
                .verdict = c->verdict};
   if (claim && c->verdict == ONCE_REPLAY)
-    m.answer = once_answer_copy(&c->answer, LIMIT_CLAIM_ANSWER);
+    m.answer = once_answer_copy(&c->answer, LIMIT_CLAIM_ANSWER_BYTES);
   once_send(o, c->from, &m);
 }
 
@@ -196,7 +196,7 @@
   for (guint i = 0; i < s->claims->len; i++) {
     const QueuedClaim *c = s->claims->pdata[i];
     bool urgent = c->kind == ONCE_CLAIM || o->draining;
-    if (urgent || o->now - c->received_at >= CLAIM_LINGER) return true;
+    if (urgent || o->now - c->received_at >= CLAIM_LINGER_S) return true;
   }
   return false;
 }
@@ -209,8 +209,11 @@
     return;
   }
   if (claimio_read_parts(o, s)) return;
-  bool small = o->view->n <= MEMBER_SMALL;
-  pace_set_rate(&s->pace, small ? CLAIM_WRITES_SMALL : CLAIM_WRITES, o->now);
+  bool small = o->view->n <= MEMBER_SMALL_INSTANCES;
+  pace_set_rate(&s->pace,
+                small ? CLAIM_SHARD_WRITES_SMALL_FLEET_PER_S
+                      : CLAIM_SHARD_WRITES_PER_S,
+                o->now);
   Pace before = s->pace;
   double wait = pace_take(&s->pace, o->now, true);
   if (wait > 0) {
@@ -315,13 +318,13 @@
 static QueuedClaim *new_claim(const Once *o, const char *from,
                               const OnceMsg *m) {
   QueuedClaim *c = g_new0(QueuedClaim, 1);
-  *c =
-      (QueuedClaim){.kind = m->kind,
-                    .key = m->key,
-                    .nonce = m->nonce,
-                    .digest = m->digest,
-                    .received_at = o->now,
-                    .answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER)};
+  *c = (QueuedClaim){
+      .kind = m->kind,
+      .key = m->key,
+      .nonce = m->nonce,
+      .digest = m->digest,
+      .received_at = o->now,
+      .answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER_BYTES)};
   g_strlcpy(c->from, from, sizeof c->from);
   return c;
 }
@@ -335,7 +338,7 @@
     if (!c->decided) {
       c->kind = m->kind; /* the earlier query is not stored */
       once_answer_clear(&c->answer);
-      c->answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER);
+      c->answer = once_answer_copy(&m->answer, LIMIT_CLAIM_ANSWER_BYTES);
     } else if (!c->follow_up)
       c->follow_up = new_claim(o, from, m);
   }
@@ -366,7 +369,8 @@
 static void drop_expired_claims(Once *o, ClaimShard *s) {
   for (guint i = s->claims->len; i > 0; i--) {
     const QueuedClaim *c = s->claims->pdata[i - 1];
-    bool late = c->kind == ONCE_CLAIM && o->now - c->received_at >= ONCE_WAIT;
+    bool late =
+        c->kind == ONCE_CLAIM && o->now - c->received_at >= ONCE_CLAIM_WAIT_S;
     if (late && !c->decided) g_ptr_array_remove_index(s->claims, i - 1);
   }
 }
@@ -378,7 +382,7 @@
     drop_expired_claims(o, s);
     advance_shard(o, s);
     bool idle = s->phase == SHARD_IDLE && s->claims->len == 0;
-    if (!idle || o->now - s->used_at < CLAIM_IDLE) continue;
+    if (!idle || o->now - s->used_at < CLAIM_IDLE_S) continue;
     claim_shard_free(s);
     o->shards[i] = NULL;
   }
--- a/packages/once/claimdoc.c
+++ b/packages/once/claimdoc.c
@@ -123,7 +123,8 @@
 }
 
 char *claimdoc_encode_part(const ClaimPart *p) {
-  return text_json(json_pack("{s:o}", "entries", encode_entries(p->entries)));
+  return text_take_json(
+      json_pack("{s:o}", "entries", encode_entries(p->entries)));
 }
 
 bool claimdoc_decode_part(ClaimPart *p, const char *text) {
@@ -174,8 +175,8 @@
                           json_pack("[o,i,I]", json_from_hex(p->id),
                                     (int)p->count, (json_int_t)p->unix_s));
   }
-  return text_json(json_pack("{s:o,s:o}", "parts", parts, "entries",
-                             encode_entries(d->entries)));
+  return text_take_json(json_pack("{s:o,s:o}", "parts", parts, "entries",
+                                  encode_entries(d->entries)));
 }
 
 ClaimDoc *claimdoc_decode_head(const char *text) {
@@ -237,7 +238,7 @@
 void claimdoc_keep_body(ClaimDoc *d, ClaimEntry *e, const char *body,
                         size_t len) {
   ClaimEntry *old;
-  while (d->body_bytes + len > CLAIM_BODIES &&
+  while (d->body_bytes + len > CLAIM_HEAD_ANSWER_BYTES &&
          (old = entry_of_oldest_body(d))) {
     d->body_bytes -= strlen(old->body);
     g_clear_pointer(&old->body, g_free);
--- a/packages/once/keeper.c
+++ b/packages/once/keeper.c
@@ -75,7 +75,8 @@
     r->changed_at = o->now;
     g_strlcpy(r->runner, from, sizeof r->runner);
   }
-  if (v == ONCE_REPLAY) a.answer = once_answer_copy(&r->answer, LIMIT_ANSWER);
+  if (v == ONCE_REPLAY)
+    a.answer = once_answer_copy(&r->answer, LIMIT_KEPT_ANSWER_BYTES);
   once_send(o, from, &a);
 }
 
@@ -111,7 +112,7 @@
   bool runner = strcmp(b->runner, o->self) != 0 && !is_gone(o, b->runner);
   bool backup = b->backup && !is_gone(o, b->backup);
   if (runner || (backup && b->backup_confirmed)) return false;
-  if (backup && (float)o->now - b->copy_sent_at < (float)ONCE_RESEND)
+  if (backup && (float)o->now - b->copy_sent_at < (float)ONCE_RESEND_S)
     return true;
   if (!backup) {
     const Member *m = pick_backup(o, b->summary.key);
@@ -177,7 +178,7 @@
     g_strlcpy(r->runner, from, sizeof r->runner);
     r->bill = m->bill;
     once_answer_clear(&r->answer);
-    r->answer = once_answer_copy(&m->answer, LIMIT_ANSWER);
+    r->answer = once_answer_copy(&m->answer, LIMIT_KEPT_ANSWER_BYTES);
     o->kept_bytes += r->answer.len;
   }
   if (again || duplicate) {
@@ -189,7 +190,7 @@
     if (again && stored) once_send(o, from, &d);
   } else
     add_bill(o, from, m);
-  while (o->kept_bytes > LIMIT_KEPT && o->records_by_age.length > 0)
+  while (o->kept_bytes > LIMIT_KEPT_TOTAL_BYTES && o->records_by_age.length > 0)
     drop_oldest_record(o);
 }
 
@@ -254,7 +255,7 @@
 /* Returns the interval at which all instances together stay within
    FLEET_BATCHES_PER_S. */
 static double batch_interval_s(const Once *o) {
-  return MAX(ONCE_BATCH, o->view->n / FLEET_BATCHES_PER_S);
+  return MAX(ONCE_BILL_BATCH_S, o->view->n / FLEET_BATCHES_PER_S);
 }
 
 void keeper_batch_stored(Once *o, ErrKind kind) {
@@ -285,7 +286,7 @@
   while (o->records_by_age.length > 0) {
     const KeeperRecord *r =
         g_hash_table_lookup(o->records, o->records_by_age.head->data);
-    if (r && o->now - r->changed_at < ONCE_KEEP) break;
+    if (r && o->now - r->changed_at < ONCE_KEEP_S) break;
     if (r && !r->finished && !r->unknown && !is_gone(o, r->runner)) break;
     drop_oldest_record(o);
   }
--- a/packages/once/once.c
+++ b/packages/once/once.c
@@ -146,8 +146,8 @@
   o->owed = g_hash_table_new_full(once_key_hash, once_key_equal, NULL, g_free);
   o->queries =
       g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, claimquery_free);
-  o->seal_entries = CLAIM_SEAL;
-  o->merge_parts = CLAIM_MERGE;
+  o->seal_entries = CLAIM_SEAL_ENTRIES;
+  o->merge_parts = CLAIM_MERGE_PARTS;
   o->pending_bills = g_ptr_array_new_with_free_func(g_free);
   o->bills_by_key = g_hash_table_new(once_key_hash, once_key_equal);
   g_queue_init(&o->records_by_age);
--- a/packages/once/once.h
+++ b/packages/once/once.h
@@ -37,8 +37,8 @@
 
 /* What one request costs. */
 typedef struct OnceBill {
-  char customer[LIMIT_NAME];
-  char budget[LIMIT_NAME];
+  char customer[LIMIT_NAME_BYTES];
+  char budget[LIMIT_NAME_BYTES];
   int64_t tokens;
 } OnceBill;
 
@@ -80,7 +80,7 @@
   bool duplicate;
   OnceBill bill;
   OnceAnswer answer;
-  char target[LIMIT_NAME]; /* DISPATCHED: target of the run; BEGIN_REPLY:
+  char target[LIMIT_NAME_BYTES]; /* DISPATCHED: target of the run; BEGIN_REPLY:
                               target where a lost run may still be running */
 } OnceMsg;
 
@@ -96,18 +96,19 @@
 
 typedef struct OnceAction {
   OnceActionKind action;
-  char to[LIMIT_ID];
+  char to[LIMIT_ID_BYTES];
   OnceMsg msg; /* SEND: the caller owns msg.answer.body */
   int shard;
   uint64_t part; /* GET, PUT, DELETE: part id; 0 is the shard's head */
   uint64_t version;
   char *text; /* free with g_free */
-  char name[LIMIT_NAME + LIMIT_ID];
+  char name[LIMIT_NAME_BYTES + LIMIT_ID_BYTES];
   uint64_t handle;
   OnceVerdict verdict;
-  OnceAnswer answer;       /* REPLAY: the kept answer, owned by the caller */
-  char target[LIMIT_NAME]; /* RUN: target where a lost run may still be running
-                            */
+  OnceAnswer answer; /* REPLAY: the kept answer, owned by the caller */
+  char target[LIMIT_NAME_BYTES]; /* RUN: target where a lost run may still be
+                                  * running
+                                  */
   bool duplicate;
 } OnceAction;
 
--- a/packages/once/owed.c
+++ b/packages/once/owed.c
@@ -40,7 +40,7 @@
     OwedBill *x = v;
     /* A keeper that is gone has lost its bills: send to the next one. */
     bool keeper_is_gone = !view_find(o->view, x->keeper);
-    double wait = x->held_by_keeper ? OWED_RESEND_S : 2 * ONCE_RESEND;
+    double wait = x->held_by_keeper ? OWED_RESEND_S : 2 * ONCE_RESEND_S;
     if (o->draining) wait = MIN(wait, OWED_DRAIN_RESEND_S);
     if (!keeper_is_gone && o->now - x->sent_at < wait) continue;
     /* In a store outage all bills are held for long: limit the resends. */
--- a/packages/once/run.c
+++ b/packages/once/run.c
@@ -32,7 +32,7 @@
   a->handle = r->handle;
   a->verdict = v;
   g_strlcpy(a->target, r->target, sizeof a->target);
-  if (answer) a->answer = once_answer_copy(answer, LIMIT_ANSWER);
+  if (answer) a->answer = once_answer_copy(answer, LIMIT_KEPT_ANSWER_BYTES);
   if (v == ONCE_RUN)
     r->state = RUN_RUNNING;
   else
@@ -58,7 +58,7 @@
     return;
   }
   r->state = RUN_CLAIMING;
-  r->deadline = o->now + ONCE_WAIT;
+  r->deadline = o->now + ONCE_CLAIM_WAIT_S;
   claimquery_claim(o, r);
 }
 
@@ -132,7 +132,7 @@
                .nonce = r->nonce,
                .digest = r->digest,
                .bill = r->bill};
-  m.answer = once_answer_copy(&r->answer, LIMIT_ANSWER);
+  m.answer = once_answer_copy(&r->answer, LIMIT_KEPT_ANSWER_BYTES);
   OwedBill *owed = g_new0(OwedBill, 1);
   owed->summary = once_bill_from_msg(o, &m);
   owed->sent_at = r->sent_at = o->now;
@@ -211,7 +211,7 @@
   r->state = RUN_FINISHING;
   r->deadline = now + FINISH_WAIT_S;
   r->bill = *bill;
-  r->answer = once_answer_copy(answer, LIMIT_ANSWER);
+  r->answer = once_answer_copy(answer, LIMIT_KEPT_ANSWER_BYTES);
   if (r->claimed) claimquery_outcome(o, r);
   send_finish(o, r);
   send_end(o, r, 1);
@@ -243,7 +243,7 @@
 
 static void tick_run(Once *o, Run *r) {
   bool expired = o->now >= r->deadline;
-  bool resend = o->now - r->sent_at >= ONCE_RESEND;
+  bool resend = o->now - r->sent_at >= ONCE_RESEND_S;
   switch (r->state) {
   case RUN_QUERYING_KEEPER:
     /* If no keeper replies, the request runs. A second run of a repeatable
--- a/packages/once/state.h
+++ b/packages/once/state.h
@@ -13,7 +13,7 @@
 typedef struct KeeperRecord {
   OnceKey key;
   uint64_t nonce, digest;
-  char runner[LIMIT_ID], target[LIMIT_NAME];
+  char runner[LIMIT_ID_BYTES], target[LIMIT_NAME_BYTES];
   bool finished, unknown;
   OnceBill bill;
   OnceAnswer answer;
@@ -35,10 +35,11 @@
   bool has_caller_key, repeatable, claimed;
   bool unknown;
   double deadline, sent_at;
-  char keeper[LIMIT_ID];   /* keeper that was queried */
-  bool second_keeper;      /* the first keeper did not reply */
-  int finish_tries;        /* how often the finish was sent */
-  char target[LIMIT_NAME]; /* target where a lost run may still be running */
+  char keeper[LIMIT_ID_BYTES];   /* keeper that was queried */
+  bool second_keeper;            /* the first keeper did not reply */
+  int finish_tries;              /* how often the finish was sent */
+  char target[LIMIT_NAME_BYTES]; /* target where a lost run may still be running
+                                  */
   OnceBill bill;
   OnceAnswer answer;
 } Run;
@@ -66,7 +67,7 @@
   OnceKey key;
   uint64_t nonce, digest, handle;
   OnceAnswer answer; /* OUTCOME; status 0: not known */
-  char to[LIMIT_ID];
+  char to[LIMIT_ID_BYTES];
   bool sent_to_several, queued; /* queued: the home reported that it has it */
   double assigned_at, sent_at;  /* first and last message to `to` */
   double resend_s;              /* time between resends to `to` */
@@ -75,7 +76,7 @@
 /* An instance that did not reply as home of a claim shard. It is skipped until
    this time. */
 typedef struct UnresponsiveHome {
-  char id[LIMIT_ID];
+  char id[LIMIT_ID_BYTES];
   double until;
 } UnresponsiveHome;
 
@@ -84,7 +85,7 @@
   OnceMsgKind kind;
   OnceKey key;
   uint64_t nonce, digest;
-  char from[LIMIT_ID];
+  char from[LIMIT_ID_BYTES];
   double received_at;
   bool decided; /* applied to the document; not yet stored
                  */
@@ -138,7 +139,7 @@
 } PendingBill;
 
 struct Once {
-  char self[LIMIT_ID], region[LIMIT_NAME];
+  char self[LIMIT_ID_BYTES], region[LIMIT_NAME_BYTES];
   GRand *rng;
   OnceFaults faults;
   View *view;
--- a/packages/once/wish.c
+++ b/packages/once/wish.c
@@ -56,7 +56,8 @@
                .key = query->key,
                .nonce = query->nonce,
                .digest = query->digest,
-               .answer = once_answer_copy(&query->answer, LIMIT_CLAIM_ANSWER)};
+               .answer =
+                   once_answer_copy(&query->answer, LIMIT_CLAIM_ANSWER_BYTES)};
   query->sent_at = o->now;
   once_send(o, query->to, &m);
 }
@@ -66,7 +67,7 @@
   g_strlcpy(query->to, id, sizeof query->to);
   query->assigned_at = o->now;
   query->queued = false;
-  query->resend_s = ONCE_RESEND;
+  query->resend_s = ONCE_RESEND_S;
   send_query(o, query);
 }
 
@@ -103,8 +104,8 @@
 void claimquery_outcome(Once *o, const Run *r) {
   ClaimQuery *query = add_query(o, r, ONCE_OUTCOME);
   const OnceAnswer *a = &r->answer;
-  query->answer =
-      r->unknown ? (OnceAnswer){0} : once_answer_copy(a, LIMIT_CLAIM_ANSWER);
+  query->answer = r->unknown ? (OnceAnswer){0}
+                             : once_answer_copy(a, LIMIT_CLAIM_ANSWER_BYTES);
   bool text =
       query->answer.body &&
       g_utf8_validate(query->answer.body, (gssize)query->answer.len, NULL);
--- a/packages/peer/encode.c
+++ b/packages/peer/encode.c
@@ -1,4 +1,4 @@
-/* encode.c: packing messages between instances. */
+/* encode.c: encodes messages between instances. */
 #include <glib.h>
 #include <math.h>
 #include <string.h>
@@ -21,11 +21,11 @@
   msgpack_pack_uint64(&p, h->to);
 }
 
-void codec_put_beat(msgpack_sbuffer *b, const Member *m) {
+void codec_put_heartbeat(msgpack_sbuffer *b, const Member *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 9);
-  msgpack_pack_uint8(&p, CODEC_BEAT);
+  msgpack_pack_uint8(&p, CODEC_HEARTBEAT);
   put_str(&p, m->id);
   put_str(&p, m->region);
   put_str(&p, m->dc);
@@ -33,20 +33,20 @@
   put_str(&p, m->http);
   msgpack_pack_uint8(&p, m->leaving);
   msgpack_pack_uint64(&p, m->table);
-  msgpack_pack_uint32(&p, (uint32_t)(m->every_s * 1000));
+  msgpack_pack_uint32(&p, (uint32_t)(m->heartbeat_interval_s * 1000));
 }
 
-void codec_put_news(msgpack_sbuffer *b, const GossipNews *n) {
+void codec_put_member_update(msgpack_sbuffer *b, const GossipUpdate *n) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 8);
-  msgpack_pack_uint8(&p, CODEC_NEWS);
+  msgpack_pack_uint8(&p, CODEC_MEMBER_UPDATE);
   put_str(&p, n->m.id);
   put_str(&p, n->m.region);
   put_str(&p, n->m.dc);
   put_str(&p, n->m.peer);
   msgpack_pack_uint8(&p, n->m.leaving);
-  msgpack_pack_uint32(&p, n->life);
+  msgpack_pack_uint32(&p, n->generation);
   msgpack_pack_uint8(&p, (uint8_t)n->state);
 }
 
@@ -56,10 +56,10 @@
   msgpack_pack_array(&p, 6);
   msgpack_pack_uint8(&p, CODEC_GOSSIP);
   msgpack_pack_uint8(&p, (uint8_t)m->kind);
-  msgpack_pack_uint64(&p, m->about);
+  msgpack_pack_uint64(&p, m->subject);
   msgpack_pack_uint64(&p, m->digest);
   msgpack_pack_uint64(&p, m->table);
-  msgpack_pack_uint8(&p, m->answer);
+  msgpack_pack_uint8(&p, m->is_reply);
 }
 
 void codec_put_ledger(msgpack_sbuffer *b, const LedgerMsg *m) {
@@ -131,11 +131,12 @@
   msgpack_pack_bin_body(p, text->data, text->n);
 }
 
-void codec_put_conf(msgpack_sbuffer *b, uint64_t version, const Packed *text) {
+void codec_put_config(msgpack_sbuffer *b, uint64_t version,
+                      const Packed *text) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 4);
-  msgpack_pack_uint8(&p, CODEC_CONF);
+  msgpack_pack_uint8(&p, CODEC_CONFIG);
   msgpack_pack_uint64(&p, version);
   put_packed(&p, text);
 }
@@ -150,7 +151,7 @@
   msgpack_pack_int64(&p, m->tokens);
 }
 
-/* Counts of streams travel in thousandths: they fade. */
+/* Counts of streams are sent in thousandths, since they decay over time. */
 static int64_t thousandths(double v) {
   return (int64_t)round(v * FORMAT_THOUSAND);
 }
@@ -181,22 +182,22 @@
   for (int i = 0; i < m->n; i++) msgpack_pack_uint64(p, m->names[i]);
 }
 
-void codec_put_tally_ask(msgpack_sbuffer *b, const TallyQuery *m) {
+void codec_put_tally_query(msgpack_sbuffer *b, const TallyQuery *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, (size_t)m->parts.n + 4);
-  msgpack_pack_uint8(&p, CODEC_TALLY_ASK);
+  msgpack_pack_uint8(&p, CODEC_TALLY_QUERY);
   msgpack_pack_uint64(&p, m->number);
   msgpack_pack_uint64(&p, m->target);
   msgpack_pack_uint8(&p, (uint8_t)m->parts.n);
   put_tally_parts(&p, &m->parts);
 }
 
-void codec_put_tally_word(msgpack_sbuffer *b, const TallyReport *m) {
+void codec_put_tally_report(msgpack_sbuffer *b, const TallyReport *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 8);
-  msgpack_pack_uint8(&p, CODEC_TALLY_WORD);
+  msgpack_pack_uint8(&p, CODEC_TALLY_REPORT);
   msgpack_pack_uint64(&p, m->number);
   msgpack_pack_uint64(&p, m->target);
   msgpack_pack_uint32(&p, (uint32_t)m->open);
@@ -226,10 +227,10 @@
   msgpack_pack_uint8(&p, CODEC_FEED);
   msgpack_pack_uint64(&p, m->reader);
   put_str(&p, m->until);
-  msgpack_pack_uint8(&p, (uint8_t)m->word);
+  msgpack_pack_uint8(&p, (uint8_t)m->store_result);
   msgpack_pack_uint8(&p, (uint8_t)m->kind);
   msgpack_pack_uint64(&p, m->from);
-  msgpack_pack_uint64(&p, m->at);
+  msgpack_pack_uint64(&p, m->revision);
   msgpack_pack_uint8(&p, m->lapsed);
   put_packed(&p, &m->changes);
 }
@@ -248,24 +249,25 @@
   msgpack_pack_int64(&p, thousandths(m->msg.first_mark_age_s));
 }
 
-/* No limit travels as nil. */
+/* The absence of a limit is sent as nil. */
 static void put_limit(msgpack_packer *p, double limit) {
   if (limit < QUOTA_UNLIMITED)
-    msgpack_pack_int64(p, thousandths(MIN(limit, LIMIT_RATE)));
+    msgpack_pack_int64(p, thousandths(MIN(limit, LIMIT_TARGET_RATE_PER_S)));
   else
     msgpack_pack_nil(p);
 }
 
-void codec_put_permit_ask(msgpack_sbuffer *b, const TallyPermitRequest *m) {
+void codec_put_permit_request(msgpack_sbuffer *b, const TallyPermitRequest *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
   msgpack_pack_array(&p, 9);
-  msgpack_pack_uint8(&p, CODEC_PERMIT_ASK);
+  msgpack_pack_uint8(&p, CODEC_PERMIT_REQUEST);
   msgpack_pack_uint64(&p, m->number);
   msgpack_pack_uint64(&p, m->target);
   msgpack_pack_uint64(&p, m->counter);
   msgpack_pack_uint64(&p, m->run);
-  msgpack_pack_int64(&p, thousandths(MIN(m->bounds.cold_per_s, LIMIT_RATE)));
+  msgpack_pack_int64(
+      &p, thousandths(MIN(m->bounds.cold_per_s, LIMIT_TARGET_RATE_PER_S)));
   put_limit(&p, m->bounds.limit);
   msgpack_pack_uint8(&p, m->bounds.over_limit);
   msgpack_pack_int64(&p, thousandths(m->reachable_share));
--- a/packages/route/loads.c
+++ b/packages/route/loads.c
@@ -34,7 +34,7 @@
 } Watched;
 
 struct Loads {
-  char self[LIMIT_ID];
+  char self[LIMIT_ID_BYTES];
   View *view;
   GPtrArray *list;             /* Watched* */
   GHashTable *by_hash;         /* hash -> Watched */
@@ -86,7 +86,7 @@
     near += w->is_assigned && w->near;
     far += w->is_assigned && !w->near;
   }
-  int others = me ? view_count(l->view, me->region) - 1 : 0;
+  int others = me ? view_count_members(l->view, me->region) - 1 : 0;
   l->far_interval_s =
       MAX(NEAR_INTERVAL_S, far / MAX(MAX_QUERIES_PER_S - near, 1.0));
   l->send_interval_s =
@@ -95,7 +95,7 @@
 }
 
 void loads_set_view(Loads *l, const View *v) {
-  if (view_same(v, l->view)) return;
+  if (view_same_members(v, l->view)) return;
   view_free(l->view);
   l->view = view_copy(v);
   assign_duties(l);
--- a/packages/route/loads.h
+++ b/packages/route/loads.h
@@ -15,8 +15,8 @@
 
 /* A target whose load is monitored. */
 typedef struct LoadsTarget {
-  char name[LIMIT_NAME], url[LIMIT_NAME], dc[LIMIT_NAME];
-  char pool[LIMIT_NAME + 8];
+  char name[LIMIT_NAME_BYTES], url[LIMIT_NAME_BYTES], dc[LIMIT_NAME_BYTES];
+  char pool[LIMIT_NAME_BYTES + 8];
 } LoadsTarget;
 
 /* A message about one target between the instances of a region. */
--- a/packages/route/pool.h
+++ b/packages/route/pool.h
@@ -26,7 +26,7 @@
 #define POOL_GROUP_MIN_MEMBERS 8 /* lower bound of the average group size */
 
 typedef struct Pool {
-  char service[LIMIT_NAME];
+  char service[LIMIT_NAME_BYTES];
   GPtrArray
       *members;   /* Target*; use pool_sorted_members where the order matters */
   guint n_sorted; /* number of members in order, from the first one on */
--- a/packages/route/route.h
+++ b/packages/route/route.h
@@ -16,11 +16,11 @@
 
 /* A target as the table has it. */
 typedef struct RouteTarget {
-  char name[LIMIT_NAME];
-  char url[LIMIT_NAME]; /* ip:port */
-  char dc[LIMIT_NAME];
-  char adapters[LIMIT_ADAPTERS]; /* loaded ones, separated by ';' */
-  char version[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
+  char url[LIMIT_NAME_BYTES]; /* ip:port */
+  char dc[LIMIT_NAME_BYTES];
+  char adapters[LIMIT_ADAPTERS_BYTES]; /* loaded ones, separated by ';' */
+  char version[LIMIT_NAME_BYTES];
   int slots;
   int loadable_adapters; /* further adapters that the fleet may load there */
 } RouteTarget;
@@ -39,7 +39,7 @@
 } RouteRequest;
 
 typedef struct RouteChoice {
-  char name[LIMIT_NAME], url[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES], url[LIMIT_NAME_BYTES];
   /* the reasons, for the log */
   int candidates, excluded_count;
   double cost, path, prefill, wait, margin; /* seconds */
--- a/packages/route/state.h
+++ b/packages/route/state.h
@@ -64,7 +64,7 @@
 };
 
 struct Targets {
-  char dc[LIMIT_NAME];
+  char dc[LIMIT_NAME_BYTES];
   const Regions *regions; /* NULL: unknown */
   RegionSet region;       /* our own */
   Evacuation *evacuation;
--- a/packages/route/targets.h
+++ b/packages/route/targets.h
@@ -15,11 +15,11 @@
 
 /* A target as its entry in the store describes it. */
 typedef struct TargetInfo {
-  char id[LIMIT_NAME]; /* unique; a restarted target may reuse it */
-  int64_t start_ms;    /* start time, Unix milliseconds; 0: unknown */
-  char service[LIMIT_NAME];
-  char addr[LIMIT_NAME]; /* ip:port */
-  char dc[LIMIT_NAME];
+  char id[LIMIT_NAME_BYTES]; /* unique; a restarted target may reuse it */
+  int64_t start_ms;          /* start time, Unix milliseconds; 0: unknown */
+  char service[LIMIT_NAME_BYTES];
+  char addr[LIMIT_NAME_BYTES]; /* ip:port */
+  char dc[LIMIT_NAME_BYTES];
   int slots;
   bool leaving;
   double cold_s; /* it remains slow for this much longer */
--- a/packages/store/jobs.c
+++ b/packages/store/jobs.c
@@ -103,8 +103,8 @@
   pthread_cond_init(&j->job_added, &attr);
   pthread_condattr_destroy(&attr);
   pthread_mutex_init(&j->lock, NULL);
-  pace_init(&j->reads, STORE_READS, clock_now());
-  pace_init(&j->writes, STORE_WRITES, clock_now());
+  pace_init(&j->reads, STORE_READS_PER_S, clock_now());
+  pace_init(&j->writes, STORE_WRITES_PER_S, clock_now());
   for (int i = 0; i < j->thread_count; i++)
     pthread_create(&j->threads[i], NULL, run_worker, j);
   return j;
@@ -120,11 +120,14 @@
 void jobs_set_instances(Jobs *j, int instances) {
   double now = clock_now();
   pthread_mutex_lock(&j->lock);
-  pace_set_rate(&j->writes,
-                rate_of_instance(STORE_WRITES, STORE_WRITES_ALL, instances),
-                now);
-  pace_set_rate(&j->reads,
-                rate_of_instance(STORE_READS, STORE_READS_ALL, instances), now);
+  pace_set_rate(
+      &j->writes,
+      rate_of_instance(STORE_WRITES_PER_S, STORE_FLEET_WRITES_PER_S, instances),
+      now);
+  pace_set_rate(
+      &j->reads,
+      rate_of_instance(STORE_READS_PER_S, STORE_FLEET_READS_PER_S, instances),
+      now);
   pthread_mutex_unlock(&j->lock);
 }
 
--- a/packages/store/pace.c
+++ b/packages/store/pace.c
@@ -39,8 +39,8 @@
 
 double pace_backoff(double *wait_s, double random) {
   double next_s = *wait_s * 2;
-  if (next_s < STORE_BACKOFF_MIN) next_s = STORE_BACKOFF_MIN;
-  if (next_s > STORE_BACKOFF_MAX) next_s = STORE_BACKOFF_MAX;
+  if (next_s < STORE_BACKOFF_MIN_S) next_s = STORE_BACKOFF_MIN_S;
+  if (next_s > STORE_BACKOFF_MAX_S) next_s = STORE_BACKOFF_MAX_S;
   *wait_s = next_s;
   return next_s * (0.5 + random);
 }
--- a/packages/store/platform.c
+++ b/packages/store/platform.c
@@ -43,7 +43,7 @@
 
 static PlatformAnswer send_call(Platform *p, const HttpCall *c) {
   HttpAnswer a;
-  http_call(p->http, c, LIMIT_VALUE * 2, &a);
+  http_call(p->http, c, LIMIT_OBJECT_BYTES * 2, &a);
   PlatformAnswer r = {.kind = answer_kind(&a)};
   if (r.kind == ERR_STORE_CONFLICT) count_add(COUNT_STORE_CONFLICTS, 1);
   if (r.kind >= ERR_STORE_DOWN && r.kind <= ERR_STORE_UNKNOWN)
--- a/packages/table/table.h
+++ b/packages/table/table.h
@@ -54,8 +54,8 @@
  */
 typedef struct TableRow {
   TableKind kind;
-  char name[LIMIT_NAME]; /* of a budget: customer/service; '*' as service means
-                            any */
+  char name[LIMIT_NAME_BYTES]; /* of a budget: customer/service; '*' as service
+                            means any */
   char *cells[TABLE_COLUMN_COUNT];     /* never NULL; "": default value */
   int64_t numbers[TABLE_COLUMN_COUNT]; /* values of numeric columns, with
                                           defaults */
@@ -103,7 +103,7 @@
 
 typedef struct TableChange {
   TableKind kind;
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   int column; /* TableColumn; -1: row added; -2: row removed */
   char *before, *after;
 } TableChange;
--- a/scenario/world.c
+++ b/scenario/world.c
@@ -62,13 +62,13 @@
   return g_hash_table_lookup(w->budgets, name);
 }
 
-bool world_listed(char list[][LIMIT_NAME], const char *name) {
+bool world_listed(char list[][LIMIT_NAME_BYTES], const char *name) {
   for (int i = 0; i < WORLD_REGIONS; i++)
     if (strcmp(list[i], name) == 0) return true;
   return false;
 }
 
-static void set_list(char list[][LIMIT_NAME], const char *name, bool on) {
+static void set_list(char list[][LIMIT_NAME_BYTES], const char *name, bool on) {
   for (int i = 0; i < WORLD_REGIONS; i++) {
     bool here = strcmp(list[i], name) == 0;
     if (here && !on) list[i][0] = '\0';
@@ -76,7 +76,7 @@
   }
   for (int i = 0; on && i < WORLD_REGIONS; i++) {
     if (list[i][0]) continue;
-    g_strlcpy(list[i], name, LIMIT_NAME);
+    g_strlcpy(list[i], name, LIMIT_NAME_BYTES);
     return;
   }
 }
@@ -127,7 +127,7 @@
 
 static void ledger_actions(World *w, int node) {
   LedgerAction a;
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   while (ledger_next_action(w->nodes[node].ledger, &a)) {
     shard_object_name(a.shard, name);
     switch (a.action) {
@@ -193,7 +193,7 @@
 
 static void take_view(World *w, int node) {
   Node *n = &w->nodes[node];
-  member_self(n->members, n->draining, 1);
+  member_update_self(n->members, n->draining, 1);
   View *v = member_view(n->members, w->now);
   ledger_set_view(n->ledger, w->now, v);
   once_set_view(n->once, w->now, v);
@@ -202,12 +202,12 @@
 
 static void on_beat(World *w, int node) {
   Node *n = &w->nodes[node];
-  member_self(n->members, n->draining, 1);
-  const Member *me = member_me(n->members);
+  member_update_self(n->members, n->draining, 1);
+  const Member *me = member_get_self(n->members);
   for (int i = 0; i < w->n; i++) {
     Node *o = &w->nodes[i];
     bool hears = i != node && o->up && !o->paused && linked(w, n, o);
-    if (hears && member_heard(o->members, w->now, me)) {
+    if (hears && member_receive_heartbeat(o->members, w->now, me)) {
       take_view(w, i);
       world_after(w, i);
     }
@@ -509,7 +509,7 @@
 }
 
 static Shard *stored(const World *w, const char *name) {
-  char object_name[LIMIT_NAME];
+  char object_name[LIMIT_NAME_BYTES];
   shard_object_name(shard_index(name), object_name);
   const Object *o = g_hash_table_lookup(w->objects, object_name);
   return o ? shard_decode(o->text) : shard_new();
--- a/tests/fuzz_codec.c
+++ b/tests/fuzz_codec.c
@@ -1,13 +1,13 @@
-/* fuzz_codec.c: frames of any bytes do no harm, and what is read as a message
-   is one that our own encoder may have written: written again and read, it is
+/* fuzz_codec.c: frames of arbitrary bytes are decoded safely, and a decoded
+   message is one that our encoder can produce: encoded and decoded again, it is
    the same. Built by fuzz.sh. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "codec_again.h"
 
-/* What was written of a message, read and written once more, has the same
-   bytes. */
+/* Encodes a message, decodes it and encodes it again; the bytes must be equal.
+ */
 static void check(const CodecMsg *m) {
   msgpack_sbuffer once, twice;
   CodecMsg again;
@@ -15,10 +15,10 @@
   if (m->type == CODEC_TYPES) return;
   msgpack_sbuffer_init(&once);
   msgpack_sbuffer_init(&twice);
-  codec_again(&once, m);
+  codec_encode_again(&once, m);
   if (!codec_get(once.data, once.size, &off, &again)) abort();
   if (again.type != m->type || off != once.size) abort();
-  codec_again(&twice, &again);
+  codec_encode_again(&twice, &again);
   if (once.size != twice.size) abort();
   if (memcmp(once.data, twice.data, once.size) != 0) abort();
   codec_clear(&again);
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -146,7 +146,7 @@
    parts that it does not list. */
 static int count_unlisted_parts(const Fixture *d) {
   ClaimDoc *doc = read_head(d);
-  char name[LIMIT_NAME];
+  char name[LIMIT_NAME_BYTES];
   for (guint i = 0; i < doc->parts->len; i++) {
     const ClaimPart *p = doc->parts->pdata[i];
     snprintf(name, sizeof name, "claim/00/%016" G_GINT64_MODIFIER "x", p->id);
@@ -256,7 +256,7 @@
     e->state = CLAIM_RAN;
     claimdoc_keep_body(d, e, body, sizeof body);
   }
-  cr_assert_leq(d->body_bytes, CLAIM_BODIES);
+  cr_assert_leq(d->body_bytes, CLAIM_HEAD_ANSWER_BYTES);
   cr_assert_null(claimdoc_find(d, key_of(0))->body);
   cr_assert_not_null(claimdoc_find(d, key_of(19))->body);
   char *text = claimdoc_encode_head(d);
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -1,12 +1,12 @@
-/* test_codec.c: what one instance packs another understands, and nothing else
-   does harm. */
+/* test_codec.c: messages survive encoding and decoding, and damaged data is
+   rejected safely. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <string.h>
 
 #include "peer/codec.h"
 
-static bool same(const msgpack_sbuffer *b, CodecMsg *m) {
+static bool decodes_whole(const msgpack_sbuffer *b, CodecMsg *m) {
   size_t off = 0;
   return codec_get(b->data, b->size, &off, m) && off == b->size;
 }
@@ -23,7 +23,7 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_ledger(&b, &l);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_LEDGER);
   cr_assert_eq(memcmp(&m.ledger, &l, sizeof l), 0);
   msgpack_sbuffer_destroy(&b);
@@ -31,47 +31,48 @@
 
 Test(codec, loads_and_heartbeats_round_trip) {
   LoadsMsg l = {.target = UINT64_MAX, .running = 7, .waiting = 300};
-  Member beat = {.id = "n.1", .region = "r", .table = 9, .every_s = 187.5};
+  Member beat = {
+      .id = "n.1", .region = "r", .table = 9, .heartbeat_interval_s = 187.5};
   msgpack_sbuffer b;
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_load(&b, &l);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_LOAD);
   cr_assert_eq(memcmp(&m.load, &l, sizeof l), 0);
   msgpack_sbuffer_clear(&b);
-  codec_put_beat(&b, &beat);
-  cr_assert(same(&b, &m));
-  cr_assert_eq(memcmp(&m.beat, &beat, sizeof beat), 0);
+  codec_put_heartbeat(&b, &beat);
+  cr_assert(decodes_whole(&b, &m));
+  cr_assert_eq(memcmp(&m.heartbeat, &beat, sizeof beat), 0);
   msgpack_sbuffer_destroy(&b);
 }
 
-Test(codec, news_of_members_round_trip) {
-  GossipNews n = {
+Test(codec, member_updates_round_trip) {
+  GossipUpdate n = {
       .m = {.id = "n.1", .region = "r", .dc = "d", .peer = "tcp://a"},
-      .life = 7,
+      .generation = 7,
       .state = GOSSIP_SUSPECT};
-  GossipMsg g = {.kind = GOSSIP_ALL,
-                 .about = UINT64_MAX,
+  GossipMsg g = {.kind = GOSSIP_FULL_STATE,
+                 .subject = UINT64_MAX,
                  .digest = 3,
                  .table = 9,
-                 .answer = true};
+                 .is_reply = true};
   msgpack_sbuffer b;
   CodecMsg m;
   msgpack_sbuffer_init(&b);
-  codec_put_news(&b, &n);
-  cr_assert(same(&b, &m));
-  cr_assert_eq(m.type, CODEC_NEWS);
-  cr_assert_eq(memcmp(&m.news, &n, sizeof n), 0);
+  codec_put_member_update(&b, &n);
+  cr_assert(decodes_whole(&b, &m));
+  cr_assert_eq(m.type, CODEC_MEMBER_UPDATE);
+  cr_assert_eq(memcmp(&m.member_update, &n, sizeof n), 0);
   msgpack_sbuffer_clear(&b);
   codec_put_gossip(&b, &g);
-  cr_assert(same(&b, &m));
-  cr_assert(m.gossip.kind == g.kind && m.gossip.about == g.about);
-  cr_assert(m.gossip.digest == 3 && m.gossip.table == 9 && m.gossip.answer);
+  cr_assert(decodes_whole(&b, &m));
+  cr_assert(m.gossip.kind == g.kind && m.gossip.subject == g.subject);
+  cr_assert(m.gossip.digest == 3 && m.gossip.table == 9 && m.gossip.is_reply);
   msgpack_sbuffer_clear(&b);
   n.m.peer[0] = '\0';
-  codec_put_news(&b, &n);
-  cr_assert_not(same(&b, &m), "a member without an address is no member");
+  codec_put_member_update(&b, &n);
+  cr_assert_not(decodes_whole(&b, &m), "a member needs an address");
   msgpack_sbuffer_destroy(&b);
 }
 
@@ -86,7 +87,7 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_once(&b, &o);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.once.bill.tokens, 77);
   cr_assert_eq(m.once.answer.len, 3);
   cr_assert_eq(memcmp(m.once.answer.body, "x\0y", 3), 0);
@@ -101,14 +102,14 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_work(&b, &w);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_WORK);
   cr_assert(m.work.target == w.target && m.work.open == 9);
   cr_assert_eq(m.work.tokens, w.tokens);
   msgpack_sbuffer_destroy(&b);
 }
 
-Test(codec, what_is_said_of_a_suspect_round_trips) {
+Test(codec, a_suspect_message_round_trips) {
   msgpack_sbuffer b;
   CodecMsg m;
   CodecSuspect in = {.until = "a/n3.1",
@@ -119,7 +120,7 @@
                              .first_mark_age_s = 2.25}};
   msgpack_sbuffer_init(&b);
   codec_put_suspect(&b, &in);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_SUSPECT);
   cr_assert_str_eq(m.suspect.until, in.until);
   cr_assert_eq(m.suspect.msg.kind, in.msg.kind);
@@ -131,7 +132,7 @@
   msgpack_sbuffer_destroy(&b);
 }
 
-Test(codec, what_was_seen_of_a_pool_round_trips) {
+Test(codec, a_pool_report_round_trips) {
   TargetsPoolReport w = {.pool = 7,
                          .report = {.long_tokens = 1e9,
                                     .short_tokens = 5,
@@ -141,7 +142,7 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_pool(&b, &w);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_POOL);
   cr_assert_eq(m.pool.pool, 7);
   cr_assert(m.pool.report.long_tokens == 1e9 &&
@@ -150,7 +151,7 @@
   msgpack_sbuffer_clear(&b);
   w.report.stalled = -1;
   codec_put_pool(&b, &w);
-  cr_assert_not(same(&b, &m), "a count is never below 0");
+  cr_assert_not(decodes_whole(&b, &m), "a count is never below 0");
   msgpack_sbuffer_destroy(&b);
 }
 
@@ -166,9 +167,9 @@
   CodecMsg m;
   size_t off = 0;
   msgpack_sbuffer_init(&b);
-  codec_put_tally_word(&b, &w);
+  codec_put_tally_report(&b, &w);
   cr_assert(codec_get(b.data, b.size, &off, &m));
-  cr_assert_eq(m.type, CODEC_TALLY_WORD);
+  cr_assert_eq(m.type, CODEC_TALLY_REPORT);
   cr_assert(m.tally_report.target == w.target && m.tally_report.open == 5);
   cr_assert(m.tally_report.starts == 9 && m.tally_report.tokens == 70000);
   cr_assert(m.tally_report.known_parts == 2 &&
@@ -182,39 +183,40 @@
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_parts(&b, &w);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_PARTS);
   cr_assert(m.parts.target == 7 && m.parts.n == 2);
   cr_assert(m.parts.names[0] == UINT64_MAX && m.parts.names[1] == 3);
   msgpack_sbuffer_clear(&b);
   w.n = ASK_PARTS;
   codec_put_parts(&b, &w);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   msgpack_sbuffer_destroy(&b);
 }
 
-Test(codec, what_was_read_round_trips) {
+Test(codec, a_feed_report_round_trips) {
   CodecFeed f = {.reader = 77,
                  .until = "dc/n.1",
-                 .word = READERS_REFUSED,
+                 .store_result = READERS_STORE_REFUSED,
                  .kind = 1,
                  .from = 5,
-                 .at = UINT64_MAX,
+                 .revision = UINT64_MAX,
                  .lapsed = true};
   msgpack_sbuffer b;
   CodecMsg m;
   msgpack_sbuffer_init(&b);
   codec_put_feed(&b, &f);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_null(packed_text(&m.feed.changes), "no change");
   msgpack_sbuffer_clear(&b);
   f.changes = packed_new("[{\"gone\":true}]");
   codec_put_feed(&b, &f);
-  cr_assert(same(&b, &m));
+  cr_assert(decodes_whole(&b, &m));
   cr_assert_eq(m.type, CODEC_FEED);
   cr_assert(m.feed.kind == 1 && m.feed.from == 5 && m.feed.lapsed);
-  cr_assert_eq(m.feed.at, UINT64_MAX);
-  cr_assert(m.feed.reader == 77 && m.feed.word == READERS_REFUSED);
+  cr_assert_eq(m.feed.revision, UINT64_MAX);
+  cr_assert(m.feed.reader == 77 &&
+            m.feed.store_result == READERS_STORE_REFUSED);
   cr_assert_str_eq(m.feed.until, "dc/n.1");
   char *text = packed_text(&m.feed.changes);
   cr_assert_str_eq(text, "[{\"gone\":true}]");
@@ -224,9 +226,9 @@
   msgpack_sbuffer_destroy(&b);
 }
 
-/* A configuration as operators with many routes have it: `n` alike but for
-   their names and paths. */
-static char *many_routes(int n) {
+/* A configuration of `n` routes that differ in name and path only, as operators
+   with many routes have it. */
+static char *make_routes(int n) {
   GString *s = g_string_new("{\"routes\":[");
   for (int i = 0; i < n; i++)
     g_string_append_printf(s,
@@ -239,20 +241,20 @@
   return g_string_free(s, FALSE);
 }
 
-/* It has to find room on a link between instances, 256 kB in 1.5 s beside all
-   else, and in what a reader tells, 64 kB. */
-Test(codec, a_large_configuration_travels_in_a_tenth_of_its_size) {
-  char *text = many_routes(1640);
+/* It has to fit on a link between instances, 256 kB in 1.5 s for all messages,
+   and into a reader's report, 64 kB. */
+Test(codec, a_large_configuration_is_sent_in_a_tenth_of_its_size) {
+  char *text = make_routes(1640);
   Packed p = packed_new(text);
   msgpack_sbuffer b;
   CodecMsg m;
   cr_assert_gt(p.size, 200000);
   cr_assert_lt(p.n, p.size / 10, "%u of %u", p.n, p.size);
   msgpack_sbuffer_init(&b);
-  codec_put_conf(&b, 7, &p);
-  cr_assert(same(&b, &m));
-  cr_assert_eq(m.conf.version, 7);
-  char *got = packed_text(&m.conf.text);
+  codec_put_config(&b, 7, &p);
+  cr_assert(decodes_whole(&b, &m));
+  cr_assert_eq(m.config.version, 7);
+  char *got = packed_text(&m.config.text);
   cr_assert_str_eq(got, text);
   g_free(got);
   g_free(text);
@@ -261,8 +263,8 @@
   msgpack_sbuffer_destroy(&b);
 }
 
-Test(codec, a_damaged_text_is_none) {
-  char *text = many_routes(100);
+Test(codec, a_damaged_text_is_rejected) {
+  char *text = make_routes(100);
   Packed p = packed_new(text);
   p.data[p.n / 2] ^= 0x55;
   p.data[p.n / 2 + 1] ^= 0x55;
@@ -270,15 +272,16 @@
   packed_free(&p);
   p = packed_new(text);
   p.size += 1;
-  cr_assert_null(packed_text(&p), "of another length");
+  cr_assert_null(packed_text(&p), "the length differs");
   p.size = UINT32_MAX;
-  cr_assert_null(packed_text(&p), "longer than any");
+  cr_assert_null(packed_text(&p), "exceeds the max length");
   packed_free(&p);
   g_free(text);
 }
 
-/* What is handed on from instance to instance is read and written at each. */
-Test(codec, figures_in_thousandths_do_not_shrink_on_their_way) {
+/* A forwarded message is decoded and encoded at each instance, which must not
+   change its figures. */
+Test(codec, forwarded_thousandths_keep_their_value) {
   for (int64_t ms = 0; ms < 5000; ms++) {
     CodecSuspect s = {.msg = {.first_mark_age_s = (double)ms / 1000}};
     for (int hop = 0; hop < 3; hop++) {
@@ -286,7 +289,7 @@
       CodecMsg m;
       msgpack_sbuffer_init(&b);
       codec_put_suspect(&b, &s);
-      cr_assert(same(&b, &m));
+      cr_assert(decodes_whole(&b, &m));
       s = m.suspect;
       msgpack_sbuffer_destroy(&b);
     }
@@ -294,7 +297,7 @@
   }
 }
 
-Test(codec, words_on_bounded_targets_round_trip) {
+Test(codec, permits_and_limits_round_trip) {
   static const double limits[] = {0, 0.29, 1.7, 100, QUOTA_UNLIMITED};
   for (size_t i = 0; i < G_N_ELEMENTS(limits); i++) {
     TallyPermitRequest ask = {.number = 1,
@@ -315,16 +318,17 @@
     CodecMsg m;
     size_t off = 0;
     msgpack_sbuffer_init(&b);
-    codec_put_permit_ask(&b, &ask);
+    codec_put_permit_request(&b, &ask);
     codec_put_permit(&b, &permit);
     codec_put_limit(&b, &limit);
     cr_assert(codec_get(b.data, b.size, &off, &m));
-    cr_assert(m.permit_ask.number == 1 && m.permit_ask.target == UINT64_MAX);
-    cr_assert(m.permit_ask.counter == 3 && m.permit_ask.run == 4);
-    cr_assert_float_eq(m.permit_ask.bounds.cold_per_s, 14.9, 1e-9);
-    cr_assert(m.permit_ask.bounds.limit == limits[i]);
-    cr_assert(m.permit_ask.bounds.over_limit &&
-              m.permit_ask.reachable_share == 0.5);
+    cr_assert(m.permit_request.number == 1 &&
+              m.permit_request.target == UINT64_MAX);
+    cr_assert(m.permit_request.counter == 3 && m.permit_request.run == 4);
+    cr_assert_float_eq(m.permit_request.bounds.cold_per_s, 14.9, 1e-9);
+    cr_assert(m.permit_request.bounds.limit == limits[i]);
+    cr_assert(m.permit_request.bounds.over_limit &&
+              m.permit_request.reachable_share == 0.5);
     cr_assert(codec_get(b.data, b.size, &off, &m));
     cr_assert_eq(m.permit.verdict, TALLY_GIVEN);
     cr_assert(m.permit.number == 5 && m.permit.wait_s == 0.25);
@@ -337,9 +341,9 @@
   }
 }
 
-/* An instance of an older build hears a newer one's words in one frame with
-   those that it knows: what stands behind them in the frame is not lost. */
-Test(codec, a_message_of_an_unknown_type_is_passed_over) {
+/* An instance of an older build receives messages of unknown types in one frame
+   with others: those that follow in the frame must not be lost. */
+Test(codec, a_message_of_an_unknown_type_is_skipped) {
   LoadsMsg l = {.target = 5};
   msgpack_sbuffer b;
   msgpack_packer p;
@@ -360,8 +364,8 @@
   msgpack_sbuffer_destroy(&b);
 }
 
-/* Seeded damage: cut short, bytes changed, noise. */
-Test(codec, damaged_frames_are_refused_or_read_as_something_valid) {
+/* Damage from a seeded generator: truncation, changed bytes, noise. */
+Test(codec, damaged_frames_are_rejected_or_decoded_to_valid_messages) {
   GRand *r = g_rand_new_with_seed(1);
   Member beat = {.id = "n.1", .region = "r", .peer = "tcp://1.2.3.4:5"};
   LedgerMsg l = {.kind = LEDGER_DRAW, .grant = 5};
@@ -373,7 +377,7 @@
     msgpack_sbuffer_init(&b);
     CodecHead h = {1, 2}, got;
     codec_put_head(&b, &h);
-    if (i % 4 == 0) codec_put_beat(&b, &beat);
+    if (i % 4 == 0) codec_put_heartbeat(&b, &beat);
     if (i % 4 == 1) codec_put_ledger(&b, &l);
     if (i % 4 == 2) codec_put_once(&b, &o);
     if (i % 4 == 3) codec_put_load(&b, &load);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -1,7 +1,8 @@
-/* test_golden.c: bytes of messages between instances, and texts of objects in
-   the store, as builds in production write them. Builds run side by side while
-   instances are replaced, so what one writes the other has to read: bytes
-   change by a new kind of message or a new member, never in place. */
+/* test_golden.c: golden bytes of messages between instances, and golden texts
+   of objects in the store, as builds in production write them. Two builds run
+   side by side while instances are replaced, so that each has to read what the
+   other writes. A format changes by a new message type or a new member, never
+   in place. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <stdlib.h>
@@ -10,9 +11,9 @@
 #include "codec_again.h"
 #include "stored_again.h"
 
-/* == what is written == */
+/* == messages of this build == */
 
-static void put_beat(msgpack_sbuffer *b) {
+static void put_heartbeat(msgpack_sbuffer *b) {
   Member m = {.id = "n.1",
               .region = "r",
               .dc = "d",
@@ -20,27 +21,27 @@
               .http = "1.2.3.4:6",
               .leaving = true,
               .table = 9,
-              .every_s = 0.5};
-  codec_put_beat(b, &m);
+              .heartbeat_interval_s = 0.5};
+  codec_put_heartbeat(b, &m);
 }
 
-static void put_news(msgpack_sbuffer *b) {
-  GossipNews n = {.m = {.id = "n.1",
-                        .region = "r",
-                        .dc = "d",
-                        .peer = "tcp://1.2.3.4:5",
-                        .leaving = true},
-                  .life = 3,
-                  .state = (GossipState)1};
-  codec_put_news(b, &n);
+static void put_member_update(msgpack_sbuffer *b) {
+  GossipUpdate n = {.m = {.id = "n.1",
+                          .region = "r",
+                          .dc = "d",
+                          .peer = "tcp://1.2.3.4:5",
+                          .leaving = true},
+                    .generation = 3,
+                    .state = (GossipState)1};
+  codec_put_member_update(b, &n);
 }
 
 static void put_gossip(msgpack_sbuffer *b) {
   GossipMsg m = {.kind = (GossipKind)1,
-                 .about = 2,
+                 .subject = 2,
                  .digest = UINT64_MAX,
                  .table = 3,
-                 .answer = true};
+                 .is_reply = true};
   codec_put_gossip(b, &m);
 }
 
@@ -80,18 +81,18 @@
   codec_put_load(b, &m);
 }
 
-static void put_conf(msgpack_sbuffer *b) {
+static void put_config(msgpack_sbuffer *b) {
   Packed text = {.size = 10, .n = 3, .data = (void *)"abc"};
-  codec_put_conf(b, 7, &text);
+  codec_put_config(b, 7, &text);
 }
 
 static void put_feed(msgpack_sbuffer *b) {
   CodecFeed m = {.reader = 1,
                  .until = "d n.1",
-                 .word = (ReadersWord)1,
+                 .store_result = (ReadersStoreResult)1,
                  .kind = 2,
                  .from = 3,
-                 .at = 4,
+                 .revision = 4,
                  .lapsed = true,
                  .changes = {.size = 10, .n = 3, .data = (void *)"abc"}};
   codec_put_feed(b, &m);
@@ -116,12 +117,12 @@
   codec_put_parts(b, &m);
 }
 
-static void put_tally_ask(msgpack_sbuffer *b) {
+static void put_tally_query(msgpack_sbuffer *b) {
   TallyQuery m = {.number = 1, .target = 2, .parts = {2, {3, 4}}};
-  codec_put_tally_ask(b, &m);
+  codec_put_tally_query(b, &m);
 }
 
-static void put_tally_word(msgpack_sbuffer *b) {
+static void put_tally_report(msgpack_sbuffer *b) {
   TallyReport m = {.number = 1,
                    .target = 2,
                    .open = 3,
@@ -129,7 +130,7 @@
                    .tokens = 5,
                    .known_parts = 2,
                    .finished_parts = 1};
-  codec_put_tally_word(b, &m);
+  codec_put_tally_report(b, &m);
 }
 
 static void put_tally_run(msgpack_sbuffer *b) {
@@ -148,7 +149,7 @@
   codec_put_suspect(b, &m);
 }
 
-static void put_permit_ask(msgpack_sbuffer *b) {
+static void put_permit_request(msgpack_sbuffer *b) {
   TallyPermitRequest m = {
       .number = 1,
       .target = 2,
@@ -156,7 +157,7 @@
       .run = 4,
       .bounds = {.cold_per_s = 14.5, .limit = 1.7, .over_limit = true},
       .reachable_share = 0.5};
-  codec_put_permit_ask(b, &m);
+  codec_put_permit_request(b, &m);
 }
 
 static void put_permit(msgpack_sbuffer *b) {
@@ -175,7 +176,7 @@
   codec_put_limit(b, &m);
 }
 
-/* == as builds in production write it == */
+/* == messages of the builds in production == */
 
 typedef struct Golden {
   const char *name, *hex;
@@ -187,9 +188,9 @@
     {"beat",
      "9900a36e2e31a172a164af7463703a2f2f312e322e332e343a35a9312e32"
      "2e332e343a360109cd01f4",
-     CODEC_BEAT, put_beat},
+     CODEC_HEARTBEAT, put_heartbeat},
     {"news", "9809a36e2e31a172a164af7463703a2f2f312e322e332e343a35010301",
-     CODEC_NEWS, put_news},
+     CODEC_MEMBER_UPDATE, put_member_update},
     {"gossip", "960a0102cfffffffffffffffff0301", CODEC_GOSSIP, put_gossip},
     {"ledger",
      "9c0102a461636d65cfffffffffffffffffcd03e8cf000001000000000003"
@@ -200,17 +201,17 @@
      "61696ec404626f6479",
      CODEC_ONCE, put_once},
     {"load", "950305ce000111700101", CODEC_LOAD, put_load},
-    {"conf", "9404070ac403616263", CODEC_CONF, put_conf},
+    {"conf", "9404070ac403616263", CODEC_CONFIG, put_config},
     {"feed", "9a0501a564206e2e3101020304010ac403616263", CODEC_FEED, put_feed},
     {"work", "9406cfffffffffffffffff03cd4268", CODEC_WORK, put_work},
     {"pool", "9607010203cd1194ccfa", CODEC_POOL, put_pool},
     {"parts", "9508010202cfffffffffffffffff", CODEC_PARTS, put_parts},
-    {"tally_ask", "960b0102020304", CODEC_TALLY_ASK, put_tally_ask},
-    {"tally_word", "980c01020304050201", CODEC_TALLY_WORD, put_tally_word},
+    {"tally_ask", "960b0102020304", CODEC_TALLY_QUERY, put_tally_query},
+    {"tally_word", "980c01020304050201", CODEC_TALLY_REPORT, put_tally_report},
     {"tally_run", "970d010201030104", CODEC_TALLY_RUN, put_tally_run},
     {"suspect", "980ea564206e2e310101020304cd05dc", CODEC_SUSPECT, put_suspect},
-    {"permit_ask", "990f01020304cd38a4cd06a401cd01f4", CODEC_PERMIT_ASK,
-     put_permit_ask},
+    {"permit_ask", "990f01020304cd38a4cd06a401cd01f4", CODEC_PERMIT_REQUEST,
+     put_permit_request},
     {"permit", "9610010202ccfac0", CODEC_PERMIT, put_permit},
     {"limit", "961101a564206e2e310102cd02bc", CODEC_LIMIT, put_limit},
 };
@@ -222,7 +223,7 @@
   return s;
 }
 
-static void bytes_of(const char *hex, msgpack_sbuffer *b) {
+static void put_bytes_of(const char *hex, msgpack_sbuffer *b) {
   for (const char *c = hex; *c; c += 2) {
     char two[] = {c[0], c[1], '\0'};
     char byte = (char)strtoul(two, NULL, 16);
@@ -255,18 +256,18 @@
   }
 }
 
-Test(golden, messages_of_before_are_read_whole) {
+Test(golden, earlier_messages_are_read_whole) {
   for (size_t i = 0; i < G_N_ELEMENTS(messages); i++) {
     msgpack_sbuffer b, again;
     CodecMsg m;
     size_t off = 0;
     msgpack_sbuffer_init(&b);
     msgpack_sbuffer_init(&again);
-    bytes_of(messages[i].hex, &b);
+    put_bytes_of(messages[i].hex, &b);
     cr_assert(codec_get(b.data, b.size, &off, &m), "%s: %s", messages[i].name,
               REMEDY);
     cr_assert(m.type == messages[i].type && off == b.size);
-    codec_again(&again, &m);
+    codec_encode_again(&again, &m);
     GString *hex = hex_of(&again);
     cr_assert_str_eq(hex->str, messages[i].hex, "%s: %s", messages[i].name,
                      REMEDY);
@@ -286,29 +287,29 @@
   return g_strchomp(text);
 }
 
-static void same_again(const StoredKind *k, const char *text,
-                       const char *golden) {
+static void check_encodes_same(const StoredKind *k, const char *text,
+                               const char *golden) {
   char *again = k->reencode(text);
   cr_assert_not_null(again, "%s: %s", k->name, REMEDY);
   cr_assert_str_eq(again, golden, "%s: %s", k->name, REMEDY);
   g_free(again);
 }
 
-Test(golden, objects_of_before_are_read_and_written_as_before) {
+Test(golden, earlier_objects_are_read_and_written_as_before) {
   for (size_t i = 0; i < G_N_ELEMENTS(stored_kinds); i++) {
     char *golden = golden_text(stored_kinds[i].name);
-    same_again(&stored_kinds[i], golden, golden);
+    check_encodes_same(&stored_kinds[i], golden, golden);
     g_free(golden);
   }
 }
 
-/* As a newer build may write them: with a member that this one knows not. */
+/* A newer build may write objects with a member that this one does not know. */
 Test(golden, objects_with_new_members_are_read) {
   for (size_t i = 0; i < G_N_ELEMENTS(stored_kinds); i++) {
     char *golden = golden_text(stored_kinds[i].name);
     if (golden[0] == '{') {
       char *newer = g_strconcat("{\"new\":[1],", golden + 1, NULL);
-      same_again(&stored_kinds[i], newer, golden);
+      check_encodes_same(&stored_kinds[i], newer, golden);
       g_free(newer);
     }
     g_free(golden);
--- a/tests/test_holder.c
+++ b/tests/test_holder.c
@@ -13,7 +13,7 @@
 #define MEMBERS 5
 
 static Ledger *ledger;
-static char draw_recipient[LIMIT_ID]; /* the recipient of the last draw */
+static char draw_recipient[LIMIT_ID_BYTES]; /* the recipient of the last draw */
 static int draws;
 static ErrKind answer; /* of the last reservation; ERR_COUNT: none yet */
 
@@ -33,8 +33,8 @@
 static void start_among(int members) {
   Member *list = g_new0(Member, (gsize)members);
   for (int i = 0; i < members; i++) {
-    snprintf(list[i].id, LIMIT_ID, "n%d.1", i);
-    g_strlcpy(list[i].region, "r", LIMIT_NAME);
+    snprintf(list[i].id, LIMIT_ID_BYTES, "n%d.1", i);
+    g_strlcpy(list[i].region, "r", LIMIT_NAME_BYTES);
   }
   View *v = view_new(list, members);
   g_free(list);
@@ -66,7 +66,7 @@
 /* Guards against refusing all requests of a budget at an instance that could
    reach the store, because the budget's home could not. */
 Test(holder, a_home_without_the_store_is_skipped) {
-  char first[LIMIT_ID];
+  char first[LIMIT_ID_BYTES];
   start();
   reserve(1, 1);
   g_strlcpy(first, draw_recipient, sizeof first);
@@ -82,7 +82,7 @@
 /* Requests wait for 0.1 s, so there may be none waiting at the next tick; the
    missing answer must be noticed all the same. */
 Test(holder, an_unresponsive_home_is_skipped_while_requests_come_and_go) {
-  char first[LIMIT_ID];
+  char first[LIMIT_ID_BYTES];
   start();
   reserve(1, 1);
   g_strlcpy(first, draw_recipient, sizeof first);
@@ -96,7 +96,7 @@
 
 /* Another home in place of a busy one would compete with it for the store. */
 Test(holder, a_home_that_answered_recently_is_waited_for) {
-  char first[LIMIT_ID];
+  char first[LIMIT_ID_BYTES];
   start();
   reserve(1, 1);
   g_strlcpy(first, draw_recipient, sizeof first);
@@ -128,7 +128,7 @@
     ledger_reserve(ledger, 1, 2, BUDGET, rows[i].amount);
     receive_allot(1.01, draw_recipient, rows[i].sent);
     answer = ERR_COUNT;
-    ledger_tick(ledger, 1.02 + LEDGER_DRAW_WAIT, 0);
+    ledger_tick(ledger, 1.02 + LEDGER_DRAW_WAIT_S, 0);
     collect_actions();
     cr_assert_eq(answer, rows[i].expected, "row %d: %d", (int)i, (int)answer);
     ledger_free(ledger);
@@ -139,7 +139,7 @@
 Test(holder, a_timed_out_request_without_an_answer_is_refused_as_cut) {
   start();
   reserve(1, 1);
-  ledger_tick(ledger, 1.02 + LEDGER_DRAW_WAIT, 0);
+  ledger_tick(ledger, 1.02 + LEDGER_DRAW_WAIT_S, 0);
   collect_actions();
   cr_assert_eq(answer, ERR_BUDGET_CUT);
   ledger_free(ledger);
@@ -183,7 +183,7 @@
 /* No instance reaches the store, so draws to the next choices would be in
    vain. */
 Test(holder, no_other_home_is_tried_while_the_store_is_down) {
-  char first[LIMIT_ID];
+  char first[LIMIT_ID_BYTES];
   start();
   ledger_set_store_down(ledger, 1, true);
   reserve(1, 1);
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -40,7 +40,7 @@
 
 static Targets *new_decider(double now, int rank, int of) {
   Targets *s = targets_new("a", g_rand_int(sim.dice));
-  targets_set_parts_exchanged(s, of < FLEET_SMALL);
+  targets_set_parts_exchanged(s, of < FLEET_SMALL_INSTANCES);
   targets_set_rank(s, now, rank, of);
   for (int i = 0; i < TARGETS; i++) {
     TargetInfo t = {.dc = "a", .slots = 64, .revision = 1};
@@ -64,7 +64,7 @@
   }
   for (int i = 0; i < n; i++) sim.set[i] = new_decider(-100, i, n);
   for (int i = 0; i < TARGETS; i++) {
-    char id[LIMIT_NAME];
+    char id[LIMIT_NAME_BYTES];
     snprintf(id, sizeof id, "t%02d", i);
     uint64_t h = text_hash(id);
     g_hash_table_insert(sim.numbers, g_memdup2(&h, sizeof h),
@@ -327,7 +327,7 @@
         sim.set[i] = new_decider(8, i, sim.n);
         TallyLimit m = {.limit = limits[l]};
         for (int t = 0; t < TARGETS; t++) {
-          char id[LIMIT_NAME];
+          char id[LIMIT_NAME_BYTES];
           snprintf(id, sizeof id, "t%02d", t);
           m.target = text_hash(id);
           /* A new instance gets it as soon as the counting instance knows
@@ -351,7 +351,7 @@
                        .engine = true,
                        .permits_exhausted = true};
   for (int i = 0; i < TARGETS; i++) {
-    char id[LIMIT_NAME];
+    char id[LIMIT_NAME_BYTES];
     snprintf(id, sizeof id, "t%02d", i);
     targets_apply_limit(sim.set[0], text_hash(id), 1);
   }
--- a/tests/test_once.c
+++ b/tests/test_once.c
@@ -15,12 +15,12 @@
 typedef struct Net {
   Once *core[INSTANCE_COUNT];
   bool up[INSTANCE_COUNT];
-  char id[INSTANCE_COUNT][LIMIT_ID];
+  char id[INSTANCE_COUNT][LIMIT_ID_BYTES];
   double now;
   OnceVerdict
       verdict[INSTANCE_COUNT]; /* of the last answer; `target` came with it */
   bool answered[INSTANCE_COUNT], done[INSTANCE_COUNT];
-  char target[INSTANCE_COUNT][LIMIT_NAME];
+  char target[INSTANCE_COUNT][LIMIT_NAME_BYTES];
 } Net;
 
 static View *view_of(const Net *n) {
@@ -73,7 +73,7 @@
   if (a.action == ONCE_DO_ANSWER) {
     n->answered[i] = true;
     n->verdict[i] = a.verdict;
-    g_strlcpy(n->target[i], a.target, LIMIT_NAME);
+    g_strlcpy(n->target[i], a.target, LIMIT_NAME_BYTES);
   }
   once_action_clear(&a);
   return true;
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -134,7 +134,7 @@
     cr_assert_gt(whole, 285, "%d: groups of fewer than three should be rare",
                  whole);
     for (int i = 0; i < sizes[k]; i++) {
-      char id[LIMIT_NAME];
+      char id[LIMIT_NAME_BYTES];
       snprintf(id, sizeof id, "i-%08x", (unsigned)i * 2654435761U);
       uint64_t name = targets_counter(s, targets_hash_by_id(s, id));
       g_hash_table_add(counters, g_memdup2(&name, sizeof name));
@@ -182,7 +182,7 @@
   cr_assert_lt(highest, 3 * PROMPTS / TARGETS, "%d of %d at one", highest,
                PROMPTS / TARGETS);
   for (int i = 0; i < 6; i++) {
-    char id[LIMIT_NAME];
+    char id[LIMIT_NAME_BYTES];
     snprintf(id, sizeof id, "i-%08x", (unsigned)i * 2654435761U);
     targets_remove(s, 1, id, false);
   }
@@ -200,7 +200,7 @@
   int n = 5000;
   Targets *s = targets_with(n, 1);
   for (int i = 0; i < n - 2; i++) {
-    char id[LIMIT_NAME];
+    char id[LIMIT_NAME_BYTES];
     snprintf(id, sizeof id, "i-%08x", (unsigned)i * 2654435761U);
     targets_remove(s, 0, id, false);
   }
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -62,7 +62,7 @@
 /* An instance that knows the `left` warm targets and all cold ones. */
 static Targets *new_decider(double now, int rank, int of, int left) {
   Targets *s = targets_new("a", g_rand_int(dice));
-  targets_set_parts_exchanged(s, of < FLEET_SMALL);
+  targets_set_parts_exchanged(s, of < FLEET_SMALL_INSTANCES);
   targets_set_cold_bound(s, OVERRUN, EXTRA);
   targets_set_rank(s, now, rank, of);
   for (int i = 0; i < TARGETS; i++) {
@@ -127,7 +127,7 @@
 static int query_counts(int who, double now, const TargetRequest *ask,
                         TallyReport *reports) {
   uint64_t queried[TARGETS_MAX_QUERIED];
-  if (!gets_answers[who] || n_deciders < FLEET_SMALL) return 0;
+  if (!gets_answers[who] || n_deciders < FLEET_SMALL_INSTANCES) return 0;
   int n = targets_to_query(deciders[who], now, ask, queried);
   for (int i = 0; i < n; i++) {
     TallyQuery a = {.number = 1, .target = queried[i]};
