--- a/bench/route.c
+++ b/bench/route.c
@@ -250,7 +250,7 @@
   const int slots = 16;
   GRand *r = g_rand_new_with_seed(9);
   Queue *q = queue_new();
-  queue_plain(q, plain);
+  queue_set_fifo(q, plain);
   double free_at[16] = {0};
   GArray *urgent = g_array_new(FALSE, FALSE, sizeof(double));
   GArray *letters = g_array_new(FALSE, FALSE, sizeof(double));
@@ -266,7 +266,7 @@
                      .class = w.urgent ? 0 : 7,
                      .weight = 1,
                      .tokens = w.urgent ? 100 : 1000,
-                     .wait_s = w.urgent ? 3 : 30};
+                     .max_wait_s = w.urgent ? 3 : 30};
       g_strlcpy(i.customer, w.urgent ? "shuttle" : "letters",
                 sizeof i.customer);
       int retry;
@@ -275,7 +275,7 @@
       next += -log(1 - g_rand_double(r)) / (load * rate);
     }
     for (int k = 0; k < slots; k++) {
-      QueueOut out;
+      QueueDecision out;
       if (free_at[k] > now || !queue_pop(q, now, 1, rate, &out)) continue;
       const Waiting *w = &g_array_index(all, Waiting, out.handle - 1);
       if (out.refused != ERR_NONE) {
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -276,7 +276,7 @@
                    .class = i % 8,
                    .weight = 1,
                    .tokens = 1,
-                   .wait_s = 1e9};
+                   .max_wait_s = 1e9};
     queue_push(q, 0, &x, 1e9, &retry);
   }
   double t = slopes_ns();
@@ -286,8 +286,8 @@
                    .class = i % 8,
                    .weight = 1,
                    .tokens = 1,
-                   .wait_s = 1e9};
-    QueueOut o;
+                   .max_wait_s = 1e9};
+    QueueDecision o;
     queue_push(q, 0, &x, 1e9, &retry);
     queue_pop(q, 0, 1, 1e9, &o);
     queue_done(q, &x, 1);
@@ -301,36 +301,37 @@
 static void place_slopes(int n) {
   Place *p = place_new();
   PlaceTarget *targets = g_new0(PlaceTarget, n);
-  PlaceWant wants[5] = {0};
+  PlaceRequirement wants[5] = {0};
   PlaceAction a;
   for (int i = 0; i < n; i++) {
     snprintf(targets[i].name, LIMIT_NAME, "target-%d", i);
-    targets[i].slots = targets[i].loads = 8;
+    targets[i].slots = targets[i].max_adapters = 8;
     targets[i].running = 4;
     targets[i].live = true;
   }
   for (int i = 0; i < 5; i++) {
     snprintf(wants[i].adapter, LIMIT_NAME, "adapter-%d", i);
-    wants[i].least = n / 10;
+    wants[i].min_targets = n / 10;
   }
-  place_home(p, true);
+  place_set_home(p, true);
   char *plan = NULL;
   uint64_t version = 0;
   double t = 0;
   for (int look = 0; look < n + 200; look++) {
     if (look == n) t = slopes_ns(); /* all are placed by then */
-    place_look(p, look, targets, n, wants, 5);
-    while (place_next(p, &a)) {
-      if (a.what == PLACE_DO_PUT) {
+    place_update(p, look, targets, n, wants, 5);
+    while (place_next_action(p, &a)) {
+      if (a.action == PLACE_PUT_PLAN) {
         g_free(plan);
         plan = a.text;
         version++;
       }
-      if (a.what == PLACE_DO_ORDER)
-        place_ordered(p, look, a.target, a.version, a.adapters, PLACE_DONE);
+      if (a.action == PLACE_SEND_ORDER)
+        place_on_order_result(p, look, a.target, a.version, a.adapters,
+                              PLACE_DONE);
       else
-        place_stored(p, look, a.seq, plan ? ERR_NONE : ERR_STORE_ABSENT,
-                     version, plan);
+        place_on_store_result(
+            p, look, a.seq, plan ? ERR_NONE : ERR_STORE_ABSENT, version, plan);
     }
   }
   slopes_out("place look ns a target", n, (slopes_ns() - t) / 200 / n);
--- a/packages/entry/chat.c
+++ b/packages/entry/chat.c
@@ -114,7 +114,7 @@
                      .body = c->body,
                      .len = strlen(c->body)};
   c->client = http_client(c->x.ticket.choice.url, CONNECT_S, READ_S);
-  c->upstream = engine_open(c->client, &call, a);
+  c->upstream = engine_start(c->client, &call, a);
   return c->upstream;
 }
 
@@ -198,7 +198,7 @@
     err.ran = RAN_MAYBE;
     m = entry_error(&err, c->x.id, status);
   } else {
-    int64_t used = engine_usage(o);
+    int64_t used = engine_usage_tokens(o);
     OnceAnswer a = {.status = 200, .body = all->str, .len = all->len};
     g_strlcpy(a.type, "application/json", sizeof a.type);
     exchange_ran(&c->x, used >= 0 ? used : c->x.reserved, &a);
@@ -227,7 +227,7 @@
 static bool take_usage(Chat *c, const char *data) {
   if (!strstr(data, "\"usage\"")) return false;
   json_t *o = json_loads(data, 0, NULL);
-  int64_t n = engine_usage(o);
+  int64_t n = engine_usage_tokens(o);
   bool only = json_array_size(json_object_get(o, "choices")) == 0;
   json_decref(o);
   if (n < 0) return false;
@@ -368,15 +368,16 @@
 
 static void prepare(Chat *c, const HttpReq *r) {
   json_t *request = c->request;
-  int64_t max = c->x.service.output, asked = engine_asked(request);
+  int64_t max = c->x.service.output,
+          asked = engine_requested_max_tokens(request);
   if (asked > 0 && asked < max) max = asked;
   c->stream = json_is_true(json_object_get(request, "stream"));
   json_t *options = json_object_get(request, "stream_options");
   c->wants_usage = json_is_true(json_object_get(options, "include_usage"));
   c->prompt = prompt_bound(r, json_object_get(request, "messages"));
-  engine_bound(request, max);
-  engine_model(request, c->x.service.pool + strlen("model/"),
-               c->x.service.adapter);
+  engine_limit_output(request, max);
+  engine_set_model(request, c->x.service.pool + strlen("model/"),
+                   c->x.service.adapter);
   c->body = json_dumps(request, JSON_COMPACT);
   char *messages =
       json_dumps(json_object_get(request, "messages"), JSON_COMPACT);
--- a/packages/entry/exchange.c
+++ b/packages/entry/exchange.c
@@ -113,7 +113,7 @@
   q->class = x->service.priority;
   q->weight = (double)x->customer.share;
   q->tokens = x->reserved;
-  q->wait_s = x->service.wait_s;
+  q->max_wait_s = x->service.wait_s;
   q->running_cap = (int)split_cap(x, x->customer.running);
   q->rate_cap = split_cap(x, x->customer.rate);
   g_strlcpy(q->service, x->service.name, sizeof q->service);
--- a/packages/entry/placer.c
+++ b/packages/entry/placer.c
@@ -67,7 +67,7 @@
 /* Only ever to a newer plan: a stale read changes nothing. */
 static void take_plan(Placer *p, const char *name, uint64_t version,
                       const char *text) {
-  Plan *plan = plan_read(text);
+  Plan *plan = plan_parse(text);
   if (!plan) return;
   pthread_mutex_lock(&p->lock);
   PlacePool *pp = find_pool(p, name);
@@ -156,20 +156,20 @@
   Look *l = ctx;
   (void)pool;
   PlaceTarget t = {.slots = s->target.slots,
-                   .loads = s->target.loads,
+                   .max_adapters = s->target.loads,
                    .running = s->running,
                    .waiting = s->waiting,
                    .live = !s->leaving && !s->ejected};
   g_strlcpy(t.name, s->target.name, sizeof t.name);
   g_strlcpy(t.url, s->target.url, sizeof t.url);
-  g_strlcpy(t.fixed, s->target.adapters, sizeof t.fixed);
-  l->managed |= t.loads > 0;
+  g_strlcpy(t.configured, s->target.adapters, sizeof t.configured);
+  l->managed |= t.max_adapters > 0;
   g_array_append_val(l->targets, t);
 }
 
-static PlaceWant *find_want(const Look *l, const char *adapter) {
+static PlaceRequirement *find_want(const Look *l, const char *adapter) {
   for (guint i = 0; i < l->wants->len; i++) {
-    PlaceWant *w = &g_array_index(l->wants, PlaceWant, i);
+    PlaceRequirement *w = &g_array_index(l->wants, PlaceRequirement, i);
     if (strcmp(w->adapter, adapter) == 0) return w;
   }
   return NULL;
@@ -183,17 +183,17 @@
     bool ours = r->kind == TABLE_SERVICE && r->cells[TABLE_ADAPTER][0] &&
                 strcmp(r->cells[TABLE_MODEL], l->pool + strlen("model/")) == 0;
     if (!ours) continue;
-    PlaceWant w = {.least = (int)r->numbers[TABLE_LEAST],
-                   .most = (int)r->numbers[TABLE_MOST]};
+    PlaceRequirement w = {.min_targets = (int)r->numbers[TABLE_LEAST],
+                          .max_targets = (int)r->numbers[TABLE_MOST]};
     g_strlcpy(w.adapter, r->cells[TABLE_ADAPTER], sizeof w.adapter);
-    PlaceWant *have = find_want(l, w.adapter);
+    PlaceRequirement *have = find_want(l, w.adapter);
     if (!have) {
       g_array_append_val(l->wants, w);
       continue;
     }
-    have->least = MAX(have->least, w.least);
-    bool all = have->most == 0 || w.most == 0;
-    have->most = all ? 0 : MAX(have->most, w.most);
+    have->min_targets = MAX(have->min_targets, w.min_targets);
+    bool all = have->max_targets == 0 || w.max_targets == 0;
+    have->max_targets = all ? 0 : MAX(have->max_targets, w.max_targets);
   }
 }
 
@@ -201,13 +201,13 @@
   Look *l = g_new0(Look, 1);
   g_strlcpy(l->pool, pool, sizeof l->pool);
   l->targets = g_array_new(FALSE, TRUE, sizeof(PlaceTarget));
-  l->wants = g_array_new(FALSE, TRUE, sizeof(PlaceWant));
+  l->wants = g_array_new(FALSE, TRUE, sizeof(PlaceRequirement));
   Pool *x = pools_find(p->entry->pools, pool);
   pool_each(x, add_target, l);
   snapshots_read(p->entry->snapshots, add_wants, l);
   for (guint i = 0; i < l->wants->len; i++) {
-    PlaceWant *w = &g_array_index(l->wants, PlaceWant, i);
-    w->asked = pool_asked(x, w->adapter);
+    PlaceRequirement *w = &g_array_index(l->wants, PlaceRequirement, i);
+    w->recent_requests = pool_asked(x, w->adapter);
   }
   return l;
 }
@@ -222,7 +222,7 @@
 static void do_store(Placer *p, Platform *store, PlacePool *pp,
                      PlaceAction *a) {
   char object[128];
-  bool put = a->what == PLACE_DO_PUT;
+  bool put = a->action == PLACE_PUT_PLAN;
   object_name(pp, object, sizeof object);
   PlatformAnswer r = put ? platform_put(store, object, a->version, a->text)
                          : platform_get(store, object);
@@ -232,29 +232,30 @@
              "kept", (int)(r.kind == ERR_NONE));
   if (r.kind == ERR_NONE)
     take_plan(p, pp->name, r.version, put ? a->text : r.text);
-  place_stored(pp->core, clock_now(), a->seq, r.kind, r.version,
-               put ? NULL : r.text);
+  place_on_store_result(pp->core, clock_now(), a->seq, r.kind, r.version,
+                        put ? NULL : r.text);
   g_free(r.text);
 }
 
 static void do_order(PlacePool *pp, const PlaceAction *a) {
   static const char *const names[] = {[PLACE_DONE] = "done",
-                                      [PLACE_BUSY] = "loading",
+                                      [PLACE_LOADING] = "loading",
                                       [PLACE_FENCED] = "fenced",
                                       [PLACE_FAILED] = "failed"};
-  PlaceAnswer r = engine_adapters(a->url, a->version, a->adapters);
+  PlaceOrderResult r = engine_set_adapters(a->url, a->version, a->adapters);
   count_add(COUNT_ORDERS, 1);
   if (r == PLACE_FENCED) count_add(COUNT_ORDERS_FENCED, 1);
   log_info("order", "s:s,s:s,s:s,s:I,s:s", "pool", pp->name, "target",
            a->target, "adapters", a->adapters, "fence", (json_int_t)a->version,
            "answer", names[r]);
-  place_ordered(pp->core, clock_now(), a->target, a->version, a->adapters, r);
+  place_on_order_result(pp->core, clock_now(), a->target, a->version,
+                        a->adapters, r);
 }
 
 static void act(Placer *p, Platform *store, PlacePool *pp) {
   PlaceAction a;
-  while (running(p) && place_next(pp->core, &a)) {
-    if (a.what == PLACE_DO_ORDER)
+  while (running(p) && place_next_action(pp->core, &a)) {
+    if (a.action == PLACE_SEND_ORDER)
       do_order(pp, &a);
     else
       do_store(p, store, pp, &a);
@@ -292,11 +293,12 @@
   PlacePool *pp = l && l->managed ? find_pool(p, name)
                                   : g_hash_table_lookup(p->pools, name);
   pthread_mutex_unlock(&p->lock);
-  if (pp) place_home(pp->core, home);
+  if (pp) place_set_home(pp->core, home);
   if (pp && home) {
-    place_look(pp->core, clock_now(), (PlaceTarget *)(void *)l->targets->data,
-               (int)l->targets->len, (PlaceWant *)(void *)l->wants->data,
-               (int)l->wants->len);
+    place_update(pp->core, clock_now(), (PlaceTarget *)(void *)l->targets->data,
+                 (int)l->targets->len,
+                 (PlaceRequirement *)(void *)l->wants->data,
+                 (int)l->wants->len);
     act(p, store, pp);
   }
   if (pp) apply_plan(p, pp);
--- a/packages/entry/poll.c
+++ b/packages/entry/poll.c
@@ -44,7 +44,7 @@
   while ((t = next_ask(p))) {
     EngineLoad load = {0};
     double path;
-    bool ok = engine_load(t->url, &load, &path);
+    bool ok = engine_get_load(t->url, &load, &path);
     pools_report(p->entry->pools, t->pool, t->name, ok, load.running,
                  load.waiting, path);
     pthread_mutex_lock(&p->lock);
--- a/packages/entry/pool.c
+++ b/packages/entry/pool.c
@@ -66,7 +66,7 @@
 
 /* Under the lock: gives out turns while there is room. */
 static void pump(Pool *p) {
-  QueueOut out;
+  QueueDecision out;
   double now = clock_now();
   count_add(COUNT_EJECTED, route_ejections(p->route) - p->ejections);
   p->ejections = route_ejections(p->route);
@@ -119,7 +119,7 @@
   for (int i = 0; i < route_count(p->route); i++) {
     RouteState s = route_state(p->route, 0, i);
     char list[LIMIT_ADAPTERS] = "";
-    plan_adapters(plan, s.target.name, 1 << PLAN_LOADED, list);
+    plan_list_adapters(plan, s.target.name, 1 << PLAN_LOADED, list);
     route_given(p->route, s.target.name, list);
   }
   pump(p);
--- a/packages/place/place.c
+++ b/packages/place/place.c
@@ -1,5 +1,5 @@
-/* place.c: repair, growth and shrinking of a pool's placement, and its orders.
- */
+/* place.c: changes to the plan of a pool (replacement of lost targets, growth
+   and shrinking by load) and the orders that carry it out. */
 #include "place/place.h"
 
 #include <stdio.h>
@@ -7,70 +7,79 @@
 
 #include "kernel/list.h"
 
-#define FULL 0.8      /* busier than this, its targets need company */
-#define FREE 0.6      /* a target to be added is less busy than this */
-#define CALM 0.2      /* less busy than this, one target is too many */
-#define FULL_S 10.0   /* for so long */
-#define CALM_S 120.0  /* and so long: to load costs more than to keep */
-#define CHANGE_S 10.0 /* between two changes that demand asks for */
-#define LEAVE_S 15.0  /* all instances know by then; above a watch's wait */
-#define ORDER_S 1.0   /* an order that is not carried out goes out again */
-#define REPEAT_S 30.0 /* so does one that is: the target may have restarted */
-#define RETRY_S 2.0   /* after a failure of the store */
+/* An adapter whose mean load is above this gets one more target. */
+#define GROW_LOAD_RATIO 0.8
+/* A target to be added has a lower load than this. */
+#define CANDIDATE_MAX_LOAD_RATIO 0.6
+/* An adapter whose mean load is below this gives up one target. */
+#define SHRINK_LOAD_RATIO 0.2
+/* How long the load has to be high before growth, and low before shrinking,
+   which is longer since loading costs more than keeping. */
+#define GROW_AFTER_S 10.0
+#define SHRINK_AFTER_S 120.0
+/* Between two changes because of load. */
+#define CHANGE_INTERVAL_S 10.0
+/* All instances know of a removal by then; above the wait of a store watch. */
+#define LEAVE_DELAY_S 15.0
+/* An order that the target has not confirmed is repeated after this time. */
+#define ORDER_RETRY_S 1.0
+/* So is a confirmed one after this, since the target may have restarted. */
+#define REFRESH_S 30.0
+#define STORE_RETRY_S 2.0 /* after a failed store call */
 
 typedef enum { UNREAD, READING, READY, WRITING } Phase;
 
-/* What is remembered of an adapter's demand. */
+/* Duration of high or low load of an adapter. */
 typedef struct Demand {
-  double full, calm; /* since when; 0: it is not */
+  double busy_since, idle_since; /* 0: it is not busy or idle */
 } Demand;
 
 /* The last order to a target. */
 typedef struct Order {
-  char done[LIMIT_ADAPTERS]; /* what the target says that it has */
-  bool told;                 /* it said so */
-  double at;
+  char applied[LIMIT_ADAPTERS]; /* adapters that the target reported */
+  bool confirmed;               /* the target has reported */
+  double sent_at;
 } Order;
 
 struct Place {
   bool home;
   PlaceFaults faults;
   Phase phase;
-  Plan *plan; /* as it is in the store at `version` */
-  Plan *next; /* WRITING */
+  Plan *plan;    /* as stored at `version` */
+  Plan *pending; /* being written, in phase WRITING */
   uint64_t version, seq;
-  double now, retry_at, changed, read_at;
+  double now, retry_at, changed_at, read_at;
   GHashTable *demands; /* adapter -> Demand */
   GHashTable *orders;  /* target -> Order */
   GHashTable *leaving; /* "target;adapter" -> double, since when */
   GQueue actions;
-  /* of the present look */
+  /* of the current update */
   const PlaceTarget *targets;
-  const PlaceWant *wants;
+  const PlaceRequirement *requirements;
   int n, m;
   char reason[128];
 };
 
-/* == memory == */
+/* == state == */
 
-static GHashTable *names_new(void) {
+static GHashTable *new_string_table(void) {
   return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
 Place *place_new(void) {
   Place *p = g_new0(Place, 1);
   p->plan = plan_new();
-  p->demands = names_new();
-  p->orders = names_new();
-  p->leaving = names_new();
+  p->demands = new_string_table();
+  p->orders = new_string_table();
+  p->leaving = new_string_table();
   g_queue_init(&p->actions);
   return p;
 }
 
-static void forget(Place *p) {
+static void reset_state(Place *p) {
   PlaceAction a;
-  while (place_next(p, &a)) g_free(a.text);
-  g_clear_pointer(&p->next, plan_free);
+  while (place_next_action(p, &a)) g_free(a.text);
+  g_clear_pointer(&p->pending, plan_free);
   g_hash_table_remove_all(p->demands);
   g_hash_table_remove_all(p->orders);
   g_hash_table_remove_all(p->leaving);
@@ -78,7 +87,7 @@
 }
 
 void place_free(Place *p) {
-  forget(p);
+  reset_state(p);
   plan_free(p->plan);
   g_hash_table_destroy(p->demands);
   g_hash_table_destroy(p->orders);
@@ -86,16 +95,16 @@
   g_free(p);
 }
 
-void place_faults(Place *p, PlaceFaults f) {
+void place_set_faults(Place *p, PlaceFaults f) {
   p->faults = f;
 }
 
-void place_home(Place *p, bool home) {
-  if (p->home && !home) forget(p);
+void place_set_home(Place *p, bool home) {
+  if (p->home && !home) reset_state(p);
   p->home = home;
 }
 
-bool place_next(Place *p, PlaceAction *a) {
+bool place_next_action(Place *p, PlaceAction *a) {
   PlaceAction *next = g_queue_pop_head(&p->actions);
   if (!next) return false;
   *a = *next;
@@ -103,16 +112,16 @@
   return true;
 }
 
-static PlaceAction *act(Place *p, PlaceDo what) {
+static PlaceAction *queue_action(Place *p, PlaceActionKind action) {
   PlaceAction *a = g_new0(PlaceAction, 1);
-  a->what = what;
-  if (what != PLACE_DO_ORDER) a->seq = ++p->seq;
+  a->action = action;
+  if (action != PLACE_SEND_ORDER) a->seq = ++p->seq;
   g_queue_push_tail(&p->actions, a);
   return a;
 }
 
-/* The value of `key`, made with zeroes. */
-static void *entry(GHashTable *t, const char *key, size_t size) {
+/* Returns the value of `key`; a new one is zeroed. */
+static void *get_or_add(GHashTable *t, const char *key, size_t size) {
   void *v = g_hash_table_lookup(t, key);
   if (v) return v;
   v = g_malloc0(size);
@@ -120,7 +129,7 @@
   return v;
 }
 
-/* == the pool as it is seen now == */
+/* == current state of the pool == */
 
 static const PlaceTarget *find_target(const Place *p, const char *name) {
   for (int i = 0; i < p->n; i++)
@@ -128,9 +137,11 @@
   return NULL;
 }
 
-static const PlaceWant *find_want(const Place *p, const char *adapter) {
+static const PlaceRequirement *find_requirement(const Place *p,
+                                                const char *adapter) {
   for (int i = 0; i < p->m; i++)
-    if (strcmp(p->wants[i].adapter, adapter) == 0) return &p->wants[i];
+    if (strcmp(p->requirements[i].adapter, adapter) == 0)
+      return &p->requirements[i];
   return NULL;
 }
 
@@ -138,19 +149,20 @@
   return (double)(t->running + t->waiting) / MAX(t->slots, 1);
 }
 
-static bool has(const Plan *plan, const PlaceTarget *t, const char *adapter) {
+static bool has_adapter(const Plan *plan, const PlaceTarget *t,
+                        const char *adapter) {
   const PlanItem *x = plan_find(plan, t->name, adapter);
-  return list_has(t->fixed, adapter) || (x && x->state != PLAN_LEAVING);
+  return list_has(t->configured, adapter) || (x && x->state != PLAN_LEAVING);
 }
 
-/* Live targets that have it, and how busy they are. */
+/* Counts the live targets that have the adapter and sets their mean load. */
 static int count_live(const Place *p, const Plan *plan, const char *adapter,
                       double *load) {
   int n = 0;
   double sum = 0;
   for (int i = 0; i < p->n; i++) {
     const PlaceTarget *t = &p->targets[i];
-    if (!t->live || !has(plan, t, adapter)) continue;
+    if (!t->live || !has_adapter(plan, t, adapter)) continue;
     sum += load_of(t);
     n++;
   }
@@ -158,30 +170,32 @@
   return n;
 }
 
-static int given(const Plan *plan, const char *target) {
+static int count_planned(const Plan *plan, const char *target) {
   int n = 0;
   for (guint i = 0; i < plan->items->len; i++)
     n += strcmp(g_array_index(plan->items, PlanItem, i).target, target) == 0;
   return n;
 }
 
-/* The least busy target that could take the adapter. */
-static const PlaceTarget *candidate(const Place *p, const Plan *plan,
-                                    const char *adapter, double below) {
+/* Returns the least busy target that could take the adapter, with a load below
+   `below`. */
+static const PlaceTarget *find_candidate(const Place *p, const Plan *plan,
+                                         const char *adapter, double below) {
   const PlaceTarget *best = NULL;
   for (int i = 0; i < p->n; i++) {
     const PlaceTarget *t = &p->targets[i];
-    bool room = t->live && given(plan, t->name) < t->loads;
-    bool there = plan_find(plan, t->name, adapter) || has(plan, t, adapter);
+    bool room = t->live && count_planned(plan, t->name) < t->max_adapters;
+    bool there =
+        plan_find(plan, t->name, adapter) || has_adapter(plan, t, adapter);
     if (!room || there || load_of(t) >= below) continue;
     if (!best || load_of(t) < load_of(best)) best = t;
   }
   return best;
 }
 
-/* The least busy target that we gave it to. */
-static const PlaceTarget *surplus(const Place *p, const Plan *plan,
-                                  const char *adapter) {
+/* Returns the least busy target that the plan gave the adapter to. */
+static const PlaceTarget *find_surplus(const Place *p, const Plan *plan,
+                                       const char *adapter) {
   const PlaceTarget *best = NULL;
   for (int i = 0; i < p->n; i++) {
     const PlaceTarget *t = &p->targets[i];
@@ -192,10 +206,11 @@
   return best;
 }
 
-/* == decisions, each on a copy of the plan; true when it was changed == */
+/* == decisions: each returns whether it changed the copy of the plan == */
 
-/* Items whose target or service is no longer in the table. */
-static bool tidy(Place *p, Plan *plan) {
+/* Removes items whose target is no longer in the table, and unloads adapters
+   that no service uses. One item per call. */
+static bool retire_obsolete(Place *p, Plan *plan) {
   for (guint i = 0; i < plan->items->len; i++) {
     PlanItem *x = &g_array_index(plan->items, PlanItem, i);
     if (!find_target(p, x->target)) {
@@ -204,23 +219,22 @@
       plan_remove(plan, x->target, x->adapter);
       return true;
     }
-    if (x->state == PLAN_LEAVING || find_want(p, x->adapter)) continue;
-    snprintf(p->reason, sizeof p->reason, "no service asks for %.40s",
-             x->adapter);
+    if (x->state == PLAN_LEAVING || find_requirement(p, x->adapter)) continue;
+    snprintf(p->reason, sizeof p->reason, "no service uses %.40s", x->adapter);
     x->state = PLAN_LEAVING;
     return true;
   }
   return false;
 }
 
-/* What targets said of their orders. */
-static bool take_word(Place *p, Plan *plan) {
+/* Applies what targets reported about their orders. */
+static bool apply_reports(Place *p, Plan *plan) {
   bool changed = false;
   for (guint i = plan->items->len; i > 0; i--) {
     PlanItem *x = &g_array_index(plan->items, PlanItem, i - 1);
     const Order *o = g_hash_table_lookup(p->orders, x->target);
-    if (!o || !o->told) continue;
-    bool there = list_has(o->done, x->adapter);
+    if (!o || !o->confirmed) continue;
+    bool there = list_has(o->applied, x->adapter);
     bool loaded = x->state == PLAN_LOADING && there;
     bool gone = x->state == PLAN_LEAVING && !there;
     if (!loaded && !gone) continue;
@@ -235,170 +249,184 @@
   return changed;
 }
 
-/* Fewer live targets than the table wants: at once. */
-static bool repair(Place *p, Plan *plan) {
+/* Adds a target at once where fewer live targets than the table's minimum have
+   an adapter. */
+static bool ensure_minimum(Place *p, Plan *plan) {
   double load;
   for (int i = 0; i < p->m; i++) {
-    const PlaceWant *w = &p->wants[i];
+    const PlaceRequirement *w = &p->requirements[i];
     int n = count_live(p, plan, w->adapter, &load);
-    if (n >= w->least) continue;
-    const PlaceTarget *t = candidate(p, plan, w->adapter, G_MAXDOUBLE);
+    if (n >= w->min_targets) continue;
+    const PlaceTarget *t = find_candidate(p, plan, w->adapter, G_MAXDOUBLE);
     if (!t) continue;
-    snprintf(p->reason, sizeof p->reason, "%.40s is on %d targets of %d",
-             w->adapter, n, w->least);
+    snprintf(p->reason, sizeof p->reason, "%.40s is on %d of %d targets",
+             w->adapter, n, w->min_targets);
     plan_set(plan, t->name, w->adapter, PLAN_LOADING);
     return true;
   }
   return false;
 }
 
-static bool lasts(double *since, bool is, double now, double seconds) {
+static bool has_lasted(double *since, bool is, double now, double seconds) {
   if (!is) *since = 0;
   if (is && *since == 0) *since = now;
   return is && now - *since >= seconds;
 }
 
-static bool grow(Place *p, Plan *plan, const PlaceWant *w, double load) {
-  const PlaceTarget *t = candidate(p, plan, w->adapter, FREE);
+static bool add_target(Place *p, Plan *plan, const PlaceRequirement *w,
+                       double load) {
+  const PlaceTarget *t =
+      find_candidate(p, plan, w->adapter, CANDIDATE_MAX_LOAD_RATIO);
   if (!t) return false;
-  snprintf(p->reason, sizeof p->reason, "%.40s is busy at %.2f", w->adapter,
-           load);
+  snprintf(p->reason, sizeof p->reason, "load of %.40s is high: %.2f",
+           w->adapter, load);
   plan_set(plan, t->name, w->adapter, PLAN_LOADING);
   return true;
 }
 
-static bool shrink(Place *p, Plan *plan, const PlaceWant *w, double load) {
-  const PlaceTarget *t = surplus(p, plan, w->adapter);
+static bool drop_target(Place *p, Plan *plan, const PlaceRequirement *w,
+                        double load) {
+  const PlaceTarget *t = find_surplus(p, plan, w->adapter);
   if (!t) return false;
-  snprintf(p->reason, sizeof p->reason, "%.40s is calm at %.2f", w->adapter,
-           load);
+  snprintf(p->reason, sizeof p->reason, "load of %.40s is low: %.2f",
+           w->adapter, load);
   plan_set(plan, t->name, w->adapter, PLAN_LEAVING);
   return true;
 }
 
-/* Timers run for all; one change at a time. */
-static bool follow_demand(Place *p, Plan *plan) {
-  bool changed = false, may = p->now - p->changed >= CHANGE_S;
+/* Updates the timers of all adapters, and makes at most one change. */
+static bool adjust_to_demand(Place *p, Plan *plan) {
+  bool changed = false,
+       may_change = p->now - p->changed_at >= CHANGE_INTERVAL_S;
   for (int i = 0; i < p->m; i++) {
-    const PlaceWant *w = &p->wants[i];
-    Demand *d = entry(p->demands, w->adapter, sizeof *d);
+    const PlaceRequirement *w = &p->requirements[i];
+    Demand *d = get_or_add(p->demands, w->adapter, sizeof *d);
     double load;
     int n = count_live(p, plan, w->adapter, &load);
-    bool more = w->most == 0 || n < w->most;
-    bool full = lasts(&d->full, load > FULL, p->now, FULL_S);
-    bool calm = lasts(&d->calm, load < CALM, p->now, CALM_S);
-    if (changed || !may) continue;
-    if (full && more && w->asked > 0)
-      changed = grow(p, plan, w, load);
-    else if (calm && n > w->least)
-      changed = shrink(p, plan, w, load);
-    if (changed) d->full = d->calm = 0;
+    bool may_grow = w->max_targets == 0 || n < w->max_targets;
+    bool is_busy = has_lasted(&d->busy_since, load > GROW_LOAD_RATIO, p->now,
+                              GROW_AFTER_S);
+    bool is_idle = has_lasted(&d->idle_since, load < SHRINK_LOAD_RATIO, p->now,
+                              SHRINK_AFTER_S);
+    if (changed || !may_change) continue;
+    if (is_busy && may_grow && w->recent_requests > 0)
+      changed = add_target(p, plan, w, load);
+    else if (is_idle && n > w->min_targets)
+      changed = drop_target(p, plan, w, load);
+    if (changed) d->busy_since = d->idle_since = 0;
   }
-  if (changed) p->changed = p->now;
+  if (changed) p->changed_at = p->now;
   return changed;
 }
 
 /* == orders == */
 
-/* All that a target is to have now. What leaves stays until all know. */
-static void wanted(Place *p, const PlaceTarget *t, char *list) {
-  g_strlcpy(list, t->fixed, LIMIT_ADAPTERS);
-  plan_adapters(p->plan, t->name, 1 << PLAN_LOADING | 1 << PLAN_LOADED, list);
+/* Lists all adapters that a target should have now. One that is being removed
+   stays until all instances know of it. */
+static void list_wanted_adapters(Place *p, const PlaceTarget *t, char *list) {
+  g_strlcpy(list, t->configured, LIMIT_ADAPTERS);
+  plan_list_adapters(p->plan, t->name, 1 << PLAN_LOADING | 1 << PLAN_LOADED,
+                     list);
   for (guint i = 0; i < p->plan->items->len; i++) {
     const PlanItem *x = &g_array_index(p->plan->items, PlanItem, i);
     if (x->state != PLAN_LEAVING || strcmp(x->target, t->name) != 0) continue;
     char key[2 * LIMIT_NAME + 2];
     snprintf(key, sizeof key, "%s;%s", x->target, x->adapter);
-    double *since = entry(p->leaving, key, sizeof *since);
+    double *since = get_or_add(p->leaving, key, sizeof *since);
     if (*since == 0) *since = p->now;
-    if (p->now - *since < LEAVE_S) list_add(list, LIMIT_ADAPTERS, x->adapter);
+    if (p->now - *since < LEAVE_DELAY_S)
+      list_add(list, LIMIT_ADAPTERS, x->adapter);
   }
 }
 
-static void order(Place *p, const PlaceTarget *t) {
-  Order *o = entry(p->orders, t->name, sizeof *o);
+static void send_order(Place *p, const PlaceTarget *t) {
+  Order *o = get_or_add(p->orders, t->name, sizeof *o);
   char list[LIMIT_ADAPTERS];
-  wanted(p, t, list);
-  bool done = o->told && strcmp(list, o->done) == 0;
-  if (o->at > 0 && p->now - o->at < (done ? REPEAT_S : ORDER_S)) return;
-  o->at = p->now;
-  PlaceAction *a = act(p, PLACE_DO_ORDER);
+  list_wanted_adapters(p, t, list);
+  bool is_applied = o->confirmed && strcmp(list, o->applied) == 0;
+  if (o->sent_at > 0 &&
+      p->now - o->sent_at < (is_applied ? REFRESH_S : ORDER_RETRY_S))
+    return;
+  o->sent_at = p->now;
+  PlaceAction *a = queue_action(p, PLACE_SEND_ORDER);
   a->version = p->version;
   g_strlcpy(a->target, t->name, sizeof a->target);
   g_strlcpy(a->url, t->url, sizeof a->url);
   g_strlcpy(a->adapters, list, sizeof a->adapters);
 }
 
-static void order_all(Place *p) {
+static void send_all_orders(Place *p) {
   for (int i = 0; i < p->n; i++)
-    if (p->targets[i].live && given(p->plan, p->targets[i].name) > 0)
-      order(p, &p->targets[i]);
+    if (p->targets[i].live && count_planned(p->plan, p->targets[i].name) > 0)
+      send_order(p, &p->targets[i]);
 }
 
-void place_ordered(Place *p, double now, const char *target, uint64_t fence,
-                   const char *adapters, PlaceAnswer answer) {
+void place_on_order_result(Place *p, double now, const char *target,
+                           uint64_t fence, const char *adapters,
+                           PlaceOrderResult answer) {
   Order *o = g_hash_table_lookup(p->orders, target);
   p->now = now;
   if (answer == PLACE_FENCED && fence == p->version && p->phase == READY)
-    p->phase = UNREAD; /* somebody wrote a newer plan */
+    p->phase = UNREAD; /* another instance wrote a newer plan */
   if (!o || answer != PLACE_DONE) return;
-  g_strlcpy(o->done, adapters, sizeof o->done);
-  o->told = true;
+  g_strlcpy(o->applied, adapters, sizeof o->applied);
+  o->confirmed = true;
 }
 
-/* == the plan's way == */
+/* == reading and writing the plan == */
 
-static void put(Place *p, Plan *next) {
-  PlaceAction *a = act(p, PLACE_DO_PUT);
+static void put_plan(Place *p, Plan *next) {
+  PlaceAction *a = queue_action(p, PLACE_PUT_PLAN);
   a->version = p->version;
-  a->text = plan_text(next);
+  a->text = plan_to_json(next);
   g_strlcpy(a->reason, p->reason, sizeof a->reason);
-  plan_free(p->next);
-  p->next = next;
+  plan_free(p->pending);
+  p->pending = next;
   p->phase = WRITING;
   if (!p->faults.no_fence) return;
   plan_free(p->plan);
   p->plan = plan_copy(next);
-  order_all(p);
+  send_all_orders(p);
 }
 
-static void decide(Place *p) {
+static void update_plan(Place *p) {
   Plan *next = plan_copy(p->plan);
-  bool changed = take_word(p, next) || tidy(p, next) || repair(p, next);
-  changed = changed || follow_demand(p, next);
+  bool changed = apply_reports(p, next) || retire_obsolete(p, next) ||
+                 ensure_minimum(p, next);
+  changed = changed || adjust_to_demand(p, next);
   if (changed)
-    put(p, next);
+    put_plan(p, next);
   else
     plan_free(next);
 }
 
-void place_look(Place *p, double now, const PlaceTarget *targets, int n,
-                const PlaceWant *wants, int m) {
+void place_update(Place *p, double now, const PlaceTarget *targets, int n,
+                  const PlaceRequirement *requirements, int m) {
   p->now = now;
   p->targets = targets;
   p->n = n;
-  p->wants = wants;
+  p->requirements = requirements;
   p->m = m;
-  /* A read may have been old, and nothing else would tell. */
-  if (p->phase == READY && now - p->read_at >= REPEAT_S) p->phase = UNREAD;
+  /* A read may have returned an old plan, and no other event would show it. */
+  if (p->phase == READY && now - p->read_at >= REFRESH_S) p->phase = UNREAD;
   if (p->home && now >= p->retry_at) {
     if (p->phase == UNREAD) {
-      act(p, PLACE_DO_GET);
+      queue_action(p, PLACE_GET_PLAN);
       p->phase = READING;
     } else if (p->phase == READY) {
-      order_all(p);
-      decide(p);
+      send_all_orders(p);
+      update_plan(p);
     }
   }
   p->targets = NULL;
-  p->wants = NULL;
+  p->requirements = NULL;
   p->n = p->m = 0;
 }
 
 static void on_read(Place *p, uint64_t version, Plan *plan) {
-  if (!plan) { /* not ours to repair: an operator looks at it */
+  if (!plan) { /* an operator has to repair a damaged plan */
     p->phase = UNREAD;
-    p->retry_at = p->now + RETRY_S;
+    p->retry_at = p->now + STORE_RETRY_S;
     return;
   }
   plan_free(p->plan);
@@ -410,24 +438,24 @@
 
 static void on_written(Place *p, uint64_t version) {
   plan_free(p->plan);
-  p->plan = g_steal_pointer(&p->next);
+  p->plan = g_steal_pointer(&p->pending);
   p->version = version;
   p->phase = READY;
 }
 
-void place_stored(Place *p, double now, uint64_t seq, ErrKind kind,
-                  uint64_t version, const char *text) {
+void place_on_store_result(Place *p, double now, uint64_t seq, ErrKind kind,
+                           uint64_t version, const char *text) {
   Phase phase = p->phase;
-  if (seq != p->seq) return; /* of an earlier time as home */
+  if (seq != p->seq) return; /* from an earlier term as home */
   p->now = now;
   if (phase == READING && kind == ERR_NONE)
-    on_read(p, version, plan_read(text));
+    on_read(p, version, plan_parse(text));
   else if (phase == READING && kind == ERR_STORE_ABSENT)
     on_read(p, 0, plan_new());
   else if (phase == WRITING && kind == ERR_NONE)
     on_written(p, version);
   else if (phase == READING || phase == WRITING) {
-    p->phase = UNREAD; /* what was written, if it was, is read */
-    if (kind != ERR_STORE_CONFLICT) p->retry_at = now + RETRY_S;
+    p->phase = UNREAD; /* a read shows whether the write took effect */
+    if (kind != ERR_STORE_CONFLICT) p->retry_at = now + STORE_RETRY_S;
   }
 }
--- a/packages/place/place.h
+++ b/packages/place/place.h
@@ -1,7 +1,11 @@
-/* place.h: which targets of a pool load which adapters; the pure core of the
-   pool's home. What it decides is in force once its conditional update of the
-   plan is kept; the plan's version is the fence of the orders that follow, and
-   an order names all that the target is to have. docs/PLACEMENT.md. */
+/* place.h: decides which targets of a pool load which adapters. It runs at the
+   pool's home, the instance responsible for the pool, and makes no calls to the
+   system: it emits actions and takes their results.
+
+   The plan is the assignment of adapters to targets. A decision takes effect
+   once the store has accepted the conditional update of the plan. The plan's
+   version is the fencing token of the orders that follow. An order lists all
+   adapters that the target should have. docs/PLACEMENT.md. */
 #ifndef PLACE_PLACE_H
 #define PLACE_PLACE_H
 
@@ -11,61 +15,70 @@
 #include "kernel/err.h"
 #include "place/plan.h"
 
-/* A target of the pool, as it is now. */
+/* Current state of a target of the pool. */
 typedef struct PlaceTarget {
   char name[LIMIT_NAME], url[LIMIT_NAME];
-  char fixed[LIMIT_ADAPTERS]; /* by the operators' table */
-  int slots, loads;           /* loads: adapters that we may give it */
+  char configured[LIMIT_ADAPTERS]; /* adapters set in the configuration table */
+  int slots, max_adapters; /* max_adapters: that the plan may assign to it */
   int running, waiting;
-  bool live; /* neither leaving nor ejected */
+  bool live; /* neither shutting down nor ejected */
 } PlaceTarget;
 
-/* An adapter that services ask for. */
-typedef struct PlaceWant {
+/* What the services that use an adapter require. */
+typedef struct PlaceRequirement {
   char adapter[LIMIT_NAME];
-  int least, most; /* targets that have it; most 0: all */
-  double asked;    /* requests for it here since the last look */
-} PlaceWant;
+  int min_targets, max_targets; /* max_targets 0: no maximum */
+  double recent_requests;       /* since the last update */
+} PlaceRequirement;
 
 typedef enum {
-  PLACE_DONE,   /* the target has exactly what was ordered */
-  PLACE_BUSY,   /* it is loading */
-  PLACE_FENCED, /* it has seen a newer order */
-  PLACE_FAILED  /* no clear answer */
-} PlaceAnswer;
+  PLACE_DONE,    /* the target has exactly the ordered adapters */
+  PLACE_LOADING, /* the target is still loading */
+  PLACE_FENCED,  /* the target has received a newer order */
+  PLACE_FAILED   /* no answer, or an unexpected one */
+} PlaceOrderResult;
 
-typedef enum { PLACE_DO_GET, PLACE_DO_PUT, PLACE_DO_ORDER } PlaceDo;
+typedef enum {
+  PLACE_GET_PLAN,
+  PLACE_PUT_PLAN,
+  PLACE_SEND_ORDER
+} PlaceActionKind;
 
 typedef struct PlaceAction {
-  PlaceDo what;
+  PlaceActionKind action;
   uint64_t version; /* PUT: condition; ORDER: fence */
-  uint64_t seq;     /* GET, PUT: comes back with the result */
+  uint64_t seq;     /* GET, PUT: returned with the result */
   char *text;       /* PUT; g_free */
-  char reason[128]; /* PUT: why */
+  char reason[128]; /* PUT: of the change */
   char target[LIMIT_NAME], url[LIMIT_NAME];
-  char adapters[LIMIT_ADAPTERS]; /* ORDER: all that it is to have */
+  char adapters[LIMIT_ADAPTERS]; /* ORDER: all that the target should have */
 } PlaceAction;
 
 typedef struct PlaceFaults {
-  bool no_fence; /* orders go out before the plan is kept */
+  bool no_fence; /* orders are sent before the plan is stored */
 } PlaceFaults;
 
 typedef struct Place Place;
 
 Place *place_new(void);
 void place_free(Place *p);
-void place_faults(Place *p, PlaceFaults f);
-/* We are the pool's home, or no longer: then everything is forgotten. */
-void place_home(Place *p, bool home);
-/* A look at the pool, each second or so. */
-void place_look(Place *p, double now, const PlaceTarget *targets, int n,
-                const PlaceWant *wants, int m);
-/* Result of the GET or PUT `seq` of the plan; `text` of a GET. */
-void place_stored(Place *p, double now, uint64_t seq, ErrKind kind,
-                  uint64_t version, const char *text);
-/* Answer to an order of `fence` for `adapters`. */
-void place_ordered(Place *p, double now, const char *target, uint64_t fence,
-                   const char *adapters, PlaceAnswer answer);
-bool place_next(Place *p, PlaceAction *a);
+void place_set_faults(Place *p, PlaceFaults f);
+/* Sets whether this instance is the pool's home. When it stops being the home,
+   all state is reset. */
+void place_set_home(Place *p, bool home);
+/* Reports the state of the pool and decides; to be called about once a
+   second. */
+void place_update(Place *p, double now, const PlaceTarget *targets, int n,
+                  const PlaceRequirement *requirements, int m);
+/* Result of the GET or PUT action `seq`; `text` is the plan that a GET
+   returned. */
+void place_on_store_result(Place *p, double now, uint64_t seq, ErrKind kind,
+                           uint64_t version, const char *text);
+/* Answer to an order for `adapters` with the fencing token `fence`. */
+void place_on_order_result(Place *p, double now, const char *target,
+                           uint64_t fence, const char *adapters,
+                           PlaceOrderResult answer);
+/* Removes the next action to perform; false when there is none. */
+bool place_next_action(Place *p, PlaceAction *a);
 
 #endif
--- a/packages/place/plan.c
+++ b/packages/place/plan.c
@@ -1,4 +1,4 @@
-/* plan.c: plans as text, and lists of adapters. */
+/* plan.c: items of a plan and their JSON form. */
 #include "place/plan.h"
 
 #include <jansson.h>
@@ -7,7 +7,8 @@
 #include "kernel/list.h"
 #include "kernel/text.h"
 
-static const char *const states[PLAN_STATES] = {"loading", "loaded", "leaving"};
+static const char *const states[PLAN_STATE_COUNT] = {"loading", "loaded",
+                                                     "leaving"};
 
 /* == items == */
 
@@ -30,7 +31,7 @@
   return c;
 }
 
-static int find(const Plan *p, const char *target, const char *adapter) {
+static int find_index(const Plan *p, const char *target, const char *adapter) {
   for (guint i = 0; i < p->items->len; i++) {
     const PlanItem *x = &g_array_index(p->items, PlanItem, i);
     if (strcmp(x->target, target) == 0 && strcmp(x->adapter, adapter) == 0)
@@ -40,11 +41,11 @@
 }
 
 PlanItem *plan_find(const Plan *p, const char *target, const char *adapter) {
-  int i = find(p, target, adapter);
+  int i = find_index(p, target, adapter);
   return i < 0 ? NULL : &g_array_index(p->items, PlanItem, i);
 }
 
-static gint by_name(gconstpointer a, gconstpointer b) {
+static gint compare_items(gconstpointer a, gconstpointer b) {
   const PlanItem *x = a, *y = b;
   int d = strcmp(x->target, y->target);
   return d ? d : strcmp(x->adapter, y->adapter);
@@ -60,15 +61,16 @@
   g_strlcpy(new.target, target, sizeof new.target);
   g_strlcpy(new.adapter, adapter, sizeof new.adapter);
   g_array_append_val(p->items, new);
-  g_array_sort(p->items, by_name);
+  g_array_sort(p->items, compare_items);
 }
 
 void plan_remove(Plan *p, const char *target, const char *adapter) {
-  int i = find(p, target, adapter);
+  int i = find_index(p, target, adapter);
   if (i >= 0) g_array_remove_index(p->items, (guint)i);
 }
 
-void plan_adapters(const Plan *p, const char *target, int mask, char *list) {
+void plan_list_adapters(const Plan *p, const char *target, int mask,
+                        char *list) {
   for (guint i = 0; i < p->items->len; i++) {
     const PlanItem *x = &g_array_index(p->items, PlanItem, i);
     bool wanted = (mask & 1 << x->state) != 0;
@@ -77,9 +79,9 @@
   }
 }
 
-/* == text == */
+/* == JSON == */
 
-char *plan_text(const Plan *p) {
+char *plan_to_json(const Plan *p) {
   json_t *all = json_array();
   for (guint i = 0; i < p->items->len; i++) {
     const PlanItem *x = &g_array_index(p->items, PlanItem, i);
@@ -91,12 +93,12 @@
 }
 
 static int state_of(const char *name) {
-  for (int i = 0; i < PLAN_STATES; i++)
+  for (int i = 0; i < PLAN_STATE_COUNT; i++)
     if (strcmp(name, states[i]) == 0) return i;
   return -1;
 }
 
-Plan *plan_read(const char *text) {
+Plan *plan_parse(const char *text) {
   json_t *all = text ? json_loads(text, 0, NULL) : NULL, *o;
   if (!json_is_array(all)) {
     json_decref(all);
--- a/packages/place/plan.h
+++ b/packages/place/plan.h
@@ -1,5 +1,5 @@
-/* plan.h: which target of a pool is to have which adapters, as it is kept in
-   the platform's store, one object a pool. */
+/* plan.h: a plan assigns adapters to the targets of a pool. It is stored as one
+   object per pool in the platform's store. */
 #ifndef PLACE_PLAN_H
 #define PLACE_PLAN_H
 
@@ -9,10 +9,10 @@
 #include "kernel/limits.h"
 
 typedef enum {
-  PLAN_LOADING, /* ordered; no requests yet */
-  PLAN_LOADED,  /* the target said so: requests may go there */
-  PLAN_LEAVING, /* no new requests; unloaded once all instances know */
-  PLAN_STATES
+  PLAN_LOADING, /* ordered; no requests go there yet */
+  PLAN_LOADED,  /* the target confirmed it: requests may go there */
+  PLAN_LEAVING, /* no new requests; unloaded after all instances know */
+  PLAN_STATE_COUNT
 } PlanState;
 
 typedef struct PlanItem {
@@ -21,21 +21,23 @@
 } PlanItem;
 
 typedef struct Plan {
-  GArray *items; /* PlanItem, by target and adapter */
+  GArray *items; /* PlanItem, sorted by target and adapter */
 } Plan;
 
 Plan *plan_new(void);
 Plan *plan_copy(const Plan *p);
 void plan_free(Plan *p);
-/* JSON (g_free), and back; NULL when it is no plan. */
-char *plan_text(const Plan *p);
-Plan *plan_read(const char *text);
-/* NULL when there is none. */
+/* Returns the plan as JSON; to be freed with g_free. */
+char *plan_to_json(const Plan *p);
+/* Returns NULL when the text is not a plan. */
+Plan *plan_parse(const char *text);
+/* Returns NULL when there is no such item. */
 PlanItem *plan_find(const Plan *p, const char *target, const char *adapter);
-/* Adds or changes. */
+/* Adds the item or changes its state. */
 void plan_set(Plan *p, const char *target, const char *adapter, PlanState s);
 void plan_remove(Plan *p, const char *target, const char *adapter);
-/* Adds the adapters of `target` in the states of the bit mask to `list`, which
-   is separated by ';' and of LIMIT_ADAPTERS bytes. */
-void plan_adapters(const Plan *p, const char *target, int states, char *list);
+/* Appends the adapters of `target` whose state is in the bit mask `states` to
+   `list`, a buffer of LIMIT_ADAPTERS bytes with entries separated by ';'. */
+void plan_list_adapters(const Plan *p, const char *target, int states,
+                        char *list);
 #endif
--- a/packages/queue/queue.h
+++ b/packages/queue/queue.h
@@ -1,9 +1,11 @@
-/* queue.h: in what order requests go to the targets of one pool; pure.
-
-   Strict classes for what a person waits for; within a class weighted shares
-   of tokens between customers; ageing, so that nothing waits for ever; caps;
-   and no wait that can't be kept: a request that would wait too long is
-   refused at once. docs/QUEUE.md. */
+/* queue.h: the order in which requests go to the targets of one pool (a group
+   of targets that share a queue). The code makes no calls to the system.
+
+   Priority classes are strict, so that interactive requests go first. Within a
+   class, customers get weighted shares of tokens. A waiting request rises by a
+   class at intervals, so that none starves. Caps bound the requests and tokens
+   of a customer and the requests of a service. A request whose predicted wait
+   is over its limit is refused at once. docs/QUEUE.md. */
 #ifndef QUEUE_QUEUE_H
 #define QUEUE_QUEUE_H
 
@@ -16,39 +18,41 @@
 typedef struct QueueItem {
   uint64_t handle;
   char customer[LIMIT_NAME];
-  int class;        /* 0 is served first */
-  double weight;    /* share of the customer */
-  int64_t tokens;   /* expected cost */
-  double wait_s;    /* longest wait */
-  int running_cap;  /* requests of the customer at once, 0 none */
-  int64_t rate_cap; /* tokens a minute of the customer, 0 none */
+  int class;         /* 0 is served first */
+  double weight;     /* the customer's share within its class */
+  int64_t tokens;    /* expected number */
+  double max_wait_s; /* refused when it has waited this long */
+  int running_cap;   /* concurrent requests of the customer; 0: no cap */
+  int64_t rate_cap;  /* the customer's tokens per minute; 0: no cap */
   char service[LIMIT_NAME];
-  int service_cap; /* requests of the service at once, 0 none */
+  int service_cap; /* concurrent requests of the service; 0: no cap */
 } QueueItem;
 
-typedef struct QueueOut {
+typedef struct QueueDecision {
   uint64_t handle;
-  ErrKind refused; /* ERR_NONE: its turn */
+  ErrKind refused; /* ERR_NONE: the request may be sent */
   int retry_ms;
-} QueueOut;
+} QueueDecision;
 
 typedef struct Queue Queue;
 
 Queue *queue_new(void);
 void queue_free(Queue *q);
-/* `rate`: requests a second that the pool finishes. Either queued (ERR_NONE)
-   or refused at once, with the time to come back in *retry_ms. */
+/* Queues the request and returns ERR_NONE, or refuses it and sets *retry_ms to
+   the time after which the caller should retry. `rate` is the number of
+   requests per second that the pool finishes. */
 ErrKind queue_push(Queue *q, double now, const QueueItem *item, double rate,
                    int *retry_ms);
-/* The next request whose turn it is while `room` > 0, or one whose wait is
-   over. False: nothing to do now. */
-bool queue_pop(Queue *q, double now, int room, double rate, QueueOut *out);
-/* A request that had its turn is over; `tokens` is what it really used. */
+/* Removes a request whose wait has expired (out->refused is set) or, while
+   `room` > 0, the next one to send. Returns false when there is neither. */
+bool queue_pop(Queue *q, double now, int room, double rate, QueueDecision *out);
+/* Releases a request that was sent and has ended; `tokens` is the number that
+   it used. */
 void queue_done(Queue *q, const QueueItem *item, int64_t tokens);
-/* A waiting request went away. */
+/* Removes a waiting request whose caller has disconnected. */
 void queue_cancel(Queue *q, uint64_t handle);
 int queue_length(const Queue *q);
-/* Switch for measurement: first come, first served, no classes. */
-void queue_plain(Queue *q, bool plain);
+/* For benchmarks: serves in order of arrival, without classes. */
+void queue_set_fifo(Queue *q, bool fifo);
 
 #endif
--- a/packages/route/pool.c
+++ b/packages/route/pool.c
@@ -71,7 +71,7 @@
   return low;
 }
 
-static void place_next(Pool *p) {
+static void place_next_action(Pool *p) {
   guint from = p->ordered;
   Target *t = p->members->pdata[from];
   guint to = first_from(p, t->hash);
@@ -84,7 +84,7 @@
 GPtrArray *pool_members(Pool *p) {
   guint n = p->members->len;
   if (n - p->ordered <= PLACE_MOST) {
-    while (p->ordered < n) place_next(p);
+    while (p->ordered < n) place_next_action(p);
     return p->members;
   }
   g_ptr_array_sort_with_data(p->members, by_hash, &p->looks);
--- a/packages/target/engine.c
+++ b/packages/target/engine.c
@@ -1,4 +1,4 @@
-/* engine.c: the adapter for engines that speak the public chat format. */
+/* engine.c: client of engines with the public chat completions API. */
 #include "target/engine.h"
 
 #include <glib.h>
@@ -9,11 +9,11 @@
 
 #include "kernel/clock.h"
 
-#define CONNECT_S 2
-#define READ_S 60
-#define CONTROL_S 1 /* load and cancel answer within this, or not at all */
+#define CONNECT_TIMEOUT_S 2
+#define READ_TIMEOUT_S 60
+#define CONTROL_TIMEOUT_S 1 /* of load, cancel and adapter calls */
 
-HttpStream *engine_open(HttpClient *c, const EngineCall *call, HttpAnswer *a) {
+HttpStream *engine_start(HttpClient *c, const EngineCall *call, HttpAnswer *a) {
   char priority[16];
   snprintf(priority, sizeof priority, "%d", call->priority);
   const char *headers[] = {"Content-Type",
@@ -38,9 +38,10 @@
   return http_open(c, &(HttpCall){.method = "GET", .path = path}, false, a);
 }
 
-/* A short call; the answer's JSON if its status is 200. */
-static json_t *control(const char *url, const HttpCall *call, int *status) {
-  HttpClient *c = http_client(url, CONTROL_S, CONTROL_S);
+/* Makes a short call; returns the answer's JSON if its status is 200. */
+static json_t *control_call(const char *url, const HttpCall *call,
+                            int *status) {
+  HttpClient *c = http_client(url, CONTROL_TIMEOUT_S, CONTROL_TIMEOUT_S);
   HttpAnswer a;
   *status = 0;
   if (!c) return NULL;
@@ -54,12 +55,15 @@
   return o;
 }
 
-static json_t *ask(const char *url, const char *method, const char *path) {
+static json_t *call_json(const char *url, const char *method,
+                         const char *path) {
   int status;
-  return control(url, &(HttpCall){.method = method, .path = path}, &status);
+  return control_call(url, &(HttpCall){.method = method, .path = path},
+                      &status);
 }
 
-PlaceAnswer engine_adapters(const char *url, uint64_t fence, const char *list) {
+PlaceOrderResult engine_set_adapters(const char *url, uint64_t fence,
+                                     const char *list) {
   char path[64];
   int status, busy = 0;
   json_t *names = json_array();
@@ -72,20 +76,20 @@
   snprintf(path, sizeof path, "/adapters?fence=%" PRIu64, fence);
   HttpCall call = {
       .method = "POST", .path = path, .body = text, .len = strlen(text)};
-  json_t *o = control(url, &call, &status);
+  json_t *o = control_call(url, &call, &status);
   bool ok = o && json_unpack(o, "{s:b}", "loading", &busy) == 0;
   free(text);
   json_decref(body);
   json_decref(o);
   if (status == 409) return PLACE_FENCED;
   if (!ok) return PLACE_FAILED;
-  return busy ? PLACE_BUSY : PLACE_DONE;
+  return busy ? PLACE_LOADING : PLACE_DONE;
 }
 
 int64_t engine_cancel(const char *url, const char *id) {
   char path[192];
   snprintf(path, sizeof path, "/cancel?id=%s", id);
-  json_t *o = ask(url, "POST", path);
+  json_t *o = call_json(url, "POST", path);
   json_int_t prompt, output;
   int64_t n = -1;
   if (o && json_unpack(o, "{s:I,s:I}", "prompt_tokens", &prompt,
@@ -95,34 +99,34 @@
   return n;
 }
 
-bool engine_load(const char *url, EngineLoad *load, double *path_s) {
+bool engine_get_load(const char *url, EngineLoad *load, double *round_trip_s) {
   double before = clock_now();
-  json_t *o = ask(url, "GET", "/load");
-  *path_s = clock_now() - before;
+  json_t *o = call_json(url, "GET", "/load");
+  *round_trip_s = clock_now() - before;
   bool ok = o && json_unpack(o, "{s:i,s:i}", "running", &load->running,
                              "waiting", &load->waiting) == 0;
   json_decref(o);
   return ok;
 }
 
-int64_t engine_usage(json_t *answer) {
+int64_t engine_usage_tokens(json_t *answer) {
   json_t *total =
       json_object_get(json_object_get(answer, "usage"), "total_tokens");
   return json_is_integer(total) ? json_integer_value(total) : -1;
 }
 
-int64_t engine_asked(json_t *request) {
+int64_t engine_requested_max_tokens(json_t *request) {
   json_t *n = json_object_get(request, "max_completion_tokens");
   if (!n) n = json_object_get(request, "max_tokens");
   return json_is_integer(n) ? json_integer_value(n) : 0;
 }
 
-void engine_model(json_t *request, const char *model, const char *adapter) {
+void engine_set_model(json_t *request, const char *model, const char *adapter) {
   json_object_set_new(request, "model",
                       json_string(adapter[0] ? adapter : model));
 }
 
-void engine_bound(json_t *request, int64_t max_output) {
+void engine_limit_output(json_t *request, int64_t max_output) {
   json_object_del(request, "max_completion_tokens");
   json_object_set_new(request, "max_tokens", json_integer(max_output));
   if (json_is_true(json_object_get(request, "stream")))
--- a/packages/target/engine.h
+++ b/packages/target/engine.h
@@ -1,5 +1,5 @@
-/* engine.h: what is spelled differently from engine to engine: paths, names of
-   headers and fields. Another engine is another engine.c. */
+/* engine.h: the API of an inference engine: its paths and the names of its
+   headers and fields. Support for another engine is another engine.c. */
 #ifndef TARGET_ENGINE_H
 #define TARGET_ENGINE_H
 
@@ -15,30 +15,33 @@
 
 typedef struct EngineCall {
   const char *id; /* request id */
-  int priority;   /* 0 first */
+  int priority;   /* 0 is served first */
   const char *body;
   size_t len;
 } EngineCall;
 
-/* Starts a completion on a connection of its own: never sent twice. */
-HttpStream *engine_open(HttpClient *c, const EngineCall *call, HttpAnswer *a);
-/* Goes on with the stream of a run whose connection broke, after `seen` events
-   of it; status 404 when the engine no longer has it. */
+/* Starts a completion on a new connection; the request is never sent twice. */
+HttpStream *engine_start(HttpClient *c, const EngineCall *call, HttpAnswer *a);
+/* Resumes the stream of a run whose connection broke, after its first `seen`
+   events. The status is 404 when the engine no longer has the run. */
 HttpStream *engine_resume(HttpClient *c, const char *id, int seen,
                           HttpAnswer *a);
-/* Stops a run; tokens it counted, -1 when the engine can't say. */
+/* Stops a run. Returns the tokens that it used, or -1 when unknown. */
 int64_t engine_cancel(const char *url, const char *id);
-/* False when there was no answer. `path_s` gets the seconds it took. */
-bool engine_load(const char *url, EngineLoad *load, double *path_s);
-/* Orders the engine to have exactly the adapters `list`, separated by ';'. */
-PlaceAnswer engine_adapters(const char *url, uint64_t fence, const char *list);
-/* Tokens of a usage object; -1 when there is none. */
-int64_t engine_usage(json_t *answer);
-/* Sets the cap on output and asks for usage at the end of a stream. */
-void engine_bound(json_t *request, int64_t max_output);
-/* Names the model, or the adapter on it, as the engine knows it. */
-void engine_model(json_t *request, const char *model, const char *adapter);
-/* The cap that a request asks for, 0 when none. */
-int64_t engine_asked(json_t *request);
+/* Returns false without an answer. Sets `round_trip_s` in either case. */
+bool engine_get_load(const char *url, EngineLoad *load, double *round_trip_s);
+/* Orders the engine to load exactly the adapters in `list`, separated by ';'.
+   `fence` is the version of the plan. */
+PlaceOrderResult engine_set_adapters(const char *url, uint64_t fence,
+                                     const char *list);
+/* Returns the total tokens of the answer's usage object, -1 without one. */
+int64_t engine_usage_tokens(json_t *answer);
+/* Sets the maximum of output tokens and requests usage at the end of a
+   stream. */
+void engine_limit_output(json_t *request, int64_t max_output);
+/* Sets the model field to the adapter, or to the model without one. */
+void engine_set_model(json_t *request, const char *model, const char *adapter);
+/* Returns the maximum of output tokens that the request sets, 0 for none. */
+int64_t engine_requested_max_tokens(json_t *request);
 
 #endif
--- a/tests/stored_again.h
+++ b/tests/stored_again.h
@@ -75,8 +75,8 @@
 }
 
 static inline char *plan_again(const char *text) {
-  Plan *p = plan_read(text);
-  char *again = p ? plan_text(p) : NULL;
+  Plan *p = plan_parse(text);
+  char *again = p ? plan_to_json(p) : NULL;
   plan_free(p);
   return again;
 }
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -1,4 +1,5 @@
-/* test_place.c: what a pool's home decides, and what its orders may do. */
+/* test_place.c: decisions of a pool's home, and the effect of its orders when
+   homes pause or the store loses an answer. */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <stdio.h>
@@ -9,58 +10,60 @@
 
 #define TARGETS 4
 
-/* == a store, four targets and up to two homes == */
+/* == simulated store, four targets and up to two homes == */
 
-typedef struct Shop {
-  char *text; /* the plan's object */
+typedef struct World {
+  char *text; /* the stored plan */
   uint64_t version, fence[TARGETS];
   char loaded[TARGETS][LIMIT_ADAPTERS];
-  bool checks[TARGETS], dead[TARGETS]; /* checks: who sends an order */
-  int orders, late_orders, puts;
-  bool lose; /* the next answer of the store */
+  bool enforces_fence[TARGETS],
+      dead[TARGETS]; /* rejects old fences; does not answer */
+  int orders, stale_orders, puts;
+  bool lose_next_answer; /* of the store to the next PUT, which it applies */
   PlaceTarget targets[TARGETS];
-  PlaceWant want;
+  PlaceRequirement want;
   double now;
-} Shop;
+} World;
 
-static Shop *shop_new(void) {
-  Shop *s = g_new0(Shop, 1);
+static World *world_new(void) {
+  World *s = g_new0(World, 1);
   for (int i = 0; i < TARGETS; i++) {
     PlaceTarget *t = &s->targets[i];
     snprintf(t->name, sizeof t->name, "t%d", i);
     t->slots = 10;
-    t->loads = 2;
+    t->max_adapters = 2;
     t->live = true;
-    s->checks[i] = true;
+    s->enforces_fence[i] = true;
   }
-  s->want = (PlaceWant){.adapter = "tuned", .least = 1, .asked = 1};
+  s->want = (PlaceRequirement){
+      .adapter = "tuned", .min_targets = 1, .recent_requests = 1};
   return s;
 }
 
-static void shop_free(Shop *s) {
+static void world_free(World *s) {
   g_free(s->text);
   g_free(s);
 }
 
-static void serve_put(Shop *s, Place *p, const PlaceAction *a) {
+static void serve_put(World *s, Place *p, const PlaceAction *a) {
   ErrKind kind = ERR_STORE_CONFLICT;
   if (a->version == s->version) {
     g_free(s->text);
     s->text = g_strdup(a->text);
     s->version++;
     s->puts++;
-    kind = s->lose ? ERR_STORE_UNKNOWN : ERR_NONE;
-    s->lose = false;
+    kind = s->lose_next_answer ? ERR_STORE_UNKNOWN : ERR_NONE;
+    s->lose_next_answer = false;
   }
-  place_stored(p, s->now, a->seq, kind, s->version, NULL);
+  place_on_store_result(p, s->now, a->seq, kind, s->version, NULL);
 }
 
-static void serve_order(Shop *s, Place *p, const PlaceAction *a) {
+static void serve_order(World *s, Place *p, const PlaceAction *a) {
   int i = a->target[1] - '0';
-  PlaceAnswer answer = PLACE_DONE;
+  PlaceOrderResult answer = PLACE_DONE;
   if (s->dead[i]) answer = PLACE_FAILED;
-  if (s->checks[i] && a->version < s->fence[i]) {
-    s->late_orders++;
+  if (s->enforces_fence[i] && a->version < s->fence[i]) {
+    s->stale_orders++;
     answer = PLACE_FENCED;
   }
   if (answer == PLACE_DONE) {
@@ -68,48 +71,50 @@
     s->fence[i] = a->version;
     g_strlcpy(s->loaded[i], a->adapters, LIMIT_ADAPTERS);
   }
-  place_ordered(p, s->now, a->target, a->version, a->adapters, answer);
+  place_on_order_result(p, s->now, a->target, a->version, a->adapters, answer);
 }
 
-static void act(Shop *s, Place *p) {
+static void perform_actions(World *s, Place *p) {
   PlaceAction a;
-  while (place_next(p, &a)) {
-    if (a.what == PLACE_DO_GET)
-      place_stored(p, s->now, a.seq, s->text ? ERR_NONE : ERR_STORE_ABSENT,
-                   s->version, s->text);
-    if (a.what == PLACE_DO_PUT) serve_put(s, p, &a);
-    if (a.what == PLACE_DO_ORDER) serve_order(s, p, &a);
+  while (place_next_action(p, &a)) {
+    if (a.action == PLACE_GET_PLAN)
+      place_on_store_result(p, s->now, a.seq,
+                            s->text ? ERR_NONE : ERR_STORE_ABSENT, s->version,
+                            s->text);
+    if (a.action == PLACE_PUT_PLAN) serve_put(s, p, &a);
+    if (a.action == PLACE_SEND_ORDER) serve_order(s, p, &a);
     g_free(a.text);
   }
 }
 
-static void look(Shop *s, Place *p) {
-  place_look(p, s->now, s->targets, TARGETS, &s->want, s->want.adapter[0] != 0);
+static void update(World *s, Place *p) {
+  place_update(p, s->now, s->targets, TARGETS, &s->want,
+               s->want.adapter[0] != 0);
 }
 
-static void run(Shop *s, Place *p, int seconds) {
+static void run(World *s, Place *p, int seconds) {
   for (int i = 0; i < seconds; i++) {
-    look(s, p);
-    act(s, p);
+    update(s, p);
+    perform_actions(s, p);
     s->now += 1;
   }
 }
 
-static Place *home(void) {
+static Place *new_home(void) {
   Place *p = place_new();
-  place_home(p, true);
+  place_set_home(p, true);
   return p;
 }
 
-static int loaded(const Shop *s) {
+static int count_loaded(const World *s) {
   int n = 0;
   for (int i = 0; i < TARGETS; i++) n += list_has(s->loaded[i], "tuned");
   return n;
 }
 
-/* Targets to which requests may go. */
-static int routable(const Shop *s) {
-  Plan *plan = plan_read(s->text);
+/* Counts the targets to which requests may go. */
+static int count_routable(const World *s) {
+  Plan *plan = plan_parse(s->text);
   int n = 0;
   for (guint i = 0; i < plan->items->len; i++)
     n += g_array_index(plan->items, PlanItem, i).state == PLAN_LOADED;
@@ -117,7 +122,7 @@
   return n;
 }
 
-static void busy(Shop *s, double load) {
+static void set_load(World *s, double load) {
   for (int i = 0; i < TARGETS; i++)
     s->targets[i].running =
         list_has(s->loaded[i], "tuned") ? (int)(load * 10) : 1;
@@ -125,80 +130,81 @@
 
 /* == decisions == */
 
-Test(place, an_adapter_that_is_asked_for_is_loaded_where_it_is_calm) {
-  Shop *s = shop_new();
-  Place *p = home();
+Test(place, a_requested_adapter_is_loaded_on_the_least_busy_target) {
+  World *s = world_new();
+  Place *p = new_home();
   for (int i = 0; i < TARGETS; i++) s->targets[i].running = 5 - i;
   run(s, p, 5);
   cr_assert_str_eq(s->loaded[3], "tuned");
-  cr_assert_eq(loaded(s), 1);
-  cr_assert_eq(routable(s), 1);
+  cr_assert_eq(count_loaded(s), 1);
+  cr_assert_eq(count_routable(s), 1);
   place_free(p);
-  shop_free(s);
+  world_free(s);
 }
 
-Test(place, the_operators_own_placement_counts_and_stays) {
-  Shop *s = shop_new();
-  Place *p = home();
-  g_strlcpy(s->targets[0].fixed, "tuned;base", LIMIT_ADAPTERS);
+Test(place, configured_adapters_count_and_stay) {
+  World *s = world_new();
+  Place *p = new_home();
+  g_strlcpy(s->targets[0].configured, "tuned;base", LIMIT_ADAPTERS);
   run(s, p, 5);
   cr_assert_eq(s->orders, 0);
-  s->want.least = 2;
-  g_strlcpy(s->targets[1].fixed, "other", LIMIT_ADAPTERS);
+  s->want.min_targets = 2;
+  g_strlcpy(s->targets[1].configured, "other", LIMIT_ADAPTERS);
   s->targets[2].running = s->targets[3].running = 9;
   run(s, p, 5);
   cr_assert_str_eq(s->loaded[1], "other;tuned");
   place_free(p);
-  shop_free(s);
+  world_free(s);
 }
 
-Test(place, it_grows_when_busy_for_long_and_shrinks_when_calm_for_longer) {
-  Shop *s = shop_new();
-  Place *p = home();
+Test(place, grows_after_sustained_load_and_shrinks_after_longer_idleness) {
+  World *s = world_new();
+  Place *p = new_home();
   run(s, p, 5);
-  for (int i = 0; i < 8;
-       i++) { /* busy for eight seconds only, again and again */
-    busy(s, 1);
+  for (int i = 0; i < 8; i++) { /* busy for eight seconds at a time */
+    set_load(s, 1);
     run(s, p, 8);
-    busy(s, 0.5);
+    set_load(s, 0.5);
     run(s, p, 2);
   }
-  cr_assert_eq(loaded(s), 1);
+  cr_assert_eq(count_loaded(s), 1);
   for (int i = 0; i < 15; i++) {
-    busy(s, 1);
+    set_load(s, 1);
     run(s, p, 1);
   }
-  cr_assert_eq(loaded(s), 2);
+  cr_assert_eq(count_loaded(s), 2);
   int puts = s->puts;
-  for (int i = 0; i < 100; i++) { /* between the marks nothing moves */
-    busy(s, i % 2 ? 0.3 : 0.7);
+  for (int i = 0; i < 100; i++) { /* between the thresholds nothing changes */
+    set_load(s, i % 2 ? 0.3 : 0.7);
     run(s, p, 1);
   }
   cr_assert_eq(s->puts, puts);
-  busy(s, 0);
+  set_load(s, 0);
   run(s, p, 130);
-  cr_assert_eq(routable(s), 1);
-  cr_assert_eq(loaded(s), 2); /* not before all instances know */
+  cr_assert_eq(count_routable(s), 1);
+  cr_assert_eq(count_loaded(s), 2); /* not unloaded before all instances know */
   run(s, p, 40);
-  cr_assert_eq(loaded(s), 1);
+  cr_assert_eq(count_loaded(s), 1);
   run(s, p, 600);
-  cr_assert_eq(loaded(s), 1); /* never below the least */
+  cr_assert_eq(count_loaded(s), 1); /* never below the minimum */
   place_free(p);
-  shop_free(s);
+  world_free(s);
 }
 
-/* Two adapters are busy alike: they do not move in the same ten seconds. */
-Test(place, demand_moves_one_adapter_in_ten_seconds) {
-  Shop *s = shop_new();
-  Place *p = home();
-  PlaceWant wants[2] = {{.adapter = "a", .least = 1, .asked = 1},
-                        {.adapter = "b", .least = 1, .asked = 1}};
+/* Two adapters are equally busy: at most one of them changes within ten
+   seconds. */
+Test(place, demand_changes_one_adapter_in_ten_seconds) {
+  World *s = world_new();
+  Place *p = new_home();
+  PlaceRequirement required[2] = {
+      {.adapter = "a", .min_targets = 1, .recent_requests = 1},
+      {.adapter = "b", .min_targets = 1, .recent_requests = 1}};
   int before = 0, most = 0, changes[200] = {0};
   for (int second = 0; second < 200; second++) {
     for (int i = 0; i < TARGETS; i++)
       s->targets[i].running = s->loaded[i][0] ? 20 : 1;
-    place_look(p, s->now, s->targets, TARGETS, wants, 2);
-    act(s, p);
+    place_update(p, s->now, s->targets, TARGETS, required, 2);
+    perform_actions(s, p);
     s->now += 1;
     int now = 0;
     for (int i = 0; i < TARGETS; i++)
@@ -214,143 +220,145 @@
   cr_assert_eq(most, 1);
   cr_assert_geq(before, 3);
   place_free(p);
-  shop_free(s);
+  world_free(s);
 }
 
-Test(place, it_grows_no_further_than_the_table_says) {
-  Shop *s = shop_new();
-  Place *p = home();
-  s->want.most = 3;
+Test(place, growth_stops_at_the_configured_maximum) {
+  World *s = world_new();
+  Place *p = new_home();
+  s->want.max_targets = 3;
   for (int second = 0; second < 100; second++) {
-    busy(s, 2);
+    set_load(s, 2);
     run(s, p, 1);
   }
-  cr_assert_eq(loaded(s), 3);
+  cr_assert_eq(count_loaded(s), 3);
   place_free(p);
-  shop_free(s);
+  world_free(s);
 }
 
 Test(place, a_lost_target_is_replaced_at_once) {
-  Shop *s = shop_new();
-  Place *p = home();
+  World *s = world_new();
+  Place *p = new_home();
   run(s, p, 5);
   int first = list_has(s->loaded[0], "tuned") ? 0 : 1;
   s->dead[first] = true;
   s->targets[first].live = false;
   run(s, p, 4);
-  cr_assert_eq(loaded(s), 2);
-  cr_assert_geq(routable(s), 1);
+  cr_assert_eq(count_loaded(s), 2);
+  cr_assert_geq(count_routable(s), 1);
   place_free(p);
-  shop_free(s);
+  world_free(s);
 }
 
-Test(place, an_adapter_that_nobody_asks_for_is_unloaded) {
-  Shop *s = shop_new();
-  Place *p = home();
+Test(place, an_unused_adapter_is_unloaded) {
+  World *s = world_new();
+  Place *p = new_home();
   run(s, p, 5);
-  s->want.adapter[0] = '\0'; /* the service's row is gone */
+  s->want.adapter[0] = '\0'; /* the service was removed from the table */
   run(s, p, 3);
-  cr_assert_eq(routable(s), 0);
-  cr_assert_eq(loaded(s), 1);
+  cr_assert_eq(count_routable(s), 0);
+  cr_assert_eq(count_loaded(s), 1);
   run(s, p, 30);
-  cr_assert_eq(loaded(s), 0);
+  cr_assert_eq(count_loaded(s), 0);
   cr_assert_str_eq(s->text, "[]");
   place_free(p);
-  shop_free(s);
+  world_free(s);
 }
 
-/* == homes that sleep, stores that lose answers == */
+/* == paused homes, lost answers of the store == */
 
-Test(place, a_lost_answer_of_the_store_is_read_again) {
-  Shop *s = shop_new();
-  Place *p = home();
-  s->lose = true;
+Test(place, a_lost_store_answer_is_resolved_by_a_read) {
+  World *s = world_new();
+  Place *p = new_home();
+  s->lose_next_answer = true;
   run(s, p, 2);
-  cr_assert_eq(s->orders, 0); /* nothing is ordered on a guess */
+  cr_assert_eq(s->orders, 0); /* no order while the outcome is unknown */
   run(s, p, 8);
-  cr_assert_eq(loaded(s), 1);
-  cr_assert_eq(s->puts, 2); /* the plan, and that it is loaded */
+  cr_assert_eq(count_loaded(s), 1);
+  cr_assert_eq(s->puts, 2); /* the plan, and its change to loaded */
   place_free(p);
-  shop_free(s);
+  world_free(s);
 }
 
-/* The home sleeps over a takeover; what it ordered before it slept comes late.
- */
-static void sleep_over(Shop *s, PlaceFaults f) {
-  Place *old = home(), *new = home();
-  place_faults(old, f);
+/* A home pauses while another takes over; the orders that it queued before the
+   pause are sent after it. */
+static void pause_over_takeover(World *s, PlaceFaults f) {
+  Place *old = new_home(), *new = new_home();
+  place_set_faults(old, f);
   run(s, old, 5);
-  /* It decides on another target, and sleeps before anything leaves. */
-  s->want.least = 2;
-  look(s, old);
-  s->want.least = 1;
+  /* It decides on another target and pauses before anything is sent. */
+  s->want.min_targets = 2;
+  update(s, old);
+  s->want.min_targets = 1;
   s->want.adapter[0] = '\0';
-  run(s, new, 30); /* the new home takes everything away */
-  cr_assert_eq(loaded(s), 0);
-  act(s, old); /* it wakes up */
+  run(s, new, 30); /* the new home unloads everything */
+  cr_assert_eq(count_loaded(s), 0);
+  perform_actions(s, old); /* the old home resumes */
   s->want.adapter[0] = 't';
-  s->want.least = 0;
+  s->want.min_targets = 0;
   run(s, old, 3);
   place_free(old);
   place_free(new);
 }
 
-Test(place, late_orders_of_a_paused_home_do_nothing_at_targets_that_check) {
-  Shop *s = shop_new();
-  sleep_over(s, (PlaceFaults){0});
-  cr_assert_eq(loaded(s), 0);
-  shop_free(s);
+Test(place, fencing_targets_reject_stale_orders_of_a_paused_home) {
+  World *s = world_new();
+  pause_over_takeover(s, (PlaceFaults){0});
+  cr_assert_eq(count_loaded(s), 0);
+  world_free(s);
 }
 
-/* Targets that do not check get what was decided, never what was not kept. */
-Test(place, a_paused_home_orders_nothing_that_was_not_kept) {
-  Shop *s = shop_new();
-  for (int i = 0; i < TARGETS; i++) s->checks[i] = false;
-  sleep_over(s, (PlaceFaults){0});
-  cr_assert_eq(loaded(s), 0);
-  shop_free(s);
+/* Targets that don't check the fence may get old orders, but only of plans that
+   were stored. */
+Test(place, a_paused_home_sends_no_order_before_its_plan_is_stored) {
+  World *s = world_new();
+  for (int i = 0; i < TARGETS; i++) s->enforces_fence[i] = false;
+  pause_over_takeover(s, (PlaceFaults){0});
+  cr_assert_eq(count_loaded(s), 0);
+  world_free(s);
 }
 
-Test(place, orders_before_the_plan_is_kept_would_go_wrong) {
-  Shop *s = shop_new();
-  for (int i = 0; i < TARGETS; i++) s->checks[i] = false;
-  sleep_over(s, (PlaceFaults){.no_fence = true});
-  cr_assert_gt(loaded(s), 0, "the switch does nothing");
-  shop_free(s);
+Test(place, orders_before_the_plan_is_stored_cause_a_fault) {
+  World *s = world_new();
+  for (int i = 0; i < TARGETS; i++) s->enforces_fence[i] = false;
+  pause_over_takeover(s, (PlaceFaults){.no_fence = true});
+  cr_assert_gt(count_loaded(s), 0, "the fault switch has no effect");
+  world_free(s);
 }
 
-/* At targets that do not check an old list may come late; it is put right. */
-Test(place, what_a_target_forgot_is_ordered_again) {
-  Shop *s = shop_new();
-  Place *p = home();
+/* A target that does not check the fence may apply an old list; the repeated
+   order corrects it. */
+Test(place, adapters_lost_by_a_target_are_ordered_again) {
+  World *s = world_new();
+  Place *p = new_home();
   run(s, p, 5);
   for (int i = 0; i < TARGETS; i++) s->loaded[i][0] = '\0';
   run(s, p, 35);
-  cr_assert_eq(loaded(s), 1);
+  cr_assert_eq(count_loaded(s), 1);
   place_free(p);
-  shop_free(s);
+  world_free(s);
 }
 
-Test(place, a_result_of_an_earlier_time_as_home_is_not_taken) {
-  Shop *s = shop_new();
-  Place *p = home();
+Test(place, a_result_from_an_earlier_term_as_home_is_ignored) {
+  World *s = world_new();
+  Place *p = new_home();
   run(s, p, 5);
-  s->want.least = 2;
-  look(s, p); /* a PUT is on its way */
+  s->want.min_targets = 2;
+  update(s, p); /* a PUT is pending */
   PlaceAction a, late = {0};
-  while (place_next(p, &a)) {
-    if (a.what == PLACE_DO_PUT) late = a;
-    if (a.what != PLACE_DO_PUT) g_free(a.text);
+  while (place_next_action(p, &a)) {
+    if (a.action == PLACE_PUT_PLAN) late = a;
+    if (a.action != PLACE_PUT_PLAN) g_free(a.text);
   }
-  place_home(p, false);
-  place_home(p, true);
+  place_set_home(p, false);
+  place_set_home(p, true);
   s->now += 1;
-  look(s, p); /* reads */
-  place_stored(p, s->now, late.seq, ERR_NONE, 99, NULL);
-  act(s, p);
+  update(s, p); /* starts a GET */
+  place_on_store_result(p, s->now, late.seq, ERR_NONE, 99, NULL);
+  perform_actions(s, p);
   run(s, p, 5);
-  cr_assert_eq(loaded(s), 2); /* and not an empty plan at version 99 */
+  cr_assert_eq(count_loaded(s), 2); /* not an empty plan at version 99 */
   g_free(late.text);
   place_free(p);
-  shop_free(s);
+  world_free(s);
 }
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -1,4 +1,5 @@
-/* test_queue.c: order, shares, ageing, caps, bounded waits. */
+/* test_queue.c: priority classes, weighted shares, aging, caps and bounded
+   waits. */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -10,7 +11,7 @@
                  .class = class,
                  .weight = 100,
                  .tokens = 100,
-                 .wait_s = 1000};
+                 .max_wait_s = 1000};
   snprintf(i.customer, sizeof i.customer, "%s", customer);
   return i;
 }
@@ -20,9 +21,9 @@
   cr_assert_eq(queue_push(q, now, &i, 1000, &retry), ERR_NONE);
 }
 
-Test(queue, a_shuttle_call_goes_before_letters_that_came_first) {
+Test(queue, class_0_goes_before_earlier_class_7) {
   Queue *q = queue_new();
-  QueueOut out;
+  QueueDecision out;
   for (uint64_t i = 1; i <= 20; i++) push(q, 0, item(i, "letters", 7));
   push(q, 0.1, item(99, "shuttle", 0));
   cr_assert(queue_pop(q, 0.1, 1, 1000, &out));
@@ -30,9 +31,9 @@
   queue_free(q);
 }
 
-Test(queue, nothing_starves) {
+Test(queue, low_class_requests_do_not_starve) {
   Queue *q = queue_new();
-  QueueOut out;
+  QueueDecision out;
   push(q, 0, item(1, "letters", 7));
   double served = -1;
   for (int i = 0; i < 1000 && served < 0; i++) {
@@ -47,7 +48,7 @@
 
 Test(queue, shares_within_a_class_follow_the_weights) {
   Queue *q = queue_new();
-  QueueOut out;
+  QueueDecision out;
   int big = 0;
   for (uint64_t i = 0; i < 400; i++) {
     QueueItem a = item(i * 2 + 1, "big", 3), b = item(i * 2 + 2, "small", 3);
@@ -59,42 +60,44 @@
     cr_assert(queue_pop(q, 0, 1, 1000, &out));
     big += out.handle % 2 == 1;
   }
-  cr_assert(big >= 148 && big <= 152, "%d of 200 for three parts in four", big);
+  cr_assert(big >= 148 && big <= 152, "%d of 200, expected three quarters",
+            big);
   queue_free(q);
 }
 
-Test(queue, a_wait_that_cannot_be_kept_is_refused_at_once) {
+Test(queue, a_predicted_wait_over_the_limit_is_refused_at_once) {
   Queue *q = queue_new();
   int retry;
   for (uint64_t i = 1; i <= 40; i++) push(q, 0, item(i, "c", 3));
   QueueItem late = item(99, "c", 3);
-  late.wait_s = 2;
+  late.max_wait_s = 2;
   cr_assert_eq(queue_push(q, 0, &late, 10, &retry), ERR_OVERLOADED);
-  cr_assert(retry >= 2000 && retry <= 2200, "come back in %d ms", retry);
+  cr_assert(retry >= 2000 && retry <= 2200, "retry after %d ms", retry);
   QueueItem urgent = item(100, "c", 0);
-  urgent.wait_s = 2;
+  urgent.max_wait_s = 2;
   cr_assert_eq(queue_push(q, 0, &urgent, 10, &retry), ERR_NONE);
   queue_free(q);
 }
 
-Test(queue, a_wait_that_is_over_ends_with_a_refusal) {
+Test(queue, an_expired_wait_ends_with_a_refusal) {
   Queue *q = queue_new();
-  QueueOut out;
+  QueueDecision out;
   QueueItem i = item(1, "c", 3);
-  i.wait_s = 1;
+  i.max_wait_s = 1;
   push(q, 0, i);
-  cr_assert_not(queue_pop(q, 0.9, 0, 10, &out), "no room, and time left");
+  cr_assert_not(queue_pop(q, 0.9, 0, 10, &out),
+                "popped without room and before the deadline");
   cr_assert(queue_pop(q, 1, 0, 10, &out));
   cr_assert_eq(out.refused, ERR_OVERLOADED);
   cr_assert_geq(out.retry_ms, 500);
   queue_free(q);
 }
 
-Test(queue, a_wait_that_is_over_ends_also_while_others_have_their_turn) {
+Test(queue, an_expired_wait_is_refused_before_others_are_served) {
   Queue *q = queue_new();
-  QueueOut out;
+  QueueDecision out;
   QueueItem i = item(1, "c", 3);
-  i.wait_s = 1;
+  i.max_wait_s = 1;
   push(q, 0, i);
   for (uint64_t k = 2; k < 10; k++) push(q, 1, item(k, "c", 0));
   cr_assert(queue_pop(q, 1.5, 1, 1000, &out));
@@ -103,9 +106,9 @@
   queue_free(q);
 }
 
-Test(queue, caps_hold_and_are_given_back) {
+Test(queue, the_running_cap_is_enforced_and_released) {
   Queue *q = queue_new();
-  QueueOut out;
+  QueueDecision out;
   int retry;
   QueueItem i = item(1, "c", 3);
   i.running_cap = 1;
@@ -122,9 +125,9 @@
   queue_free(q);
 }
 
-Test(queue, the_rate_cap_counts_what_was_really_used) {
+Test(queue, the_rate_cap_counts_tokens_used) {
   Queue *q = queue_new();
-  QueueOut out;
+  QueueDecision out;
   int retry;
   QueueItem i = item(1, "c", 3);
   i.rate_cap = 150;
@@ -139,7 +142,7 @@
   queue_free(q);
 }
 
-Test(queue, a_service_has_a_cap_of_its_own) {
+Test(queue, the_service_cap_is_enforced_across_customers) {
   Queue *q = queue_new();
   QueueItem letter = item(1, "a", 7), other = item(9, "c", 3);
   int retry;
