--- a/packages/flow/ask.h
+++ b/packages/flow/ask.h
@@ -1,5 +1,5 @@
-/* ask.h: a caller's request and a target's answer, decoded. Filled by
-   platform/, used by everything else. */
+/* ask.h: a caller's request and a target's answer, as decoded by platform/
+   from their header fields. */
 #ifndef FLOW_ASK_H
 #define FLOW_ASK_H
 
@@ -8,58 +8,59 @@
 
 #include "kernel/limits.h"
 
-#define ASK_PARTS 12 /* parts of a prompt that are looked at */
-#define ASK_NO_EVENT (-1)
+#define REQUEST_MAX_PARTS 12 /* parts of a prompt that are decoded */
+#define REQUEST_NO_EVENT (-1)
 
-/* One part of a prompt; equal ids mean equal text after equal parts. */
-typedef struct AskPart {
+/* A part of a prompt, used to find targets that have it cached. Parts with
+   equal ids have equal text and follow equal parts. */
+typedef struct RequestPart {
   uint64_t id;
   int64_t tokens;
-} AskPart;
+} RequestPart;
 
-typedef struct Ask {
-  char id[LIMIT_ID * 2]; /* of this attempt; the answer has to echo it */
+typedef struct RequestInfo {
+  char id[LIMIT_ID * 2]; /* of this attempt; the answer echoes it */
   char host[256];
-  const char *key;    /* the customer's, in the caller's head; "" if none */
-  double deadline_s;  /* the caller waits this long; 0: not said */
-  int64_t tokens_in;  /* of the prompt; 0: no prompt */
-  int64_t tokens_out; /* at most */
-  AskPart parts[ASK_PARTS];
+  const char *key;   /* of the customer, from the caller's header; "": none */
+  double deadline_s; /* how long the caller waits; 0: not given */
+  int64_t prompt_tokens; /* 0: no prompt */
+  int64_t max_output_tokens;
+  RequestPart parts[REQUEST_MAX_PARTS];
   int n_parts;
-  int64_t last_event; /* the caller has the stream up to here */
-} Ask;
+  int64_t last_event; /* last event of the stream that the caller has */
+} RequestInfo;
 
-/* What an answer says of the requests that its target takes. */
+/* Whether an answer states the rate of requests that its target accepts. */
 typedef enum {
-  ANSWER_NO_LIMIT,
-  ANSWER_LIMIT,
-  ANSWER_LIMIT_DAMAGED, /* a figure that is none */
-} AnswerLimit;
+  ANSWER_LIMIT_NONE,
+  ANSWER_LIMIT_GIVEN,
+  ANSWER_LIMIT_INVALID, /* the value is not a number */
+} AnswerLimitStatus;
 
-typedef struct Answer {
-  bool ours;      /* it echoes the attempt's id */
-  bool signed_;   /* it bears a target's signature */
-  bool not_run;   /* the target says that it did not run the request */
-  bool other;     /* another target than the expected one has the address */
-  bool encoded;   /* the body is not what the target made */
-  bool leaving;   /* the target closes its connection */
-  double cold_s;  /* the target stays cold for so long; 0: not said */
-  bool load_told; /* the three that follow are known */
+typedef struct AnswerInfo {
+  bool id_matches;      /* it echoes the id of the attempt */
+  bool is_signed;       /* it carries a target's signature */
+  bool not_run;         /* the target states that it did not run the request */
+  bool is_wrong_target; /* another target now has the address */
+  bool is_encoded;      /* an intermediary has encoded the body */
+  bool is_closing;      /* the target closes the connection */
+  double cold_s; /* remaining time that the target is cold; 0: not given */
+  bool has_load; /* the next three fields are set */
   int running, waiting, slots;
-  AnswerLimit limits;
-  double limit; /* requests a second that the target takes of all instances */
-  double pace;  /* how long work takes there now, 1: as usual; 0: not told */
-} Answer;
+  AnswerLimitStatus limit_status;
+  double limit_per_s; /* requests that it accepts from all instances */
+  double slowdown;    /* current processing time / usual time; 0: not given */
+} AnswerInfo;
 
-/* What a dispatch adds to a caller's request. */
-typedef struct AskSend {
-  const char *target;   /* name of the one that is meant */
-  const char *donor;    /* address of the one that has parts of the prompt in
-                           its memory, to be taken from there; NULL: none */
+/* What is added to a caller's request when it is sent to a target. */
+typedef struct RequestForward {
+  const char *target; /* name of the intended target */
+  const char *donor;  /* address of a target to fetch cached parts of the prompt
+                         from; NULL: none */
   const char *customer; /* NULL: none */
-  double left_s;        /* until the caller or the operator gives up */
-  int priority;         /* 0 first; -1: not said */
-  int64_t last_event;   /* ASK_NO_EVENT: as the caller said */
-} AskSend;
+  double remaining_s;   /* until the deadline */
+  int priority;         /* 0 is served first; -1: not sent */
+  int64_t last_event;   /* REQUEST_NO_EVENT: as the caller sent it */
+} RequestForward;
 
 #endif
--- a/packages/flow/caller.c
+++ b/packages/flow/caller.c
@@ -1,4 +1,4 @@
-/* caller.c: accepting, reading requests, writing answers. */
+/* caller.c: accepts connections, reads requests and writes answers. */
 #include "flow/caller.h"
 
 #include <errno.h>
@@ -11,17 +11,17 @@
 #include "kernel/limits.h"
 #include "kernel/loopclock.h"
 
-#define READ_BYTES 16384 /* of one read */
-#define ACCEPT_MOST 64   /* connections taken in one turn */
-#define SWEEP_S 0.5      /* between looks for callers that are too slow */
-#define LINGER_S 1.0     /* for a caller that still sends to see its answer */
-#define GIVE_UP_MS 5000  /* a caller that acknowledges nothing is gone */
+#define READ_BYTES 16384        /* size of one read */
+#define MAX_ACCEPTS_PER_TURN 64 /* per turn of the event loop */
+#define SWEEP_INTERVAL_S 0.5    /* between checks for slow callers */
+#define LINGER_TIMEOUT_S 1.0    /* for the caller to read the answer */
+#define UNACKED_TIMEOUT_MS 5000 /* unacknowledged data ends the connection */
 
 typedef enum {
   CALLER_IDLE,    /* between requests */
-  CALLER_READING, /* a request is coming in */
+  CALLER_READING, /* a request is being received */
   CALLER_BUSY,    /* a request is being answered */
-  CALLER_LINGER   /* all is said; until the caller closes, or LINGER_S */
+  CALLER_LINGER   /* answered; until the caller closes, or a timeout */
 } CallerState;
 
 struct Caller {
@@ -30,17 +30,17 @@
   ev_io read, write;
   http_parser parser;
   CallerState state;
-  double since; /* last progress, loop time */
-  CallerReq req;
+  double progress_at; /* loop time of the last progress */
+  CallerRequest req;
   Err err;
-  GString *later; /* bytes that came while busy */
+  GString *pending_input; /* received while busy */
   GString *out;
   size_t out_off;
-  size_t kept;  /* bytes that its owner holds of its answer */
-  size_t waits; /* these and those of `out`, as the set counts them */
-  bool full;    /* its owner waits until it has taken some */
+  size_t held_bytes;    /* of the answer, buffered by its owner */
+  size_t counted_bytes; /* held_bytes and `out`, in answer_bytes */
+  bool awaits_drain;    /* its owner waits for `drained` */
   bool keep, chunked, closing, broken, failed, no_body;
-  bool parsing; /* inside the parser: not to be freed */
+  bool parsing; /* inside the parser, so not to be freed */
   void *data;
   Caller *prev, *next;
 };
@@ -55,17 +55,17 @@
   void *ctx;
   Caller *first;
   int n;
-  size_t room;    /* of bodies and answers */
-  size_t held;    /* by bodies */
-  size_t pending; /* of answers that were not taken */
-  int64_t sent;   /* bytes of all callers */
+  size_t memory_limit;    /* for bodies and answers */
+  size_t body_bytes;      /* of requests */
+  size_t answer_bytes;    /* of answers not yet sent */
+  int64_t bytes_received; /* from all callers */
   bool draining;
-  bool leaving; /* answers ask callers to leave */
+  bool leaving; /* answers close their connections */
 };
 
 static const http_parser_settings parser_settings;
 
-/* == life of a connection == */
+/* == connections == */
 
 static void unlink_caller(Caller *c) {
   Callers *s = c->set;
@@ -75,27 +75,28 @@
   s->n--;
 }
 
-size_t caller_limit(const Caller *c) {
+size_t caller_buffer_limit(const Caller *c) {
   const Callers *s = c->set;
-  size_t used = s->held + s->pending - c->waits;
-  size_t free_bytes = s->room > used ? s->room - used : 0;
+  size_t used = s->body_bytes + s->answer_bytes - c->counted_bytes;
+  size_t free_bytes = s->memory_limit > used ? s->memory_limit - used : 0;
   return CLAMP(free_bytes / 2, LIMIT_PENDING_LEAST, LIMIT_PENDING);
 }
 
-/* Bytes that it has not taken. */
-static size_t left_over(const Caller *c) {
+/* Bytes of the answer that are not sent yet. */
+static size_t unsent_bytes(const Caller *c) {
   return c->out->len - c->out_off;
 }
 
-/* Counts the memory that it takes. */
-static void count_pending(Caller *c) {
-  size_t waits = (c->out->len > 0 ? c->out->allocated_len : 0) + c->kept;
-  c->set->pending += waits - c->waits;
-  c->waits = waits;
+/* Updates the set's count of memory used by answers. */
+static void update_answer_bytes(Caller *c) {
+  size_t counted_bytes =
+      (c->out->len > 0 ? c->out->allocated_len : 0) + c->held_bytes;
+  c->set->answer_bytes += counted_bytes - c->counted_bytes;
+  c->counted_bytes = counted_bytes;
 }
 
-static void forget_body(Caller *c) {
-  c->set->held -= c->req.body->len;
+static void clear_body(Caller *c) {
+  c->set->body_bytes -= c->req.body->len;
   g_string_truncate(c->req.body, 0);
 }
 
@@ -103,35 +104,36 @@
   Callers *s = c->set;
   ev_io_stop(s->loop, &c->read);
   ev_io_stop(s->loop, &c->write);
-  forget_body(c);
-  s->pending -= c->waits;
+  clear_body(c);
+  s->answer_bytes -= c->counted_bytes;
   unlink_caller(c);
   headers_free(&c->req.headers);
-  g_string_free(c->req.target, TRUE);
+  g_string_free(c->req.uri, TRUE);
   g_string_free(c->req.body, TRUE);
   g_string_free(c->out, TRUE);
-  if (c->later) g_string_free(c->later, TRUE);
+  if (c->pending_input) g_string_free(c->pending_input, TRUE);
   g_free(c);
 }
 
-/* Ends the connection; its request hears that the caller is gone. */
-static void drop(Caller *c) {
+/* Closes the connection; the owner of an open request is notified. */
+static void close_caller(Caller *c) {
   Callers *s = c->set;
   if (c->broken) return;
   c->broken = true;
   bool busy = c->state == CALLER_BUSY;
-  if (busy) s->ev.gone(s->ctx, c);
+  if (busy) s->ev.disconnected(s->ctx, c);
   close(c->fd);
   if (!c->parsing) free_caller(c);
 }
 
-static void arm_write(Caller *c) {
+static void update_write_watcher(Caller *c) {
   if (c->out->len > 0 && !ev_is_active(&c->write))
     ev_io_start(c->set->loop, &c->write);
   if (c->out->len == 0) ev_io_stop(c->set->loop, &c->write);
 }
 
-/* A failure is told from the loop, so that whoever flushes may go on. */
+/* A failure is reported later from the event loop, so that the code that
+   flushes can continue. */
 void caller_flush(Caller *c) {
   if (c->broken || c->failed) return;
   if (!sock_write(c->fd, c->out, &c->out_off)) {
@@ -139,11 +141,11 @@
     ev_feed_event(c->set->loop, &c->read, EV_READ);
     return;
   }
-  count_pending(c);
-  arm_write(c);
+  update_answer_bytes(c);
+  update_write_watcher(c);
   if (!c->closing || c->out->len > 0) return;
   c->state = CALLER_LINGER;
-  c->since = loopclock_now(c->set->loop);
+  c->progress_at = loopclock_now(c->set->loop);
   shutdown(c->fd, SHUT_WR);
   if (!ev_is_active(&c->read)) ev_io_start(c->set->loop, &c->read);
 }
@@ -153,41 +155,41 @@
 static int on_begin(http_parser *p) {
   Caller *c = p->data;
   headers_clear(&c->req.headers);
-  g_string_truncate(c->req.target, 0);
-  forget_body(c);
+  g_string_truncate(c->req.uri, 0);
+  clear_body(c);
   c->err = (Err){0};
   c->state = CALLER_READING;
-  c->req.at = c->since = loopclock_now(c->set->loop);
+  c->req.received_at = c->progress_at = loopclock_now(c->set->loop);
   return 0;
 }
 
 static int on_url(http_parser *p, const char *at, size_t n) {
   Caller *c = p->data;
-  g_string_append_len(c->req.target, at, (gssize)n);
+  g_string_append_len(c->req.uri, at, (gssize)n);
   return 0;
 }
 
 static int on_field(http_parser *p, const char *at, size_t n) {
   Caller *c = p->data;
-  headers_name_piece(&c->req.headers, at, n);
+  headers_append_name(&c->req.headers, at, n);
   return 0;
 }
 
 static int on_value(http_parser *p, const char *at, size_t n) {
   Caller *c = p->data;
-  headers_value_piece(&c->req.headers, at, n);
+  headers_append_value(&c->req.headers, at, n);
   return 0;
 }
 
 static void check_head(Caller *c) {
   const CallerLimits *l = &c->set->limits;
   const Headers *h = &c->req.headers;
-  if (h->too_many || h->text->len + c->req.target->len > l->max_header)
+  if (h->too_many || h->text->len + c->req.uri->len > l->max_header)
     err_set(&c->err, ERR_HEADER_TOO_LARGE, "the head is over %zu bytes",
             l->max_header);
   else if (headers_count(h, "Host") != 1)
     err_set(&c->err, ERR_MALFORMED, "there must be one Host field");
-  else if (c->req.target->str[0] != '/')
+  else if (c->req.uri->str[0] != '/')
     err_set(&c->err, ERR_MALFORMED, "the path must begin with a slash");
 }
 
@@ -202,14 +204,14 @@
 
 static int on_body(http_parser *p, const char *at, size_t n) {
   Caller *c = p->data;
-  c->since = loopclock_now(c->set->loop);
+  c->progress_at = loopclock_now(c->set->loop);
   if (c->err.kind) return 0;
   if (c->req.body->len + n > c->set->limits.max_body) {
     err_set(&c->err, ERR_TOO_LARGE, "the body is over %zu bytes",
             c->set->limits.max_body);
     return 0;
   }
-  c->set->held += n;
+  c->set->body_bytes += n;
   g_string_append_len(c->req.body, at, (gssize)n);
   return 0;
 }
@@ -234,13 +236,13 @@
     .on_message_complete = on_done,
 };
 
-/* The head alone may already be too large. */
-static bool head_too_long(const Caller *c) {
+/* Whether the head is too large before it is complete. */
+static bool is_head_too_long(const Caller *c) {
   return c->state == CALLER_READING &&
          c->req.headers.text->len > c->set->limits.max_header;
 }
 
-static void refuse(Caller *c, ErrKind kind, const char *why) {
+static void reject_request(Caller *c, ErrKind kind, const char *why) {
   if (!c->err.kind) err_set(&c->err, kind, "%s", why);
   c->keep = false;
   c->state = CALLER_BUSY;
@@ -248,39 +250,39 @@
   c->set->ev.request(c->set->ctx, c, &c->req, &c->err);
 }
 
-static void keep_for_later(Caller *c, const char *p, size_t n) {
+static void buffer_input(Caller *c, const char *p, size_t n) {
   if (n == 0) return;
-  if (!c->later) c->later = g_string_new(NULL);
-  g_string_append_len(c->later, p, (gssize)n);
-  /* A caller that sends on and on while it waits is read no further. */
-  if (c->later->len > READ_BYTES) ev_io_stop(c->set->loop, &c->read);
+  if (!c->pending_input) c->pending_input = g_string_new(NULL);
+  g_string_append_len(c->pending_input, p, (gssize)n);
+  /* Stops reading from a caller that keeps sending before its answer. */
+  if (c->pending_input->len > READ_BYTES) ev_io_stop(c->set->loop, &c->read);
 }
 
 static void parse(Caller *c, const char *p, size_t n) {
   Callers *s = c->set;
   if (c->state == CALLER_BUSY) {
-    keep_for_later(c, p, n);
+    buffer_input(c, p, n);
     return;
   }
-  bool outer = c->parsing;
+  bool was_parsing = c->parsing;
   c->parsing = true;
   size_t used = http_parser_execute(&c->parser, &parser_settings, p, n);
   enum http_errno bad = HTTP_PARSER_ERRNO(&c->parser);
   if (bad == HPE_PAUSED) {
     http_parser_pause(&c->parser, 0);
-    keep_for_later(c, p + used, n - used);
+    buffer_input(c, p + used, n - used);
     s->ev.request(s->ctx, c, &c->req, c->err.kind ? &c->err : NULL);
-  } else if (bad == HPE_HEADER_OVERFLOW || head_too_long(c)) {
-    refuse(c, ERR_HEADER_TOO_LARGE, "the head is too large");
+  } else if (bad == HPE_HEADER_OVERFLOW || is_head_too_long(c)) {
+    reject_request(c, ERR_HEADER_TOO_LARGE, "the head is too large");
   } else if (bad != HPE_OK) {
-    refuse(c, ERR_MALFORMED, http_errno_description(bad));
+    reject_request(c, ERR_MALFORMED, http_errno_description(bad));
   } else if (c->err.kind == ERR_TOO_LARGE) {
-    refuse(c, ERR_TOO_LARGE, c->err.text);
-  } else if (c->out->len > 0) { /* it waits for our word to send its body */
+    reject_request(c, ERR_TOO_LARGE, c->err.text);
+  } else if (c->out->len > 0) { /* it waits for 100 Continue */
     caller_flush(c);
   }
-  c->parsing = outer;
-  if (c->broken && !outer) free_caller(c);
+  c->parsing = was_parsing;
+  if (c->broken && !was_parsing) free_caller(c);
 }
 
 /* == events == */
@@ -293,10 +295,10 @@
   ssize_t n = c->failed ? 0 : recv(c->fd, buf, sizeof buf, 0);
   if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
   if (n <= 0) {
-    drop(c);
+    close_caller(c);
     return;
   }
-  c->set->sent += n;
+  c->set->bytes_received += n;
   if (c->state != CALLER_LINGER) parse(c, buf, (size_t)n);
 }
 
@@ -304,12 +306,12 @@
   (void)loop;
   (void)revents;
   Caller *c = w->data;
-  c->since = loopclock_now(c->set->loop);
+  c->progress_at = loopclock_now(c->set->loop);
   caller_flush(c);
-  if (!c->full || c->failed ||
-      left_over(c) + LIMIT_PENDING_STEP > caller_limit(c))
+  if (!c->awaits_drain || c->failed ||
+      unsent_bytes(c) + LIMIT_PENDING_STEP > caller_buffer_limit(c))
     return;
-  c->full = false;
+  c->awaits_drain = false;
   if (c->data) c->set->ev.drained(c->set->ctx, c);
 }
 
@@ -317,15 +319,15 @@
   Caller *c = g_new0(Caller, 1);
   c->set = s;
   c->fd = fd;
-  c->since = loopclock_now(s->loop);
+  c->progress_at = loopclock_now(s->loop);
   headers_init(&c->req.headers);
-  c->req.target = g_string_new(NULL);
+  c->req.uri = g_string_new(NULL);
   c->req.body = g_string_new(NULL);
   c->out = g_string_new(NULL);
   http_parser_init(&c->parser, HTTP_REQUEST);
   c->parser.data = c;
-  sock_user_timeout(fd, GIVE_UP_MS);
-  sock_send_bound(fd, LIMIT_SEND);
+  sock_set_user_timeout(fd, UNACKED_TIMEOUT_MS);
+  sock_set_send_buffer(fd, LIMIT_SEND);
   ev_io_init(&c->read, on_readable, fd, EV_READ);
   ev_io_init(&c->write, on_writable, fd, EV_WRITE);
   c->read.data = c->write.data = c;
@@ -340,22 +342,24 @@
   (void)loop;
   (void)revents;
   Callers *s = w->data;
-  for (int i = 0; i < ACCEPT_MOST; i++) {
+  for (int i = 0; i < MAX_ACCEPTS_PER_TURN; i++) {
     int fd = sock_accept(s->fd);
     if (fd < 0) return;
     add_caller(s, fd);
   }
 }
 
-static bool overdue(const Caller *c, double now) {
+static bool is_overdue(const Caller *c, double now) {
   const CallerLimits *l = &c->set->limits;
   switch (c->state) {
   case CALLER_IDLE:
-    return now - c->since > l->idle_s || (c->set->draining && !c->later);
-  case CALLER_READING: return now - c->since > l->header_s;
+    return now - c->progress_at > l->idle_s ||
+           (c->set->draining && !c->pending_input);
+  case CALLER_READING: return now - c->progress_at > l->header_s;
   case CALLER_BUSY: return false;
-  case CALLER_LINGER: /* what is left of its answer is delivered, also late */
-    return now - c->since > (c->out->len > 0 ? l->idle_s : LINGER_S);
+  case CALLER_LINGER: /* the rest of its answer may still be delivered */
+    return now - c->progress_at >
+           (c->out->len > 0 ? l->idle_s : LINGER_TIMEOUT_S);
   }
   return false;
 }
@@ -366,17 +370,17 @@
   double now = loopclock_now(loop);
   for (Caller *c = s->first, *next; c; c = next) {
     next = c->next;
-    if (!overdue(c, now)) continue;
+    if (!is_overdue(c, now)) continue;
     if (c->state == CALLER_READING)
-      refuse(c, ERR_TOO_SLOW, "the request did not come in time");
+      reject_request(c, ERR_TOO_SLOW, "the request did not come in time");
     else
-      drop(c);
+      close_caller(c);
   }
 }
 
 /* == answers == */
 
-static const char *reason(int status) {
+static const char *reason_phrase(int status) {
   static const struct {
     int status;
     const char *text;
@@ -398,56 +402,58 @@
   return "Status";
 }
 
-void caller_head(Caller *c, int status, const char *fields, int64_t length) {
+void caller_send_head(Caller *c, int status, const char *fields,
+                      int64_t length) {
   bool bare = c->no_body || status == 204 || status == 304;
   c->chunked = length == CALLER_CHUNKED && !bare;
-  if (c->chunked && c->parser.http_minor == 0) { /* ends with the connection */
+  if (c->chunked &&
+      c->parser.http_minor == 0) { /* the end of the connection ends the body */
     c->chunked = false;
     c->keep = false;
   }
   if (c->set->draining || c->set->leaving) c->keep = false;
-  g_string_append_printf(c->out, "HTTP/1.1 %d %s\r\n%s", status, reason(status),
-                         fields);
+  g_string_append_printf(c->out, "HTTP/1.1 %d %s\r\n%s", status,
+                         reason_phrase(status), fields);
   if (c->chunked)
-    headers_put(c->out, "Transfer-Encoding", "chunked");
+    headers_write(c->out, "Transfer-Encoding", "chunked");
   else if (length != CALLER_CHUNKED && status != 204 && status != 304)
     g_string_append_printf(c->out, "Content-Length: %" G_GINT64_FORMAT "\r\n",
                            length);
-  if (!c->keep) headers_put(c->out, "Connection", "close");
+  if (!c->keep) headers_write(c->out, "Connection", "close");
   g_string_append(c->out, "\r\n");
 }
 
-void caller_body(Caller *c, const char *data, size_t n) {
+void caller_send_body(Caller *c, const char *data, size_t n) {
   if (n == 0 || c->no_body) return;
   if (c->chunked) g_string_append_printf(c->out, "%zx\r\n", n);
   g_string_append_len(c->out, data, (gssize)n);
   if (c->chunked) g_string_append_len(c->out, "\r\n", 2);
 }
 
-/* Reads on with what came meanwhile. */
-static void next_request(Caller *c) {
+/* Continues with input received during the answer. */
+static void start_next_request(Caller *c) {
   Callers *s = c->set;
   c->state = CALLER_IDLE;
-  c->since = loopclock_now(s->loop);
+  c->progress_at = loopclock_now(s->loop);
   c->data = NULL;
-  forget_body(c);
+  clear_body(c);
   if (!ev_is_active(&c->read)) ev_io_start(s->loop, &c->read);
-  GString *later = c->later;
-  c->later = NULL;
-  if (!later) return;
-  parse(c, later->str, later->len);
-  g_string_free(later, TRUE);
+  GString *pending_input = c->pending_input;
+  c->pending_input = NULL;
+  if (!pending_input) return;
+  parse(c, pending_input->str, pending_input->len);
+  g_string_free(pending_input, TRUE);
 }
 
-void caller_end(Caller *c) {
+void caller_end_answer(Caller *c) {
   if (c->chunked) g_string_append(c->out, "0\r\n\r\n");
   c->closing = !c->keep;
   c->data = NULL;
-  c->full = false;
-  c->since = loopclock_now(c->set->loop);
+  c->awaits_drain = false;
+  c->progress_at = loopclock_now(c->set->loop);
   if (c->closing) c->state = CALLER_LINGER;
   caller_flush(c);
-  if (!c->closing) next_request(c);
+  if (!c->closing) start_next_request(c);
 }
 
 void caller_abort(Caller *c) {
@@ -458,21 +464,21 @@
   if (!c->parsing) free_caller(c);
 }
 
-void caller_hold(Caller *c, size_t bytes) {
-  c->kept = bytes;
-  count_pending(c);
+void caller_set_held_bytes(Caller *c, size_t bytes) {
+  c->held_bytes = bytes;
+  update_answer_bytes(c);
 }
 
-bool caller_full(Caller *c) {
-  c->full = left_over(c) > caller_limit(c);
-  return c->full;
+bool caller_check_full(Caller *c) {
+  c->awaits_drain = unsent_bytes(c) > caller_buffer_limit(c);
+  return c->awaits_drain;
 }
 
-void caller_set(Caller *c, void *data) {
+void caller_set_data(Caller *c, void *data) {
   c->data = data;
 }
 
-void *caller_get(const Caller *c) {
+void *caller_get_data(const Caller *c) {
   return c->data;
 }
 
@@ -490,35 +496,35 @@
   s->limits = (CallerLimits){
       .max_header = 32768, .max_body = LIMIT_BODY, .header_s = 5, .idle_s = 60};
   ev_io_init(&s->accept, on_accept, fd, EV_READ);
-  ev_timer_init(&s->sweep, on_sweep, SWEEP_S, SWEEP_S);
+  ev_timer_init(&s->sweep, on_sweep, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S);
   s->accept.data = s->sweep.data = s;
   ev_io_start(loop, &s->accept);
   ev_timer_start(loop, &s->sweep);
   return s;
 }
 
-void callers_limits(Callers *s, const CallerLimits *l) {
+void callers_set_limits(Callers *s, const CallerLimits *l) {
   s->limits = *l;
 }
 
-void callers_leave(Callers *s, bool leave) {
+void callers_set_leaving(Callers *s, bool leave) {
   s->leaving = leave;
 }
 
-int64_t callers_sent(const Callers *s) {
-  return s->sent;
+int64_t callers_bytes_received(const Callers *s) {
+  return s->bytes_received;
 }
 
 void callers_drain(Callers *s) {
   s->draining = true;
 }
 
-void callers_room(Callers *s, size_t bytes) {
-  s->room = bytes;
+void callers_set_memory_limit(Callers *s, size_t bytes) {
+  s->memory_limit = bytes;
 }
 
-size_t callers_held(const Callers *s) {
-  return s->held;
+size_t callers_body_bytes(const Callers *s) {
+  return s->body_bytes;
 }
 
 void callers_close(Callers *s) {
@@ -527,7 +533,7 @@
   close(s->fd);
   while (s->first) {
     s->first->state = CALLER_IDLE;
-    drop(s->first);
+    close_caller(s->first);
   }
   g_free(s);
 }
--- a/packages/flow/caller.h
+++ b/packages/flow/caller.h
@@ -1,5 +1,5 @@
-/* caller.h: connections from callers, HTTP/1.1 on the event loop. One request
-   of a connection is open at a time. */
+/* caller.h: HTTP/1.1 server for callers, on the event loop. A connection has
+   one open request at a time. */
 #ifndef FLOW_CALLER_H
 #define FLOW_CALLER_H
 
@@ -11,68 +11,74 @@
 typedef struct Caller Caller;
 typedef struct Callers Callers;
 
-/* Bounds on what a caller may send and how long it may take. */
+/* Limits on the size and duration of requests. */
 typedef struct CallerLimits {
   size_t max_header, max_body; /* bytes */
-  double header_s;             /* for the head of a request */
-  double idle_s;               /* between requests, and without progress */
+  double header_s;             /* to receive the head of a request */
+  double idle_s;               /* between requests, or without progress */
 } CallerLimits;
 
-typedef struct CallerReq {
+typedef struct CallerRequest {
   const char *method; /* interned */
-  GString *target;    /* path and query as they were sent */
+  GString *uri;       /* path and query as received */
   Headers headers;
   GString *body;
-  double at; /* loop time when its first byte was read */
-} CallerReq;
+  double received_at; /* loop time of its first byte */
+} CallerRequest;
 
 typedef struct CallerEvents {
-  /* A whole request; it stays valid until its answer ends or the caller is
-     gone. `err` is set when it can't be served as it is. */
-  void (*request)(void *ctx, Caller *c, const CallerReq *r, const Err *err);
+  /* A complete request; `r` is valid until the answer ends or the caller
+     disconnects. `err` is not NULL when the request is invalid. */
+  void (*request)(void *ctx, Caller *c, const CallerRequest *r, const Err *err);
   /* The caller closed its connection before its answer ended. */
-  void (*gone)(void *ctx, Caller *c);
-  /* It has taken enough of its answer to get more (caller_full). */
+  void (*disconnected)(void *ctx, Caller *c);
+  /* The caller has received enough of its answer to be sent more; follows a
+     caller_check_full that returned true. */
   void (*drained)(void *ctx, Caller *c);
 } CallerEvents;
 
 /* Listens at "ip:port". */
 Callers *callers_open(struct ev_loop *loop, const char *addr,
                       const CallerEvents *ev, void *ctx, Err *e);
-void callers_limits(Callers *s, const CallerLimits *l);
-/* Answers from here on ask the caller to leave, idle connections close. */
+void callers_set_limits(Callers *s, const CallerLimits *l);
+/* From now on every answer closes its connection, and idle connections are
+   closed. */
 void callers_drain(Callers *s);
-/* Answers ask callers to leave, or no longer do. */
-void callers_leave(Callers *s, bool leave);
-/* Bytes that callers have sent in all. */
-int64_t callers_sent(const Callers *s);
-/* Bytes that all callers' bodies and answers may hold. */
-void callers_room(Callers *s, size_t bytes);
-/* Bytes of bodies that are held. */
-size_t callers_held(const Callers *s);
+/* Sets whether answers close their connection, so that callers reconnect to
+   another instance. */
+void callers_set_leaving(Callers *s, bool leaving);
+/* Returns the total of bytes received from callers. */
+int64_t callers_bytes_received(const Callers *s);
+/* Sets the memory that request bodies and answers of all callers may use. */
+void callers_set_memory_limit(Callers *s, size_t bytes);
+/* Returns the memory used by request bodies. */
+size_t callers_body_bytes(const Callers *s);
 void callers_close(Callers *s);
 
-/* What the request's owner keeps with the connection. */
-void caller_set(Caller *c, void *data);
-void *caller_get(const Caller *c);
+/* Data that the owner of the request attaches to the connection. */
+void caller_set_data(Caller *c, void *data);
+void *caller_get_data(const Caller *c);
 
 #define CALLER_CHUNKED (-1)
 
-/* Head of the answer. `fields` holds further header lines (each with its line
-   end); `length` is the body's, or CALLER_CHUNKED. */
-void caller_head(Caller *c, int status, const char *fields, int64_t length);
-void caller_body(Caller *c, const char *data, size_t n);
-/* The answer is complete. */
-void caller_end(Caller *c);
-/* Sends what is gathered. */
+/* Appends the head of the answer. `fields` holds further header lines, each
+   with its line end; `length` is that of the body, or CALLER_CHUNKED. */
+void caller_send_head(Caller *c, int status, const char *fields,
+                      int64_t length);
+void caller_send_body(Caller *c, const char *data, size_t n);
+/* Ends the answer and sends it. */
+void caller_end_answer(Caller *c);
+/* Sends what is buffered. */
 void caller_flush(Caller *c);
-/* Breaks the answer off, so that it can't look complete. */
+/* Resets the connection, so that the answer doesn't appear complete. */
 void caller_abort(Caller *c);
-/* Its owner holds so many bytes of its answer besides, in all. */
-void caller_hold(Caller *c, size_t bytes);
-/* Bytes of its answer that may be held for it: its part of the room. */
-size_t caller_limit(const Caller *c);
-/* It has as much of its answer before it as it may. */
-bool caller_full(Caller *c);
+/* Sets the total of answer bytes that the owner buffers itself; they count
+   towards the memory limit. */
+void caller_set_held_bytes(Caller *c, size_t bytes);
+/* Returns how many bytes of the answer may be buffered: its share of the memory
+   limit. */
+size_t caller_buffer_limit(const Caller *c);
+/* Returns true when no more may be buffered; `drained` is called later. */
+bool caller_check_full(Caller *c);
 
 #endif
--- a/packages/flow/events.c
+++ b/packages/flow/events.c
@@ -1,21 +1,22 @@
-/* events.c: finds the blank line that ends an event, and its id. */
+/* events.c: finds the blank line that ends an event, and the event's id. */
 #include "flow/events.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 void events_init(Events *e, int64_t last) {
-  e->part = g_string_new(NULL);
-  e->last = last;
+  e->partial = g_string_new(NULL);
+  e->last_id = last;
   e->count = 0;
 }
 
 void events_free(Events *e) {
-  if (e->part) g_string_free(e->part, TRUE);
-  e->part = NULL;
+  if (e->partial) g_string_free(e->partial, TRUE);
+  e->partial = NULL;
 }
 
-/* Length of the first whole event of `s`, with its blank line; 0: none. */
+/* Returns the length of the first complete event of `s` with its blank line; 0:
+   none. */
 static size_t first_event(const char *s, size_t n) {
   for (size_t i = 0; i + 1 < n; i++) {
     if (s[i] != '\n') continue;
@@ -25,7 +26,7 @@
   return 0;
 }
 
-/* The id of an event; EVENTS_NONE when it has none. */
+/* Returns the id of an event, or EVENTS_NONE. */
 static int64_t event_id(const char *s, size_t n) {
   const char *at = s, *end = s + n;
   while (at < end) {
@@ -38,24 +39,25 @@
   return EVENTS_NONE;
 }
 
-static void take_one(Events *e, const char *s, size_t n, GString *out) {
+static void take_event(Events *e, const char *s, size_t n, GString *out) {
   int64_t id = event_id(s, n);
-  if (id != EVENTS_NONE && id <= e->last) return;
-  if (id != EVENTS_NONE) e->last = id;
+  if (id != EVENTS_NONE && id <= e->last_id) return;
+  if (id != EVENTS_NONE) e->last_id = id;
   e->count++;
   g_string_append_len(out, s, (gssize)n);
 }
 
-void events_take(Events *e, const char *data, size_t n, GString *out) {
-  g_string_append_len(e->part, data, (gssize)n);
+void events_feed(Events *e, const char *data, size_t n, GString *out) {
+  g_string_append_len(e->partial, data, (gssize)n);
   size_t off = 0, len;
-  while ((len = first_event(e->part->str + off, e->part->len - off)) > 0) {
-    take_one(e, e->part->str + off, len, out);
+  while ((len = first_event(e->partial->str + off, e->partial->len - off)) >
+         0) {
+    take_event(e, e->partial->str + off, len, out);
     off += len;
   }
-  g_string_erase(e->part, 0, (gssize)off);
+  g_string_erase(e->partial, 0, (gssize)off);
 }
 
-void events_broken(Events *e) {
-  g_string_truncate(e->part, 0);
+void events_drop_partial(Events *e) {
+  g_string_truncate(e->partial, 0);
 }
--- a/packages/flow/events.h
+++ b/packages/flow/events.h
@@ -1,5 +1,6 @@
-/* events.h: cuts a stream into whole events, so that a stream which breaks off
-   inside an event can go on elsewhere without a seam. */
+/* events.h: splits an event stream into complete events. Only these are passed
+   on, so that a stream that breaks inside an event can be resumed at another
+   target without a gap or a repetition. */
 #ifndef FLOW_EVENTS_H
 #define FLOW_EVENTS_H
 
@@ -8,19 +9,19 @@
 #include <stdint.h>
 
 typedef struct Events {
-  GString *part; /* of an event that is not whole yet */
-  int64_t last;  /* id of the last whole event, EVENTS_NONE */
-  int64_t count; /* of whole events */
+  GString *partial; /* start of an incomplete event */
+  int64_t last_id;  /* id of the last complete event, or EVENTS_NONE */
+  int64_t count;    /* of complete events */
 } Events;
 
 #define EVENTS_NONE (-1)
 
 void events_init(Events *e, int64_t last);
 void events_free(Events *e);
-/* Takes bytes of the stream and appends the events that are whole to `out`;
-   one whose id is not above the last is left out. */
-void events_take(Events *e, const char *data, size_t n, GString *out);
-/* The source broke off; its unfinished event is dropped. */
-void events_broken(Events *e);
+/* Adds bytes of the stream and appends the events that they complete to `out`.
+   An event whose id is not above last_id is skipped. */
+void events_feed(Events *e, const char *data, size_t n, GString *out);
+/* Drops the incomplete event after the stream broke. */
+void events_drop_partial(Events *e);
 
 #endif
--- a/packages/flow/headers.c
+++ b/packages/flow/headers.c
@@ -1,10 +1,10 @@
-/* headers.c: fields in one text with offsets. */
+/* headers.c: names and values in one buffer, with an array of offsets. */
 #include "flow/headers.h"
 
 #include <string.h>
 #include <strings.h>
 
-static const char *const hop_names[] = {
+static const char *const hop_by_hop_names[] = {
     "Connection", "Keep-Alive",        "Proxy-Connection", "TE",
     "Trailer",    "Transfer-Encoding", "Upgrade",          NULL};
 
@@ -27,24 +27,24 @@
 
 /* == filling == */
 
-void headers_name_piece(Headers *h, const char *p, size_t n) {
+void headers_append_name(Headers *h, const char *p, size_t n) {
   if (h->in_value || h->n == 0) {
     if (h->in_value) g_string_append_c(h->text, '\0');
     h->in_value = false;
-    h->too_many |= h->n == HEADERS_MAX;
+    h->too_many |= h->n == HEADERS_MAX_FIELDS;
     if (h->too_many) return;
-    h->at[h->n].name = (guint)h->text->len;
-    h->at[h->n].value = 0;
+    h->offsets[h->n].name = (guint)h->text->len;
+    h->offsets[h->n].value = 0;
     h->n++;
   }
   if (!h->too_many) g_string_append_len(h->text, p, (gssize)n);
 }
 
-void headers_value_piece(Headers *h, const char *p, size_t n) {
+void headers_append_value(Headers *h, const char *p, size_t n) {
   if (h->too_many || h->n == 0) return;
   if (!h->in_value) {
     g_string_append_c(h->text, '\0');
-    h->at[h->n - 1].value = (guint)h->text->len;
+    h->offsets[h->n - 1].value = (guint)h->text->len;
     h->in_value = true;
   }
   g_string_append_len(h->text, p, (gssize)n);
@@ -53,11 +53,11 @@
 /* == reading == */
 
 const char *headers_name(const Headers *h, int i) {
-  return h->text->str + h->at[i].name;
+  return h->text->str + h->offsets[i].name;
 }
 
 const char *headers_value(const Headers *h, int i) {
-  return h->at[i].value ? h->text->str + h->at[i].value : "";
+  return h->offsets[i].value ? h->text->str + h->offsets[i].value : "";
 }
 
 const char *headers_get(const Headers *h, const char *name) {
@@ -72,8 +72,8 @@
   return n;
 }
 
-/* `list` is parted by commas. */
-static bool lists(const char *list, const char *name) {
+/* `list` is separated by commas. */
+static bool list_contains(const char *list, const char *name) {
   size_t n = strlen(name);
   while (list && *list) {
     while (*list == ' ' || *list == ',' || *list == '\t') list++;
@@ -84,18 +84,18 @@
   return false;
 }
 
-bool headers_hop(const Headers *h, int i) {
+bool headers_is_hop_by_hop(const Headers *h, int i) {
   const char *name = headers_name(h, i);
-  for (int k = 0; hop_names[k]; k++)
-    if (strcasecmp(name, hop_names[k]) == 0) return true;
+  for (int k = 0; hop_by_hop_names[k]; k++)
+    if (strcasecmp(name, hop_by_hop_names[k]) == 0) return true;
   for (int k = 0; k < h->n; k++)
     if (strcasecmp(headers_name(h, k), "Connection") == 0 &&
-        lists(headers_value(h, k), name))
+        list_contains(headers_value(h, k), name))
       return true;
   return false;
 }
 
-void headers_put(GString *out, const char *name, const char *value) {
+void headers_write(GString *out, const char *name, const char *value) {
   g_string_append(out, name);
   g_string_append_len(out, ": ", 2);
   g_string_append(out, value);
--- a/packages/flow/link.c
+++ b/packages/flow/link.c
@@ -1,4 +1,4 @@
-/* link.c: connecting, writing a request, reading its answer, keeping. */
+/* link.c: connects, writes requests, reads answers, keeps idle connections. */
 #include "flow/link.h"
 
 #include <errno.h>
@@ -11,10 +11,10 @@
 #include "flow/sock.h"
 #include "kernel/loopclock.h"
 
-#define READ_BYTES 16384 /* of one read */
-#define SWEEP_S 1.0      /* between looks for idle links that are old */
-#define SKIPS 1          /* foreign answers that one exchange skips */
-#define KEEP_MARGIN 0.7  /* of the time that a target says it keeps */
+#define READ_BYTES 16384      /* size of one read */
+#define SWEEP_INTERVAL_S 1.0  /* between checks for old idle links */
+#define MAX_SKIPPED_ANSWERS 1 /* of other exchanges, per exchange */
+#define KEEP_ALIVE_RATIO 0.7  /* used part of the peer's keep-alive timeout */
 
 typedef enum { LINK_CONNECTING, LINK_OPEN, LINK_IDLE } LinkState;
 
@@ -24,38 +24,38 @@
   int fd;
   LinkState state;
   ev_io read, write;
-  ev_timer timer; /* of connecting */
+  ev_timer timer; /* to connect */
   http_parser parser;
   Headers headers;
   GString *out;
   size_t out_off;
-  bool sent;     /* a byte of the request has left */
-  bool answered; /* a byte of an answer has come */
-  bool skipping; /* the answer in the parser is another's */
-  bool done;     /* our answer is complete */
-  bool bare;     /* it has no body, whatever its head says */
-  bool dropped, fouled, parsing, cancelled;
-  bool refused; /* the attempt to connect was, at once */
+  bool sent;     /* a byte of the request was sent */
+  bool answered; /* a byte of an answer was received */
+  bool skipping; /* the current answer is for another exchange */
+  bool done;     /* the answer is complete */
+  bool no_body;  /* the answer has no body, regardless of its head */
+  bool rejected, not_reusable, parsing, cancelled;
+  bool refused; /* the connection was refused at once */
   int skips;
-  double since, keep_until;
+  double idle_since, keep_s;
   LinkEvents ev;
   void *ctx;
-  Link *next; /* of the idle ones of an address */
+  Link *next; /* in the list of idle links of an address */
 };
 
 struct Links {
   struct ev_loop *loop;
   LinkOptions o;
   ev_timer sweep;
-  GHashTable *idle; /* addr -> Link*, the youngest first */
-  double heard;
-  LinksReach reach; /* NULL: nobody is told */
-  void *reach_ctx;
+  GHashTable *idle; /* addr -> Link*, most recently used first */
+  double last_activity;
+  LinksConnectFn connect_fn; /* NULL: none */
+  void *connect_ctx;
 };
 
 static const http_parser_settings parser_settings;
 
-/* == life == */
+/* == links == */
 
 static void free_link(Link *l) {
   ev_io_stop(l->set->loop, &l->read);
@@ -68,31 +68,33 @@
   g_free(l);
 }
 
-static void release(Link *l) {
+static void release_link(Link *l) {
   if (l->parsing)
-    l->cancelled = true; /* freed when the parser is done */
+    l->cancelled = true; /* freed when the parser returns */
   else
     free_link(l);
 }
 
-static void finish(Link *l, LinkEnd how) {
+static void finish_exchange(Link *l, LinkEnd how) {
   LinkEvents ev = l->ev;
   void *ctx = l->ctx;
   l->ctx = NULL;
-  release(l);
+  release_link(l);
   ev.end(ctx, how);
 }
 
-static void fail(Link *l) {
-  if (!l->out) { /* it was opened for the next exchange */
+static void fail_exchange(Link *l) {
+  if (!l->out) { /* it was opened ahead of an exchange */
     free_link(l);
     return;
   }
-  finish(l, !l->sent ? LINK_NOT_SENT : l->answered ? LINK_CUT : LINK_EMPTY);
+  finish_exchange(l, !l->sent      ? LINK_NOT_SENT
+                     : l->answered ? LINK_BROKEN
+                                   : LINK_NO_ANSWER);
 }
 
-/* Takes an idle link out of its list. */
-static void take_out(Link *l) {
+/* Removes an idle link from its list. */
+static void remove_idle(Link *l) {
   Links *s = l->set;
   Link *first = g_hash_table_lookup(s->idle, l->addr);
   if (first == l) {
@@ -107,10 +109,10 @@
   l->next = NULL;
 }
 
-static void put_idle(Link *l) {
+static void add_idle(Link *l) {
   Links *s = l->set;
   l->state = LINK_IDLE;
-  l->since = loopclock_now(s->loop);
+  l->idle_since = loopclock_now(s->loop);
   l->next = g_hash_table_lookup(s->idle, l->addr);
   g_hash_table_insert(s->idle, g_strdup(l->addr), l);
 }
@@ -120,52 +122,52 @@
 static int on_begin(http_parser *p) {
   Link *l = p->data;
   headers_clear(&l->headers);
-  if (l->done) l->fouled = true; /* more than we asked for */
+  if (l->done) l->not_reusable = true; /* an answer without a request */
   return l->done ? 1 : 0;
 }
 
 static int on_field(http_parser *p, const char *at, size_t n) {
   Link *l = p->data;
-  headers_name_piece(&l->headers, at, n);
+  headers_append_name(&l->headers, at, n);
   return 0;
 }
 
 static int on_value(http_parser *p, const char *at, size_t n) {
   Link *l = p->data;
-  headers_value_piece(&l->headers, at, n);
+  headers_append_value(&l->headers, at, n);
   return 0;
 }
 
-static double told_keep(const Link *l) {
+static double keep_alive_s(const Link *l) {
   const char *v = headers_get(&l->headers, "Keep-Alive");
   const char *t = v ? strstr(v, "timeout=") : NULL;
-  double most = l->set->o.keep_s;
+  double most = l->set->o.max_idle_s;
   if (!t) return most;
-  return MIN(most, atof(t + strlen("timeout=")) * KEEP_MARGIN);
+  return MIN(most, atof(t + strlen("timeout=")) * KEEP_ALIVE_RATIO);
 }
 
 static int on_head(http_parser *p) {
   Link *l = p->data;
   if (p->status_code / 100 == 1) return 0;
   if (l->headers.too_many) {
-    l->dropped = true;
+    l->rejected = true;
     return -1;
   }
   bool length = p->content_length != ULLONG_MAX && !(p->flags & F_CHUNKED);
   LinkHead h = {.status = p->status_code,
                 .headers = &l->headers,
                 .length = length ? (int64_t)p->content_length : -1};
-  l->keep_until = told_keep(l);
+  l->keep_s = keep_alive_s(l);
   LinkVerdict v = l->ev.head(l->ctx, &h);
   if (l->cancelled) return -1;
   l->skipping = v == LINK_SKIP;
   if (v == LINK_SKIP) {
-    l->fouled = true; /* not kept after this */
-    l->dropped = ++l->skips > SKIPS;
+    l->not_reusable = true; /* not reused after this */
+    l->rejected = ++l->skips > MAX_SKIPPED_ANSWERS;
   }
-  l->dropped |= v == LINK_DROP;
-  if (l->dropped) return -1;
-  return l->bare ? 1 : 0;
+  l->rejected |= v == LINK_REJECT;
+  if (l->rejected) return -1;
+  return l->no_body ? 1 : 0;
 }
 
 static int on_body(http_parser *p, const char *at, size_t n) {
@@ -195,33 +197,33 @@
     .on_message_complete = on_done,
 };
 
-/* The answer is whole: the link is kept if nothing speaks against it. */
-static void whole(Link *l, bool at_end) {
-  bool keep = !at_end && !l->fouled && l->out->len == 0 && l->keep_until > 0 &&
-              http_should_keep_alive(&l->parser);
+/* Ends a complete exchange, and keeps the link if it can be reused. */
+static void finish_complete(Link *l, bool at_end) {
+  bool keep = !at_end && !l->not_reusable && l->out->len == 0 &&
+              l->keep_s > 0 && http_should_keep_alive(&l->parser);
   LinkEvents ev = l->ev;
   void *ctx = l->ctx;
   l->ctx = NULL;
   if (keep)
-    put_idle(l);
+    add_idle(l);
   else
-    release(l);
-  ev.end(ctx, LINK_WHOLE);
+    release_link(l);
+  ev.end(ctx, LINK_COMPLETE);
 }
 
 static void parse(Link *l, const char *p, size_t n) {
   l->parsing = true;
-  size_t used = http_parser_execute(&l->parser, &parser_settings, p, n);
-  bool bad = HTTP_PARSER_ERRNO(&l->parser) != HPE_OK || used < n;
-  if (!l->cancelled && l->ev.batch) l->ev.batch(l->ctx);
+  size_t parsed_bytes = http_parser_execute(&l->parser, &parser_settings, p, n);
+  bool bad = HTTP_PARSER_ERRNO(&l->parser) != HPE_OK || parsed_bytes < n;
+  if (!l->cancelled && l->ev.read_done) l->ev.read_done(l->ctx);
   l->parsing = false;
   if (l->cancelled)
     free_link(l);
   else if (l->done) {
-    l->fouled |= bad;
-    whole(l, n == 0);
+    l->not_reusable |= bad;
+    finish_complete(l, n == 0);
   } else if (bad || n == 0)
-    fail(l);
+    fail_exchange(l);
 }
 
 /* == events == */
@@ -232,26 +234,26 @@
   char buf[READ_BYTES];
   ssize_t n = recv(l->fd, buf, sizeof buf, 0);
   if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-  if (n > 0) l->set->heard = loopclock_now(loop);
-  if (l->state == LINK_IDLE) { /* closed, or bytes that nobody asked for */
-    take_out(l);
+  if (n > 0) l->set->last_activity = loopclock_now(loop);
+  if (l->state == LINK_IDLE) { /* closed, or unexpected data */
+    remove_idle(l);
     free_link(l);
     return;
   }
   if (n < 0) {
-    fail(l);
+    fail_exchange(l);
     return;
   }
   l->answered |= n > 0;
   parse(l, buf, (size_t)n);
 }
 
-static void push(Link *l) {
+static void write_request(Link *l) {
   size_t left = l->out->len - l->out_off;
   bool ok = sock_write(l->fd, l->out, &l->out_off);
   l->sent |= l->out->len - l->out_off < left;
   if (!ok) {
-    /* What the target said before it closed may still be read. */
+    /* An answer that the peer sent before it closed may still be read. */
     ev_io_stop(l->set->loop, &l->write);
     ev_feed_event(l->set->loop, &l->read, EV_READ);
     return;
@@ -262,17 +264,17 @@
     ev_io_stop(l->set->loop, &l->write);
 }
 
-static void tell_reach(Links *s, const char *addr, LinkReach how) {
-  if (s->reach) s->reach(s->reach_ctx, addr, how);
+static void notify_connect(Links *s, const char *addr, LinkConnectResult how) {
+  if (s->connect_fn) s->connect_fn(s->connect_ctx, addr, how);
 }
 
-/* No connection came up: the exchange ends first, so that whoever is told
-   counts only those that go on. */
-static void unreached(Link *l, LinkReach how) {
+/* The connection failed. The exchange ends before connect_fn is called, so that
+   connect_fn counts only the exchanges that continue. */
+static void fail_connect(Link *l, LinkConnectResult how) {
   Links *s = l->set;
   char *addr = g_strdup(l->addr);
-  fail(l);
-  tell_reach(s, addr, how);
+  fail_exchange(l);
+  notify_connect(s, addr, how);
   g_free(addr);
 }
 
@@ -280,43 +282,43 @@
   (void)revents;
   Link *l = w->data;
   if (l->state == LINK_CONNECTING) {
-    int error = sock_error(l->fd);
+    int error = sock_connect_error(l->fd);
     if (error != 0) {
-      unreached(l, error == ECONNREFUSED ? LINK_REFUSED : LINK_SILENT);
+      fail_connect(l, error == ECONNREFUSED ? LINK_REFUSED : LINK_UNREACHABLE);
       return;
     }
-    tell_reach(l->set, l->addr, LINK_UP);
+    notify_connect(l->set, l->addr, LINK_CONNECTED);
     l->state = LINK_OPEN;
-    l->set->heard = loopclock_now(loop);
+    l->set->last_activity = loopclock_now(loop);
     ev_timer_stop(loop, &l->timer);
     ev_io_start(loop, &l->read);
   }
   if (l->out) {
-    push(l);
+    write_request(l);
     return;
   }
   ev_io_stop(loop, &l->write);
-  l->keep_until = l->set->o.keep_s;
-  put_idle(l);
+  l->keep_s = l->set->o.max_idle_s;
+  add_idle(l);
 }
 
-static void on_timer(struct ev_loop *loop, ev_timer *w, int revents) {
+static void on_connect_timeout(struct ev_loop *loop, ev_timer *w, int revents) {
   (void)loop;
   (void)revents;
   Link *l = w->data;
-  unreached(l, l->refused ? LINK_REFUSED : LINK_SILENT);
+  fail_connect(l, l->refused ? LINK_REFUSED : LINK_UNREACHABLE);
 }
 
 /* == sending == */
 
-static Link *fresh_idle(Links *s, const char *addr, double fresh_s) {
+static Link *take_fresh_idle(Links *s, const char *addr, double max_idle_s) {
   double now = loopclock_now(s->loop);
   Link *l = g_hash_table_lookup(s->idle, addr);
   if (!l) return NULL;
-  double age = now - l->since;
-  take_out(l);
-  if (age < fresh_s && age < l->keep_until) return l;
-  free_link(l); /* the others of this address are older still */
+  double age = now - l->idle_since;
+  remove_idle(l);
+  if (age < max_idle_s && age < l->keep_s) return l;
+  free_link(l); /* the others of this address are older */
   return NULL;
 }
 
@@ -331,12 +333,13 @@
   ev_init(&l->read, on_readable);
   ev_init(&l->write, on_writable);
   if (l->fd >= 0) {
-    sock_user_timeout(l->fd, s->o.user_timeout_ms);
-    if (s->o.probe) sock_probe(l->fd);
+    sock_set_user_timeout(l->fd, s->o.user_timeout_ms);
+    if (s->o.keepalive_probes) sock_enable_keepalive(l->fd);
     ev_io_set(&l->read, l->fd, EV_READ);
     ev_io_set(&l->write, l->fd, EV_WRITE);
   }
-  ev_timer_init(&l->timer, on_timer, l->fd >= 0 ? s->o.connect_s : 0, 0);
+  ev_timer_init(&l->timer, on_connect_timeout,
+                l->fd >= 0 ? s->o.connect_timeout_s : 0, 0);
   l->read.data = l->write.data = l->timer.data = l;
   return l;
 }
@@ -346,13 +349,13 @@
   if (l->fd >= 0) ev_io_start(l->set->loop, &l->write);
 }
 
-static void prepare(Link *l, GString *request, const LinkEvents *ev,
-                    void *ctx) {
+static void prepare_exchange(Link *l, GString *request, const LinkEvents *ev,
+                             void *ctx) {
   if (l->out) g_string_free(l->out, TRUE);
   l->out = request;
   l->out_off = 0;
   l->sent = l->answered = l->skipping = l->done = false;
-  l->bare = g_str_has_prefix(request->str, "HEAD ");
+  l->no_body = g_str_has_prefix(request->str, "HEAD ");
   l->skips = 0;
   l->ev = *ev;
   l->ctx = ctx;
@@ -361,32 +364,32 @@
   headers_clear(&l->headers);
 }
 
-Link *link_send(Links *s, const char *addr, GString *request, double fresh_s,
+Link *link_send(Links *s, const char *addr, GString *request, double max_idle_s,
                 const LinkEvents *ev, void *ctx) {
-  Link *l = fresh_idle(s, addr, fresh_s);
+  Link *l = take_fresh_idle(s, addr, max_idle_s);
   bool kept = l != NULL;
   if (!l) l = new_link(s, addr);
-  prepare(l, request, ev, ctx);
+  prepare_exchange(l, request, ev, ctx);
   if (kept) {
     l->state = LINK_OPEN;
-    push(l);
+    write_request(l);
   } else {
     connect_link(l);
   }
   return l;
 }
 
-void link_open(Links *s, const char *addr) {
+void link_preconnect(Links *s, const char *addr) {
   connect_link(new_link(s, addr));
 }
 
-double links_heard(const Links *s) {
-  return s->heard;
+double links_last_activity(const Links *s) {
+  return s->last_activity;
 }
 
 void link_cancel(Link *l) {
   l->ctx = NULL;
-  release(l);
+  release_link(l);
 }
 
 void link_pause(Link *l) {
@@ -397,13 +400,13 @@
   ev_io_start(l->set->loop, &l->read);
 }
 
-bool link_sent(const Link *l) {
+bool link_has_sent(const Link *l) {
   return l->sent;
 }
 
 /* == the set == */
 
-static void drop_list(Link *l) {
+static void free_list(Link *l) {
   while (l) {
     Link *next = l->next;
     free_link(l);
@@ -411,7 +414,7 @@
   }
 }
 
-/* Cuts the tail of links that are too old off each list. */
+/* Frees the links that are too old; they are at the tail of each list. */
 static void on_sweep(struct ev_loop *loop, ev_timer *w, int revents) {
   (void)revents;
   Links *s = w->data;
@@ -421,7 +424,7 @@
   g_hash_table_iter_init(&it, s->idle);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Link *first = v, *prev = NULL, *l = first;
-    while (l && now - l->since < l->keep_until) {
+    while (l && now - l->idle_since < l->keep_s) {
       prev = l;
       l = l->next;
     }
@@ -430,21 +433,21 @@
       prev->next = NULL;
     else
       g_hash_table_iter_remove(&it);
-    drop_list(l);
+    free_list(l);
   }
 }
 
-void links_forget(Links *s, const char *addr) {
+void links_close_idle(Links *s, const char *addr) {
   Link *first = g_hash_table_lookup(s->idle, addr);
   g_hash_table_remove(s->idle, addr);
-  drop_list(first);
+  free_list(first);
 }
 
-void links_forget_all(Links *s) {
+void links_close_all_idle(Links *s) {
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init(&it, s->idle);
-  while (g_hash_table_iter_next(&it, NULL, &v)) drop_list(v);
+  while (g_hash_table_iter_next(&it, NULL, &v)) free_list(v);
   g_hash_table_remove_all(s->idle);
 }
 
@@ -453,20 +456,20 @@
   s->loop = loop;
   s->o = *o;
   s->idle = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  ev_timer_init(&s->sweep, on_sweep, SWEEP_S, SWEEP_S);
+  ev_timer_init(&s->sweep, on_sweep, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S);
   s->sweep.data = s;
   ev_timer_start(loop, &s->sweep);
   return s;
 }
 
-void links_watch(Links *s, LinksReach fn, void *ctx) {
-  s->reach = fn;
-  s->reach_ctx = ctx;
+void links_set_connect_fn(Links *s, LinksConnectFn fn, void *ctx) {
+  s->connect_fn = fn;
+  s->connect_ctx = ctx;
 }
 
 void links_close(Links *s) {
   ev_timer_stop(s->loop, &s->sweep);
-  links_forget_all(s);
+  links_close_all_idle(s);
   g_hash_table_destroy(s->idle);
   g_free(s);
 }
--- a/packages/flow/link.h
+++ b/packages/flow/link.h
@@ -1,6 +1,6 @@
-/* link.h: connections to targets and to the store, HTTP/1.1 on the event loop.
-   A link carries one exchange at a time; clean ones are kept for the next. A
-   link never sends anything twice by itself. */
+/* link.h: HTTP/1.1 client for targets and the store, on the event loop. A link
+   is a connection that carries one exchange at a time; it is reused after a
+   clean exchange. It never retries a request by itself. */
 #ifndef FLOW_LINK_H
 #define FLOW_LINK_H
 
@@ -14,72 +14,76 @@
 typedef struct LinkHead {
   int status;
   Headers *headers;
-  int64_t length; /* of the body; -1: told by chunks or by the end */
+  int64_t length; /* of the body; -1: chunked, or until the connection closes */
 } LinkHead;
 
-/* What to do with an answer whose head has come. */
+/* What to do with an answer after its head was received. */
 typedef enum {
-  LINK_TAKE,
-  LINK_SKIP, /* it belongs to another exchange; ours may follow */
-  LINK_DROP  /* it can't be trusted: the exchange ends as LINK_CUT */
+  LINK_ACCEPT,
+  LINK_SKIP,  /* it belongs to another exchange; the right one may follow */
+  LINK_REJECT /* it is not valid: the exchange ends as LINK_BROKEN */
 } LinkVerdict;
 
 /* How an exchange ended. */
 typedef enum {
-  LINK_WHOLE,
-  LINK_NOT_SENT, /* no byte of it has left */
-  LINK_CUT,      /* it was sent, at least in part, and broke off */
-  LINK_EMPTY     /* as LINK_CUT, before any byte of an answer */
+  LINK_COMPLETE,
+  LINK_NOT_SENT, /* no byte of the request was sent */
+  LINK_BROKEN,   /* sent at least in part, and broke */
+  LINK_NO_ANSWER /* as LINK_BROKEN, before any byte of an answer */
 } LinkEnd;
 
 typedef struct LinkEvents {
   LinkVerdict (*head)(void *ctx, const LinkHead *h);
   void (*body)(void *ctx, const char *data, size_t n);
-  /* All that one read brought was handed over; may be NULL. */
-  void (*batch)(void *ctx);
-  /* The last event; the link is no longer the owner's. */
+  /* All data of one read was passed to `body`; may be NULL. */
+  void (*read_done)(void *ctx);
+  /* The last event; the owner must not use the link after it. */
   void (*end)(void *ctx, LinkEnd how);
 } LinkEvents;
 
-/* What became of an attempt to connect. */
+/* Result of an attempt to connect. */
 typedef enum {
-  LINK_UP,
-  LINK_REFUSED, /* nobody listens there */
-  LINK_SILENT   /* anything else */
-} LinkReach;
+  LINK_CONNECTED,
+  LINK_REFUSED,    /* no process listens there */
+  LINK_UNREACHABLE /* timeout or any other error */
+} LinkConnectResult;
 
-typedef void (*LinksReach)(void *ctx, const char *addr, LinkReach how);
+typedef void (*LinksConnectFn)(void *ctx, const char *addr,
+                               LinkConnectResult how);
 
 typedef struct LinkOptions {
-  double connect_s;    /* a connection that takes longer is given up */
-  int user_timeout_ms; /* see sock_user_timeout */
-  bool probe;          /* see sock_probe */
-  double keep_s;       /* an idle link is used for this long at most */
+  double connect_timeout_s; /* to connect */
+  int user_timeout_ms;      /* see sock_set_user_timeout */
+  bool keepalive_probes;    /* see sock_enable_keepalive */
+  double max_idle_s;        /* an idle link is closed after this */
 } LinkOptions;
 
 Links *links_open(struct ev_loop *loop, const LinkOptions *o);
 void links_close(Links *s);
-/* `fn` is told of each attempt to connect. */
-void links_watch(Links *s, LinksReach fn, void *ctx);
-/* Sends `request` (head and body, taken over) to "ip:port", on an idle link
-   not older than `fresh_s` if there is one. Never calls back from within. */
-Link *link_send(Links *s, const char *addr, GString *request, double fresh_s,
+/* Sets the function that is called after each attempt to connect. */
+void links_set_connect_fn(Links *s, LinksConnectFn fn, void *ctx);
+/* Sends `request` (head and body, which the link takes over) to "ip:port", on a
+   link that has been idle for less than `max_idle_s` if there is one. Makes no
+   callback before it returns. */
+Link *link_send(Links *s, const char *addr, GString *request, double max_idle_s,
                 const LinkEvents *ev, void *ctx);
-/* Opens a connection there for the next exchange. Nothing is sent on it and
-   nobody is called; links_heard tells whether it came up. */
-void link_open(Links *s, const char *addr);
-/* Closes the idle links there: the other end has lost them. */
-void links_forget(Links *s, const char *addr);
-void links_forget_all(Links *s);
-/* When a connection last came up or brought bytes, in the loop's time; 0:
-   never. */
-double links_heard(const Links *s);
-/* Gives the exchange up; the connection is closed and no event follows. */
+/* Opens a connection for a later exchange. Nothing is sent on it, and
+   LinkEvents don't apply; links_last_activity shows whether it was
+   established. */
+void link_preconnect(Links *s, const char *addr);
+/* Closes the idle links to `addr`, after the peer has lost them. */
+void links_close_idle(Links *s, const char *addr);
+void links_close_all_idle(Links *s);
+/* Returns the loop time when a connection was last established or received
+   bytes; 0: never. */
+double links_last_activity(const Links *s);
+/* Cancels the exchange: closes the connection, and no event follows. */
 void link_cancel(Link *l);
-/* Nothing more of the answer is read until link_resume: its target waits. */
+/* Stops reading the answer until link_resume, so that TCP flow control stops
+   the target. */
 void link_pause(Link *l);
 void link_resume(Link *l);
-/* True once a byte of the request has left. */
-bool link_sent(const Link *l);
+/* True once a byte of the request was sent. */
+bool link_has_sent(const Link *l);
 
 #endif
--- a/packages/flow/relay.h
+++ b/packages/flow/relay.h
@@ -1,5 +1,6 @@
-/* relay.h: the life of a request on the event loop: route, customer, budget,
-   target, answer; and every way in which it can end. */
+/* relay.h: relays requests of callers to targets, on the event loop. For each
+   request it finds route and customer, reserves the customer's budget, chooses
+   a target and passes on the answer, or refuses the request. */
 #ifndef FLOW_RELAY_H
 #define FLOW_RELAY_H
 
@@ -14,51 +15,57 @@
 typedef struct Relay Relay;
 
 typedef struct RelayOptions {
-  const char *listen;     /* ip:port for callers */
-  int64_t body_room;      /* bytes of bodies held at once */
-  Store *store;           /* where trials are kept */
-  const Regions *regions; /* of the data centres; has to last */
+  const char *listen_addr; /* "ip:port" for callers */
+  int64_t max_body_bytes;  /* of request bodies in memory */
+  Store *store;            /* holds the trials of suspects (run.h) */
+  const Regions *regions;  /* of the data centres; outlives the relay */
 } RelayOptions;
 
 Relay *relay_open(struct ev_loop *loop, const RelayOptions *o, Targets *targets,
                   Retries *retries, Err *e);
 void relay_close(Relay *r);
-/* Where budgets are reserved; before the first request. */
-void relay_cluster(Relay *r, Cluster *c);
+/* Sets the cluster that reserves budgets; to be called before the first
+   request. */
+void relay_set_cluster(Relay *r, Cluster *c);
 
-/* The configuration that new requests are served by. */
-void relay_conf(Relay *r, Conf *c);
+/* Sets the configuration for new requests. */
+void relay_set_conf(Relay *r, Conf *c);
 Conf *relay_get_conf(const Relay *r);
-/* A reservation is decided. */
-void relay_reserved(Relay *r, uint64_t handle, ErrKind cause, int retry_ms);
-/* What all have at a target that a request asked about. */
-void relay_tally(Relay *r, const TallyWord *w);
-/* Whether a request may go to the bounded target that it was chosen for. */
-void relay_permit(Relay *r, const TallyPermit *p);
-/* What a target takes (TallyLimit), as another instance tells it. */
-void relay_limit(Relay *r, uint64_t target, double limit);
-/* Planned stop: open requests go on, callers are asked to leave. */
+/* The reservation `handle` of a budget was decided. */
+void relay_on_reserved(Relay *r, uint64_t handle, ErrKind cause, int retry_ms);
+/* The number of requests of all instances at a target, which a request
+   queried. */
+void relay_on_tally(Relay *r, const TallyWord *w);
+/* Answer to a permit request. A permit allows one request to be sent to a
+   target that limits its rate. */
+void relay_on_permit(Relay *r, const TallyPermit *p);
+/* Another instance reported the rate of requests that a target accepts. */
+void relay_on_limit(Relay *r, uint64_t target, double limit);
+/* For a planned stop: open requests continue, and answers close their
+   connections. */
 void relay_drain(Relay *r);
-/* Callers are asked to leave, or no longer. */
-void relay_leave(Relay *r, bool leave);
-/* Bytes that callers have sent in all. */
-int64_t relay_taken(const Relay *r);
-/* The target at `addr` has started again, after the life with that target_hash:
-   links to it are dead. */
-void relay_restarted(Relay *r, const char *addr, uint64_t life);
-/* What another instance says of a request under which targets ended. */
-void relay_suspect(Relay *r, const SuspectsMsg *m);
-/* The store's word on a trial, and on all of them; as in FeedEvents. */
-void relay_trial(Relay *r, const char *name, const json_t *content,
-                 uint64_t revision);
-void relay_trials(Relay *r, GHashTable *names);
-/* Forgets what is old; about once a second. */
+/* Sets whether answers close their connections. */
+void relay_set_leaving(Relay *r, bool leaving);
+/* Returns the total of bytes received from callers. */
+int64_t relay_bytes_received(const Relay *r);
+/* The target at `addr` has restarted: links to it are dead. `old_hash` is the
+   target_hash that it had before. */
+void relay_on_target_restarted(Relay *r, const char *addr, uint64_t old_hash);
+/* Another instance reported on a suspect: a request under which targets
+   ended. */
+void relay_on_suspect(Relay *r, const SuspectsMsg *m);
+/* The store's content of a trial, and the names of all trials; as in
+   FeedEvents. */
+void relay_on_trial(Relay *r, const char *name, const json_t *content,
+                    uint64_t revision);
+void relay_on_trial_names(Relay *r, GHashTable *names);
+/* Expires old state; to be called about once a second. */
 void relay_sweep(Relay *r);
-/* This instance stood still: until it is `false` again, nothing that it knows
-   is acted on, and new requests are refused. */
-void relay_behind(Relay *r, bool behind);
-/* From here on new requests are refused. */
-void relay_refuse(Relay *r);
-int relay_open_requests(const Relay *r);
+/* Sets whether the state of this instance is stale because its process was
+   paused. While it is, new requests are refused and none is dispatched. */
+void relay_set_stale(Relay *r, bool behind);
+/* From now on new requests are refused. */
+void relay_refuse_requests(Relay *r);
+int relay_open_request_count(const Relay *r);
 
 #endif
--- a/packages/flow/run.c
+++ b/packages/flow/run.c
@@ -1,4 +1,5 @@
-/* run.c: begin and end of a request: budget, target, log, answer. */
+/* run.c: start and end of a run: settles its budget, releases its target,
+   writes the log line and the error answer. */
 #include "flow/run.h"
 
 #include <jansson.h>
@@ -10,7 +11,7 @@
 #include "flow/wire.h"
 #include "kernel/loopclock.h"
 
-#define EVENTS_AHEAD 2 /* events a target may have made unseen */
+#define MAX_UNSEEN_EVENTS 2 /* that a target may have produced unread */
 
 /* == the end of a run == */
 
@@ -18,45 +19,47 @@
   return loopclock_now(x->relay->loop);
 }
 
-/* Tokens that the customer got, at most: the prompt once a target took it in,
-   and what a target may have made of the answer. */
+/* Upper bound of the tokens that the customer used: the prompt once a target
+   may have run it, and the output that a target may have produced. */
 static int64_t used_tokens(const Run *x, bool whole) {
-  bool taken = x->head_out || x->maybe;
+  bool taken = x->head_sent || x->maybe_ran;
   if (!taken) return 0;
   int per_event = x->service ? MAX(x->service->event_tokens, 1) : 1;
-  int64_t events = x->events.count + (whole ? 0 : EVENTS_AHEAD);
+  int64_t events = x->events.count + (whole ? 0 : MAX_UNSEEN_EVENTS);
   int64_t out = events * per_event;
-  return MIN(x->ask.tokens_in + MIN(out, x->ask.tokens_out), x->reserved);
+  return MIN(x->request.prompt_tokens + MIN(out, x->request.max_output_tokens),
+             x->reserved_tokens);
 }
 
-static void run_settle(Run *x, int64_t used) {
-  if (x->handle == 0) return;
-  uint64_t handle = x->handle;
-  g_hash_table_remove(x->relay->reserved, &x->handle);
-  x->handle = 0;
-  cluster_settle(x->relay->cluster, handle, x->waits ? 0 : used);
-  count_add(COUNT_TOKENS, x->waits ? 0 : used);
+static void settle_budget(Run *x, int64_t used) {
+  if (x->reservation == 0) return;
+  uint64_t handle = x->reservation;
+  g_hash_table_remove(x->relay->runs_by_reservation, &x->reservation);
+  x->reservation = 0;
+  cluster_settle(x->relay->cluster, handle, x->awaits_budget ? 0 : used);
+  count_add(COUNT_TOKENS, x->awaits_budget ? 0 : used);
 }
 
-void run_leave_target(Run *x, TargetEnd how) {
+void run_release_target(Run *x, TargetEnd how) {
   if (!x->target) return;
   double now = run_now(x);
-  run_tell_done(x);
+  run_report_done(x);
   if (x->stream && x->events.count > 1 && x->choice.beside_long)
-    target_streamed(x->target, now, x->pause_s > x->route->pause_s);
-  target_done(x->target, now, how, x->first, x->choice.fresh, now - x->sent_at);
+    target_streamed(x->target, now, x->max_pause_s > x->route->pause_s);
+  target_done(x->target, now, how, x->has_first_byte, x->choice.fresh,
+              now - x->sent_at);
   x->target = NULL;
 }
 
-static void run_free(Run *x) {
+static void free_run(Run *x) {
   Relay *r = x->relay;
   ev_timer_stop(r->loop, &x->timer);
-  run_stop_asking(x);
+  run_cancel_query(x);
   if (x->prev) x->prev->next = x->next;
   if (x->next) x->next->prev = x->prev;
-  if (r->first == x) r->first = x->next;
-  r->n--;
-  caller_hold(x->caller, 0);
+  if (r->first_run == x) r->first_run = x->next;
+  r->n_runs--;
+  caller_set_held_bytes(x->caller, 0);
   conf_unref(x->conf);
   if (x->fields) g_string_free(x->fields, TRUE);
   if (x->body) g_string_free(x->body, TRUE);
@@ -67,13 +70,14 @@
 static void log_end(const Run *x, const char *outcome, int status,
                     const char *error, int64_t tokens) {
   double now = run_now(x);
-  /* The line of a request that was not served is never dropped. */
+  /* Warnings are never dropped from the log: a line of a request that was not
+     served is kept. */
   void (*line)(const char *, const char *, ...) =
       strcmp(outcome, "served") == 0 ? log_info : log_warn;
   line("request",
        "s:s,s:s,s:i,s:s,s:s,s:s,s:s,s:s,s:i,s:i,s:I,s:I,s:I,s:I,s:i,s:I,"
        "s:f,s:f,s:f,s:f,s:f,s:f,s:i,s:I",
-       "request", x->ask.id, "outcome", outcome, "status", status, "error",
+       "request", x->request.id, "outcome", outcome, "status", status, "error",
        error, "customer", x->customer ? x->customer->name : "", "service",
        x->service_name ? x->service_name : "", "route",
        x->route ? x->route->name : "", "target",
@@ -82,22 +86,23 @@
        "tokens", (json_int_t)tokens, "fresh", (json_int_t)x->choice.fresh,
        "moved", (json_int_t)x->choice.moved, "there", x->choice.load.open,
        "unread", (json_int_t)x->choice.load.tokens, "predicted",
-       x->choice.wait_s, "first", x->first_s, "pause", x->pause_s, "aim",
-       x->route ? x->route->aim_s : 0, "pause_aim",
-       x->route ? x->route->pause_s : 0, "seconds", now - x->req->at, "permits",
-       x->all_permits, "conf", (json_int_t)(x->conf ? x->conf->version : 0));
+       x->choice.wait_s, "first", x->first_event_s, "pause", x->max_pause_s,
+       "aim", x->route ? x->route->aim_s : 0, "pause_aim",
+       x->route ? x->route->pause_s : 0, "seconds",
+       now - x->http_request->received_at, "permits", x->total_permits, "conf",
+       (json_int_t)(x->conf ? x->conf->version : 0));
 }
 
-/* Everything but the answer: budget, target, log. */
-static void run_close(Run *x, const char *outcome, int status,
+/* Does everything but the answer: budget, target, log. */
+static void close_run(Run *x, const char *outcome, int status,
                       const char *error) {
-  run_cut_off(x);
+  run_record_cut_off(x);
   if (x->link) link_cancel(x->link);
   x->link = NULL;
-  run_leave_target(x, TARGET_LEFT);
-  run_leave_trial(x, x->sends > 0);
+  run_release_target(x, TARGET_LEFT);
+  run_end_trial(x, x->sends > 0);
   int64_t used = used_tokens(x, strcmp(outcome, "served") == 0);
-  run_settle(x, used);
+  settle_budget(x, used);
   log_end(x, outcome, status, error, used);
 }
 
@@ -108,58 +113,58 @@
       json_pack("{s:{s:s,s:s,s:s,s:s}}", "error", "kind", info->name, "message",
                 e->text, "remedy", info->remedy, "ran", err_ran(e->ran));
   char *text = json_dumps(o, JSON_COMPACT);
-  wire_refusal(fields, id, e);
-  caller_head(c, info->status, fields->str, (int64_t)strlen(text));
-  caller_body(c, text, strlen(text));
+  wire_append_refusal_fields(fields, id, e);
+  caller_send_head(c, info->status, fields->str, (int64_t)strlen(text));
+  caller_send_body(c, text, strlen(text));
   free(text);
   json_decref(o);
   g_string_free(fields, TRUE);
-  caller_end(c);
+  caller_end_answer(c);
 }
 
-void run_give_up(Run *x, Err *e) {
+void run_fail(Run *x, Err *e) {
   Caller *c = x->caller;
-  char id[sizeof x->ask.id];
-  g_strlcpy(id, x->ask.id, sizeof id);
-  if (x->maybe) e->ran = RAN_MAYBE;
-  bool begun = x->head_out;
+  char id[sizeof x->request.id];
+  g_strlcpy(id, x->request.id, sizeof id);
+  if (x->maybe_ran) e->ran = RAN_MAYBE;
+  bool begun = x->head_sent;
   const ErrInfo *info = err_info(e->kind);
   count_add(begun ? COUNT_TARGET_CUT : COUNT_REFUSED_OTHER, 1);
-  run_close(x, begun ? "cut" : "refused", info->status, info->name);
-  caller_set(c, NULL);
-  run_free(x);
+  close_run(x, begun ? "cut" : "refused", info->status, info->name);
+  caller_set_data(c, NULL);
+  free_run(x);
   if (begun)
     caller_abort(c);
   else
     answer_error(c, id, e);
 }
 
-void run_served(Run *x) {
+void run_end_served(Run *x) {
   Caller *c = x->caller;
   count_add(COUNT_RAN, 1);
-  count_time(COUNT_TIME_ALL, run_now(x) - x->req->at);
-  run_close(x, "served", x->status, "");
-  caller_set(c, NULL);
-  run_free(x);
-  caller_end(c);
+  count_time(COUNT_TIME_ALL, run_now(x) - x->http_request->received_at);
+  close_run(x, "served", x->status, "");
+  caller_set_data(c, NULL);
+  free_run(x);
+  caller_end_answer(c);
 }
 
-void run_left(Run *x) {
-  run_close(x, "caller-gone", 0, "");
-  run_free(x);
+void run_end_disconnected(Run *x) {
+  close_run(x, "caller-gone", 0, "");
+  free_run(x);
 }
 
-Run *run_new(Relay *r, Caller *c, const CallerReq *req) {
+Run *run_new(Relay *r, Caller *c, const CallerRequest *req) {
   Run *x = g_new0(Run, 1);
   x->relay = r;
   x->caller = c;
-  x->req = req;
+  x->http_request = req;
   x->fields = g_string_new(NULL);
   x->body = g_string_new(NULL);
-  x->next = r->first;
-  if (r->first) r->first->prev = x;
-  r->first = x;
-  r->n++;
-  caller_set(c, x);
+  x->next = r->first_run;
+  if (r->first_run) r->first_run->prev = x;
+  r->first_run = x;
+  r->n_runs++;
+  caller_set_data(c, x);
   return x;
 }
--- a/packages/flow/run.h
+++ b/packages/flow/run.h
@@ -1,5 +1,8 @@
-/* run.h: one request on its way through the relay; shared by run.c, dispatch.c
-   and relay.c only. */
+/* run.h: a run is one request while the relay handles it. Internal to relay.c
+   and the other files named below.
+
+   A request under which targets ended is a suspect. A trial, kept in the store,
+   lets one instance at a time try a suspect again. */
 #ifndef FLOW_RUN_H
 #define FLOW_RUN_H
 
@@ -10,74 +13,76 @@
 #include "route/suspects.h"
 #include "route/trials.h"
 
-#define RUN_LINK_KEEP_S 30.0 /* an idle connection to a target is kept */
-#define RUN_TRIED_MOST 8     /* targets that one request is tried at */
-/* Seconds for other instances' answers, which take a way to and fro and a turn:
-   what has not come by then is done without. */
-#define RUN_ANSWER_S 0.02
-#define RUN_BACK_SOON_MS 200 /* Retry-After of what passes quickly */
-/* The same while all targets that are left are evacuated. Nobody tells how long
-   it will take; operators' evacuations last for tens of seconds, and callers
-   wait for a third of their time at most. */
-#define RUN_BACK_EVACUATED_MS 5000
-/* The same where the operators let it be served only where no target is: until
-   a target comes, or another configuration. */
-#define RUN_BACK_CHANGED_MS 5000
+#define RUN_LINK_MAX_IDLE_S 30.0 /* of an idle connection to a target */
+#define RUN_MAX_TARGETS 8        /* that one request is sent to */
+/* How long a request waits for answers of other instances, which take a network
+   round trip and a turn of their event loop. It continues without those that
+   are still missing. */
+#define RUN_ANSWER_TIMEOUT_S 0.02
+#define RUN_RETRY_SOON_MS 200 /* Retry-After for short conditions */
+/* Retry-After while all remaining targets are under evacuation, that is,
+   operators have excluded them for a time. The duration is unknown; evacuations
+   last for tens of seconds, and callers wait for at most a third of their
+   deadline. */
+#define RUN_RETRY_EVACUATED_MS 5000
+/* Retry-After when no target is in the allowed regions, which lasts until a
+   target joins or the configuration changes. */
+#define RUN_RETRY_NOT_ALLOWED_MS 5000
 
 typedef struct Run Run;
 
 struct Run {
   Relay *relay;
   Caller *caller;
-  const CallerReq *req;
-  Ask ask;
+  const CallerRequest *http_request;
+  RequestInfo request;
   Conf *conf;
   const ConfRoute *route;
-  const ConfService *service; /* NULL: not described */
+  const ConfService *service; /* NULL: not in the configuration */
   const char *service_name;
   const ConfCustomer *customer; /* NULL: an open route */
-  RegionSet regions;            /* that it is bound to */
+  RegionSet regions;            /* that may serve it */
   Digest digest;                /* run_digest */
-  bool digested;
-  struct Try *try; /* of a suspect; NULL: it is none */
+  bool has_digest;
+  struct Try *try; /* of a suspect; NULL: not a suspect */
   double deadline;
   ev_timer timer;
   /* budget */
-  int64_t reserved;
-  uint64_t handle; /* 0: nothing is reserved */
-  bool waits;      /* for the decision on it */
+  int64_t reserved_tokens;
+  uint64_t reservation; /* its number; 0: none */
+  bool awaits_budget;   /* the reservation is not decided yet */
   /* target */
-  const Target *tried[RUN_TRIED_MOST];
+  const Target *tried[RUN_MAX_TARGETS];
   int n_tried, sends;
   Target *target;
-  TargetChoice choice; /* that led there */
+  TargetChoice choice; /* of `target` */
   double sent_at;
-  /* what all have at the targets that may be chosen */
-  ev_timer told_timer;
-  uint64_t question; /* that is open; 0: none */
-  bool holds;        /* the choice waits for the answers */
-  int n_asked, n_words;
-  TallyWord words[TARGETS_ASKED];
-  /* a permit for the target of `choice` */
-  bool permit_asked; /* the question that is open is for it */
-  double asked_at;
-  int n_permits, all_permits; /* asked for: since it was last sent, in all */
-  uint64_t permit_run; /* its number at that target; 0: it asked for none */
-  uint64_t run;     /* its number at the target, as told; 0: it was not told */
-  uint64_t counter; /* of its work there */
-  bool first;       /* its first byte has come */
-  double first_at;  /* when; of this target */
+  /* query for the number of requests at candidate targets */
+  ev_timer query_timer;
+  uint64_t query_id;   /* of the pending query; 0: none */
+  bool awaits_reports; /* the choice waits for reports */
+  int n_queried, n_reports;
+  TallyWord reports[TARGETS_ASKED];
+  /* permit for the target of `choice` */
+  bool awaits_permit; /* the pending query is for a permit */
+  double permit_requested_at;
+  int n_permits, total_permits; /* requested: since it was last sent, in all */
+  uint64_t permit_run_id; /* number of the run in its permit request; 0: none */
+  uint64_t run_id;      /* number of the run in its reports; 0: not reported */
+  uint64_t counter;     /* instance that counts the target's work */
+  bool has_first_byte;  /* of the answer */
+  double first_byte_at; /* from this target */
   Link *link;
-  double paused_at; /* nothing is read of its answer since; 0: it is read */
-  bool refused;     /* the answer under way says that it did not run */
-  bool maybe;       /* it was sent somewhere and may have run */
+  double paused_at; /* reading of the answer is paused since; 0: not paused */
+  bool refused;     /* the current answer states that it did not run */
+  bool maybe_ran;   /* a target may have run it */
   /* answer */
   int status;
   GString *fields, *body;
-  bool stream, head_out;
-  double first_s;   /* until the first event or byte was handed on; 0: none */
-  double passed_at; /* when something was last handed on; 0: never */
-  double pause_s;   /* longest time between two events handed on */
+  bool stream, head_sent;
+  double first_event_s; /* until the first data was passed on; 0: none */
+  double forwarded_at;  /* time of the last data passed on; 0: never */
+  double max_pause_s;   /* longest time between two passed on */
   Events events;
   struct Run *prev, *next;
 };
@@ -90,105 +95,110 @@
   Targets *targets;
   const Regions *regions;
   Cluster *cluster;
-  GHashTable *reserved; /* handle -> Run, of all that hold or wait */
+  GHashTable *runs_by_reservation; /* reservation -> Run, decided or pending */
   Retries *retries;
   Ends *ends;
   Suspects *suspects;
   Trials *trials;
-  GPtrArray *tries;   /* Try*, of our own, until the store has their outcome */
-  GHashTable *asking; /* question -> Run */
-  uint64_t questions, runs;
+  GPtrArray *tries;          /* Try*, until the store has their outcome */
+  GHashTable *runs_by_query; /* query id -> Run */
+  uint64_t last_query_id, last_run_id;
   Conf *conf;
-  int64_t body_room;
-  Run *first;
-  int n;
-  bool refusing, behind;
+  int64_t max_body_bytes;
+  Run *first_run;
+  int n_runs;
+  bool refusing, stale;
 };
 
-/* == run.c: its life == */
+/* == run.c: start and end of a run == */
 
-Run *run_new(Relay *r, Caller *c, const CallerReq *req);
+Run *run_new(Relay *r, Caller *c, const CallerRequest *req);
 double run_now(const Run *x);
-/* The target is done with, one way or the other. */
-void run_leave_target(Run *x, TargetEnd how);
-/* Ends with an error of ours; breaks off what was begun. */
-void run_give_up(Run *x, Err *e);
-/* Ends with the answer that was passed on. */
-void run_served(Run *x);
-/* Ends without an answer: the caller left. */
-void run_left(Run *x);
-
-/* == relay.c: what it is allowed == */
-
-/* Bounds it to the regions of the configuration in force as well, should that
-   have changed since it came. */
-void run_bind(Run *x);
-
-/* == asking.c: what others have at targets == */
-
-/* Asks for it, so that the answers are there when a target is chosen. */
-void run_ask(Run *x);
-/* Whatever was asked, the answer is not awaited any more. */
-void run_stop_asking(Run *x);
-/* The target got the request; it began to answer; it is done with it. */
-void run_tell_sent(Run *x);
-void run_tell_read(Run *x);
-void run_tell_done(Run *x);
-
-/* == permits.c: bounded targets == */
-
-/* Whether it has not been refused too often. */
-bool run_may_ask_permit(const Run *x);
-/* What its target's answer says of the requests that it takes. */
-void run_note_limit(Run *x, const Answer *a);
-/* Sends it to the chosen target once it has a permit, or chooses again. */
-void run_ask_permit(Run *x, const TargetChoice *c);
-
-/* == breaks.c: targets that end, and under which requests == */
-
-/* Stands for this request and all that repeat it: same method, host, path,
-   customer and body. */
+/* Ends the use of the current target, if any. */
+void run_release_target(Run *x, TargetEnd how);
+/* Ends the run with an error answer, or breaks off an answer that has begun. */
+void run_fail(Run *x, Err *e);
+/* Ends the run after its answer was passed on. */
+void run_end_served(Run *x);
+/* Ends the run without an answer, after the caller disconnected. */
+void run_end_disconnected(Run *x);
+
+/* == relay.c: allowed regions == */
+
+/* Restricts the run to the regions of the current configuration as well, if
+   that changed since the request arrived. */
+void run_update_regions(Run *x);
+
+/* == asking.c: requests of all instances at targets == */
+
+/* Queries the number of requests at candidate targets ahead of the choice. */
+void run_query_tallies(Run *x);
+/* Stops waiting for answers to a query or permit request. */
+void run_cancel_query(Run *x);
+/* Report that the target was sent the request, has begun to answer, and has
+   ended. */
+void run_report_sent(Run *x);
+void run_report_prompt_read(Run *x);
+void run_report_done(Run *x);
+
+/* == permits.c: targets that limit their rate == */
+
+/* Whether the run has not been refused too many permits. */
+bool run_may_request_permit(const Run *x);
+/* Records the rate limit that the target's answer states. */
+void run_record_limit(Run *x, const AnswerInfo *a);
+/* Requests a permit for the chosen target, then sends the request there or
+   chooses another target. */
+void run_request_permit(Run *x, const TargetChoice *c);
+
+/* == breaks.c: targets that end, and the requests involved == */
+
+/* Digest of method, host, path, customer and body: equal for this request and
+   its repetitions. */
 Digest run_digest(Run *x);
-/* Stands for its customer. */
-uint64_t run_owner(const Run *x);
-/* Whether the request had just begun to run at its target, or was still to. */
-bool run_is_young(const Run *x);
-/* Its exchange with `t` broke, and it is done with it. */
-void run_broke(Run *x, Target *t, bool young);
-/* It ends before the exchange with its target does. */
-void run_cut_off(Run *x);
-/* Its exchange ended with the target's answer. */
-void run_ran(Run *x);
-/* A connection to `addr` was tried; `ctx` is the relay. */
-void relay_reach(void *ctx, const char *addr, LinkReach how);
-
-/* Its caller has taken enough to get more. */
-void run_drained(Run *x);
-/* Ends those whose callers read so slowly that their targets would suffer. */
-void relay_end_slow(Relay *r);
+/* Hash of the customer's name. */
+uint64_t run_customer_hash(const Run *x);
+/* Whether the request began to run at its target recently, or not yet. */
+bool run_is_recently_started(const Run *x);
+/* The exchange with `t` broke and was ended. */
+void run_record_broken(Run *x, Target *t, bool recently_started);
+/* The run ends before the exchange with its target. */
+void run_record_cut_off(Run *x);
+/* The exchange ended with an answer of the target. */
+void run_record_completed(Run *x);
+/* Result of an attempt to connect to `addr`; `ctx` is the relay. */
+void relay_on_connect(void *ctx, const char *addr, LinkConnectResult how);
+
+/* Resumes reading the answer, after the caller has received enough of it. */
+void run_resume_answer(Run *x);
+/* Ends runs whose callers read so slowly that the targets would be affected. */
+void relay_end_slow_callers(Relay *r);
 
 /* == trying.c: suspects == */
 
-/* Calls `go` at once, or once the store has its trial; or refuses it. */
-void run_admit(Run *x, void (*go)(Run *x));
-/* It ends; `sent`: it came to a target. */
-void run_leave_trial(Run *x, bool sent);
-/* A target ended under a request. */
-void relay_tried_ended(Relay *r, Digest d);
-/* An attempt of it ended well. */
-void relay_tried_well(Relay *r, Digest d);
+/* Calls `proceed` at once or, for a suspect, once the store has its trial; or
+   refuses the request. */
+void run_admit(Run *x, void (*proceed)(Run *x));
+/* The run ends; `sent`: it was sent to a target. */
+void run_end_trial(Run *x, bool sent);
+/* A target ended under the request with digest `d`. */
+void relay_on_trial_target_ended(Relay *r, Digest d);
+/* An attempt of that request was answered. */
+void relay_on_trial_succeeded(Relay *r, Digest d);
+/* Writes the outcomes of tries that are over to the store. */
 void relay_close_tries(Relay *r);
 void relay_free_tries(Relay *r);
 
 /* == dispatch.c: targets and their answers == */
 
-/* What the choice of a target is made by. */
-TargetAsk run_target_ask(Run *x);
-void run_choose(Run *x);
-/* Sends it to the target of `choice`. */
+/* Criteria for the choice of a target. */
+TargetAsk run_target_criteria(Run *x);
+void run_choose_target(Run *x);
+/* Sends the request to the target of `choice`. */
 void run_send(Run *x);
 
-/* Chooses a target and sends the request there, or gives up. */
+/* Chooses a target, after awaiting reports if any are missing, and sends the
+   request there, or fails. */
 void run_dispatch(Run *x);
 
 #endif
--- a/packages/flow/sock.c
+++ b/packages/flow/sock.c
@@ -1,4 +1,4 @@
-/* sock.c: socket calls and their options. */
+/* sock.c: socket calls and options. */
 #define _GNU_SOURCE
 #include "flow/sock.h"
 
@@ -13,12 +13,12 @@
 
 #include "kernel/limits.h"
 
-#define BACKLOG 1024    /* new connections that may wait */
-#define PROBE_AFTER_S 1 /* seconds of silence before a probe */
-#define PROBE_EVERY_S 1 /* seconds between probes */
-#define PROBES 2        /* lost probes that end a connection */
+#define BACKLOG 1024            /* connections waiting to be accepted */
+#define KEEPALIVE_IDLE_S 1      /* without data, before the first probe */
+#define KEEPALIVE_INTERVAL_S 1  /* between probes */
+#define KEEPALIVE_PROBE_COUNT 2 /* lost probes that end a connection */
 
-bool sock_address(const char *addr, struct sockaddr_in *in) {
+bool sock_parse_address(const char *addr, struct sockaddr_in *in) {
   char ip[64];
   const char *colon = strrchr(addr, ':');
   if (!colon || (size_t)(colon - addr) >= sizeof ip) return false;
@@ -30,15 +30,15 @@
   return inet_pton(AF_INET, ip, &in->sin_addr) == 1;
 }
 
-static void set(int fd, int level, int name, int value) {
+static void set_option(int fd, int level, int name, int value) {
   setsockopt(fd, level, name, &value, sizeof value);
 }
 
 int sock_listen(const char *addr, Err *e) {
   struct sockaddr_in in;
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd >= 0) set(fd, SOL_SOCKET, SO_REUSEADDR, 1);
-  if (fd >= 0 && sock_address(addr, &in) &&
+  if (fd >= 0) set_option(fd, SOL_SOCKET, SO_REUSEADDR, 1);
+  if (fd >= 0 && sock_parse_address(addr, &in) &&
       bind(fd, (struct sockaddr *)&in, sizeof in) == 0 &&
       listen(fd, BACKLOG) == 0)
     return fd;
@@ -49,16 +49,16 @@
 
 int sock_accept(int fd) {
   int c = accept4(fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  if (c >= 0) set(c, IPPROTO_TCP, TCP_NODELAY, 1);
+  if (c >= 0) set_option(c, IPPROTO_TCP, TCP_NODELAY, 1);
   return c;
 }
 
 int sock_connect(const char *addr) {
   struct sockaddr_in in;
-  if (!sock_address(addr, &in)) return -1;
+  if (!sock_parse_address(addr, &in)) return -1;
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return -1;
-  set(fd, IPPROTO_TCP, TCP_NODELAY, 1);
+  set_option(fd, IPPROTO_TCP, TCP_NODELAY, 1);
   if (connect(fd, (struct sockaddr *)&in, sizeof in) == 0 ||
       errno == EINPROGRESS)
     return fd;
@@ -68,22 +68,22 @@
   return -1;
 }
 
-int sock_error(int fd) {
+int sock_connect_error(int fd) {
   int error = 0;
   socklen_t n = sizeof error;
   if (getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &n) != 0) return errno;
   return error;
 }
 
-void sock_user_timeout(int fd, int ms) {
-  set(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, ms);
+void sock_set_user_timeout(int fd, int ms) {
+  set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, ms);
 }
 
-void sock_probe(int fd) {
-  set(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-  set(fd, IPPROTO_TCP, TCP_KEEPIDLE, PROBE_AFTER_S);
-  set(fd, IPPROTO_TCP, TCP_KEEPINTVL, PROBE_EVERY_S);
-  set(fd, IPPROTO_TCP, TCP_KEEPCNT, PROBES);
+void sock_enable_keepalive(int fd) {
+  set_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
+  set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S);
+  set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S);
+  set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBE_COUNT);
 }
 
 void sock_reset(int fd) {
@@ -92,18 +92,19 @@
   close(fd);
 }
 
-void sock_send_bound(int fd, int bytes) {
+void sock_set_send_buffer(int fd, int bytes) {
   setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &bytes, sizeof bytes);
 }
 
-/* Who never takes everything must not make the buffer grow with all it took. */
-static void drop_sent(GString *out, size_t *off) {
+/* Discards sent bytes even if some remain; otherwise the buffer of a peer that
+   never takes everything would grow with all that was sent. */
+static void discard_sent(GString *out, size_t *off) {
   if (*off < out->len / 2) return;
   g_string_erase(out, 0, (gssize)*off);
   *off = 0;
 }
 
-static void empty(GString *out) {
+static void clear_buffer(GString *out) {
   g_string_truncate(out, 0);
   if (out->allocated_len <= LIMIT_BUFFER_KEPT) return;
   out->allocated_len = LIMIT_BUFFER_KEPT;
@@ -116,12 +117,12 @@
     if (n < 0 && errno == EINTR) continue;
     if (n < 0) {
       bool later = errno == EAGAIN || errno == EWOULDBLOCK;
-      if (later) drop_sent(out, off);
+      if (later) discard_sent(out, off);
       return later;
     }
     *off += (size_t)n;
   }
-  empty(out);
+  clear_buffer(out);
   *off = 0;
   return true;
 }
--- a/packages/flow/sock.h
+++ b/packages/flow/sock.h
@@ -1,4 +1,4 @@
-/* sock.h: non-blocking TCP sockets by IP number. */
+/* sock.h: non-blocking TCP sockets, addressed by IPv4 address and port. */
 #ifndef FLOW_SOCK_H
 #define FLOW_SOCK_H
 
@@ -8,28 +8,29 @@
 
 #include "kernel/err.h"
 
-/* "ip:port" as an address; false when it is none. */
-bool sock_address(const char *addr, struct sockaddr_in *in);
-/* Listens at "ip:port"; -1 with a typed error. */
+/* Parses "ip:port"; false when it is not valid. */
+bool sock_parse_address(const char *addr, struct sockaddr_in *in);
+/* Listens at "ip:port"; returns the socket, or -1 with a typed error. */
 int sock_listen(const char *addr, Err *e);
-/* Next connection, -1 when there is none. */
+/* Returns the next connection, -1 when there is none. */
 int sock_accept(int fd);
-/* Starts to connect; -1 with errno when the address can't be used. */
+/* Starts to connect and returns the socket, or -1 with errno set. */
 int sock_connect(const char *addr);
-/* 0 once the connection is up, else its error number. */
-int sock_error(int fd);
-/* A peer that acknowledges nothing for this long ends the connection. */
-void sock_user_timeout(int fd, int ms);
-/* A silent peer is probed after a second; two lost probes end it. */
-void sock_probe(int fd);
-/* Closes with a reset, so that the other side stops at once. */
+/* Returns 0 when the connection was established, else its error number. */
+int sock_connect_error(int fd);
+/* Sets the time after which unacknowledged data ends the connection. */
+void sock_set_user_timeout(int fd, int ms);
+/* Probes a peer after a second without data; two lost probes end the
+   connection. */
+void sock_enable_keepalive(int fd);
+/* Closes with a TCP reset, so that the peer stops at once. */
 void sock_reset(int fd);
 
-/* The system buffers so many bytes of what is sent there. */
-void sock_send_bound(int fd, int bytes);
+/* Sets the size of the system's send buffer. */
+void sock_set_send_buffer(int fd, int bytes);
 
-/* Writes what it can of `out` from *off on; clears both when all has left.
-   False when the connection is broken. */
+/* Writes as much of `out` from *off as the socket accepts; clears both when all
+   was written. Returns false when the connection is broken. */
 bool sock_write(int fd, GString *out, size_t *off);
 
 #endif
--- a/packages/flow/trying.c
+++ b/packages/flow/trying.c
@@ -1,5 +1,6 @@
-/* trying.c: suspects are tried once the store has their trial, and refused
-   while another instance tries them or when they are held. */
+/* trying.c: a suspect is sent to a target once the store has a trial for it. It
+   is refused while another try is open, or when it is held because a target
+   ended in its trial. */
 #include <stdlib.h>
 
 #include "flow/run.h"
@@ -9,49 +10,49 @@
 #include "kernel/loopclock.h"
 #include "node/feed.h"
 
-#define BACK_TRIED_MS 1000 /* Retry-After while it is tried elsewhere */
-/* Seconds after a try broke until it has told nothing: a target's end is known
-   within two (ends.c). */
-#define SETTLE_S 2.5
-/* A write that the store did not answer may be done so many seconds later. */
-#define LATE_WRITE_S 8.0
+#define RETRY_TRIAL_MS 1000 /* Retry-After while another try is open */
+/* Time after a try until its outcome is final: the end of a target is detected
+   within 2 s (ends.c). */
+#define OUTCOME_DELAY_S 2.5
+/* A write that the store did not answer may take effect within this time. */
+#define LATE_WRITE_TIMEOUT_S 8.0
 
-/* One try of ours, until the store has its outcome. */
+/* A try of this instance, until the store has its outcome. */
 typedef struct Try {
   Relay *relay;
-  Run *run; /* NULL: it is over */
-  void (*go)(Run *x);
+  Run *run; /* NULL: it has ended */
+  void (*proceed)(Run *x);
   Trial trial;
   TrialsOutcome outcome;
-  bool well;    /* it ended well: the trial is taken away */
-  bool unknown; /* the store may have it or not */
-  bool calling;
-  double left_at; /* when it was over */
+  bool succeeded; /* it was answered: the trial is deleted */
+  bool unknown;   /* whether the store has the trial is unknown */
+  bool store_pending;
+  double ended_at; /* when the run ended */
 } Try;
 
-static double now_of(const Relay *r) {
+static double relay_now(const Relay *r) {
   return loopclock_now(r->loop);
 }
 
-static void name_of(const Try *t, char out[DIGEST_TEXT]) {
+static void write_name(const Try *t, char out[DIGEST_TEXT]) {
   digest_text(t->trial.digest, out);
 }
 
 static void log_try(const Try *t, const char *what) {
   char digest[DIGEST_TEXT];
-  name_of(t, digest);
+  write_name(t, digest);
   log_warn("trial", "s:s,s:s,s:i", "digest", digest, "what", what, "tries",
            t->trial.tries);
 }
 
-static void drop(Try *t) {
+static void remove_try(Try *t) {
   g_ptr_array_remove(t->relay->tries, t);
   if (t->run) t->run->try = NULL;
   g_free(t);
 }
 
-/* The latest of our tries of a request that is not settled; NULL: none. */
-static Try *find(const Relay *r, Digest d) {
+/* Returns this instance's latest open try of a request, or NULL. */
+static Try *find_try(const Relay *r, Digest d) {
   for (guint i = r->tries->len; i-- > 0;) {
     Try *t = r->tries->pdata[i];
     if (digest_equal(t->trial.digest, d)) return t;
@@ -61,28 +62,28 @@
 
 /* == refusals == */
 
-static void refuse(Run *x, TrialsVerdict verdict) {
+static void refuse_run(Run *x, TrialsVerdict verdict) {
   Err e;
   count_add(COUNT_REFUSED_HELD_BACK, 1);
   if (verdict == TRIALS_HELD) {
     err_set(&e, ERR_ENDS_TARGETS, "the targets that ran this request ended");
-    e.ran = RAN_MAYBE; /* as earlier attempts */
+    e.ran = RAN_MAYBE; /* in earlier attempts */
   } else {
-    err_retry(&e, ERR_ON_TRIAL, BACK_TRIED_MS,
+    err_retry(&e, ERR_ON_TRIAL, RETRY_TRIAL_MS,
               "targets ended under this request, and it is being tried");
   }
-  run_give_up(x, &e);
+  run_fail(x, &e);
 }
 
 static TrialsVerdict verdict_of(Run *x) {
   const Relay *r = x->relay;
   Digest d = run_digest(x);
   TrialsVerdict v =
-      trials_verdict(r->trials, now_of(r), d, suspects_has(r->suspects, d));
-  return v == TRIALS_TRY && find(r, d) ? TRIALS_BUSY : v;
+      trials_verdict(r->trials, relay_now(r), d, suspects_has(r->suspects, d));
+  return v == TRIALS_TRY && find_try(r, d) ? TRIALS_BUSY : v;
 }
 
-/* == the outcome, into the store == */
+/* == writing the outcome == */
 
 static void close_try(Try *t);
 
@@ -91,38 +92,39 @@
          kind == ERR_STORE_CONFLICT;
 }
 
-/* What the store did not take is told again with the next sweep. */
+/* An outcome that the store did not accept is written again by the next
+   sweep. */
 static void on_closed(void *ctx, const StoreAnswer *a) {
   Try *t = ctx;
   StoreObject o;
-  t->calling = false;
+  t->store_pending = false;
   if (!is_settled(a->kind)) {
     log_try(t, err_info(a->kind)->name);
     return;
   }
-  if (t->well) trials_gone(t->relay->trials, t->trial.digest);
-  if (a->kind == ERR_NONE && !t->well && store_object(a, &o)) {
+  if (t->succeeded) trials_gone(t->relay->trials, t->trial.digest);
+  if (a->kind == ERR_NONE && !t->succeeded && store_object(a, &o)) {
     Trial closed = trials_close(&t->trial, t->outcome);
     closed.revision = o.revision;
-    trials_set(t->relay->trials, now_of(t->relay), &closed);
+    trials_set(t->relay->trials, relay_now(t->relay), &closed);
   }
-  drop(t);
+  remove_try(t);
 }
 
-/* Whether the trial was made, after a call without an answer. */
-static void on_looked(void *ctx, const StoreAnswer *a) {
+/* Finds whether the trial was created, after a call without an answer. */
+static void on_checked(void *ctx, const StoreAnswer *a) {
   Try *t = ctx;
   StoreObject o;
   Trial found;
   char name[DIGEST_TEXT];
-  t->calling = false;
-  name_of(t, name);
+  t->store_pending = false;
+  write_name(t, name);
   if (a->kind != ERR_NONE && a->kind != ERR_STORE_ABSENT) return;
   bool ours = store_object(a, &o) &&
               trials_read(name, o.content, o.revision, &found) &&
               found.by == t->trial.by;
   if (!ours) {
-    if (now_of(t->relay) - t->left_at > LATE_WRITE_S) drop(t);
+    if (relay_now(t->relay) - t->ended_at > LATE_WRITE_TIMEOUT_S) remove_try(t);
     return;
   }
   t->unknown = false;
@@ -134,14 +136,14 @@
   static const char *const outcomes[] = {"unsent", "nothing", "target ended"};
   char name[DIGEST_TEXT];
   Store *s = t->relay->store;
-  name_of(t, name);
-  t->calling = true;
+  write_name(t, name);
+  t->store_pending = true;
   if (t->unknown) {
-    store_get(s, CALLS_TRIAL, FEED_TRIALS_KIND, name, on_looked, t);
+    store_get(s, CALLS_TRIAL, FEED_TRIALS_KIND, name, on_checked, t);
     return;
   }
-  log_try(t, t->well ? "well" : outcomes[t->outcome]);
-  if (t->well) {
+  log_try(t, t->succeeded ? "well" : outcomes[t->outcome]);
+  if (t->succeeded) {
     store_delete(s, CALLS_TRIAL, FEED_TRIALS_KIND, name, t->trial.revision,
                  on_closed, t);
     return;
@@ -151,33 +153,33 @@
             trials_write(&closed), on_closed, t);
 }
 
-/* Whether its outcome can't change any more. */
+/* Whether the outcome is final. */
 static bool is_over(const Try *t) {
-  if (t->run || t->calling) return false;
-  if (t->well || t->outcome != TRIALS_NOTHING) return true;
-  return now_of(t->relay) - t->left_at > SETTLE_S;
+  if (t->run || t->store_pending) return false;
+  if (t->succeeded || t->outcome != TRIALS_NOTHING) return true;
+  return relay_now(t->relay) - t->ended_at > OUTCOME_DELAY_S;
 }
 
-void run_leave_trial(Run *x, bool sent) {
+void run_end_trial(Run *x, bool sent) {
   Try *t = x->try;
   if (!t) return;
   x->try = NULL;
   t->run = NULL;
-  t->left_at = run_now(x);
+  t->ended_at = run_now(x);
   if (!sent) t->outcome = TRIALS_UNSENT;
   if (is_over(t)) close_try(t);
 }
 
-void relay_tried_ended(Relay *r, Digest d) {
-  Try *t = find(r, d);
-  if (!t || t->well) return;
+void relay_on_trial_target_ended(Relay *r, Digest d) {
+  Try *t = find_try(r, d);
+  if (!t || t->succeeded) return;
   t->outcome = TRIALS_ENDED;
   if (is_over(t)) close_try(t);
 }
 
-void relay_tried_well(Relay *r, Digest d) {
-  Try *t = find(r, d);
-  if (t) t->well = true;
+void relay_on_trial_succeeded(Relay *r, Digest d) {
+  Try *t = find_try(r, d);
+  if (t) t->succeeded = true;
 }
 
 void relay_close_tries(Relay *r) {
@@ -192,117 +194,117 @@
   g_ptr_array_free(r->tries, TRUE);
 }
 
-/* == the trial, into the store == */
+/* == creating the trial == */
 
-/* The store has another's trial: ours was not made. */
-static void take_other(const Try *t, const StoreAnswer *a) {
+/* The store has another instance's trial, so ours was not created. */
+static void record_other_trial(const Try *t, const StoreAnswer *a) {
   StoreObject o;
   Trial found;
   char name[DIGEST_TEXT];
-  name_of(t, name);
+  write_name(t, name);
   if (store_object(a, &o) && trials_read(name, o.content, o.revision, &found))
-    trials_set(t->relay->trials, now_of(t->relay), &found);
+    trials_set(t->relay->trials, relay_now(t->relay), &found);
 }
 
-static void on_made(Try *t, const StoreAnswer *a) {
+static void on_trial_created(Try *t, const StoreAnswer *a) {
   StoreObject o;
   Run *x = t->run;
   if (store_object(a, &o)) t->trial.revision = o.revision;
-  trials_set(t->relay->trials, now_of(t->relay), &t->trial);
+  trials_set(t->relay->trials, relay_now(t->relay), &t->trial);
   log_try(t, "begins");
   count_add(COUNT_TRIALS, 1);
   if (x)
-    t->go(x);
+    t->proceed(x);
   else
     close_try(t);
 }
 
-static void on_begun(void *ctx, const StoreAnswer *a) {
+static void on_create_answer(void *ctx, const StoreAnswer *a) {
   Try *t = ctx;
   Run *x = t->run;
-  t->calling = false;
+  t->store_pending = false;
   if (a->kind == ERR_NONE) {
-    on_made(t, a);
+    on_trial_created(t, a);
     return;
   }
   log_try(t, err_info(a->kind)->name);
-  if (a->kind == ERR_STORE_CONFLICT) take_other(t, a);
+  if (a->kind == ERR_STORE_CONFLICT) record_other_trial(t, a);
   if (a->kind == ERR_STORE_ABSENT)
     trials_gone(t->relay->trials, t->trial.digest);
   t->unknown = a->kind == ERR_STORE_UNKNOWN;
-  if (t->unknown && x) run_leave_trial(x, false);
-  if (!t->unknown) drop(t);
+  if (t->unknown && x) run_end_trial(x, false);
+  if (!t->unknown) remove_try(t);
   if (!x) return;
   bool held = verdict_of(x) == TRIALS_HELD;
-  refuse(x, held ? TRIALS_HELD : TRIALS_BUSY);
+  refuse_run(x, held ? TRIALS_HELD : TRIALS_BUSY);
 }
 
-static void on_shed(void *ctx, const StoreAnswer *a) {
+static void on_trial_removed(void *ctx, const StoreAnswer *a) {
   (void)ctx;
   log_info("trial-shed", "s:s", "outcome", err_info(a->kind)->name);
 }
 
-static void make_room(Relay *r) {
+static void remove_excess_trial(Relay *r) {
   Trial old;
   char name[DIGEST_TEXT];
   if (!trials_shed(r->trials, &old)) return;
   digest_text(old.digest, name);
   count_add(COUNT_SUSPECTS_SHED, 1);
   store_delete(r->store, CALLS_TRIAL, FEED_TRIALS_KIND, name, old.revision,
-               on_shed, NULL);
+               on_trial_removed, NULL);
 }
 
-static void begin(Run *x, void (*go)(Run *x)) {
+static void begin_trial(Run *x, void (*proceed)(Run *x)) {
   Relay *r = x->relay;
   char name[DIGEST_TEXT];
   Try *t = g_new0(Try, 1);
-  make_room(r);
+  remove_excess_trial(r);
   t->relay = r;
   t->run = x;
-  t->go = go;
+  t->proceed = proceed;
   t->outcome = TRIALS_NOTHING;
-  t->trial =
-      trials_begin(r->trials, run_digest(x), run_owner(x), clock_unix() * 1000);
+  t->trial = trials_begin(r->trials, run_digest(x), run_customer_hash(x),
+                          clock_unix() * 1000);
   t->trial.by = (uint64_t)g_random_int() << 32 | g_random_int();
-  t->calling = true;
+  t->store_pending = true;
   x->try = t;
   g_ptr_array_add(r->tries, t);
-  name_of(t, name);
+  write_name(t, name);
   store_put(r->store, CALLS_TRIAL, FEED_TRIALS_KIND, name, t->trial.revision,
-            trials_write(&t->trial), on_begun, t);
+            trials_write(&t->trial), on_create_answer, t);
 }
 
-void run_admit(Run *x, void (*go)(Run *x)) {
+void run_admit(Run *x, void (*proceed)(Run *x)) {
   const Relay *r = x->relay;
   if (!suspects_any(r->suspects) && !trials_any(r->trials)) {
-    go(x);
+    proceed(x);
     return;
   }
   TrialsVerdict v = verdict_of(x);
   if (v == TRIALS_FREE)
-    go(x);
+    proceed(x);
   else if (v == TRIALS_TRY)
-    begin(x, go);
+    begin_trial(x, proceed);
   else
-    refuse(x, v);
+    refuse_run(x, v);
 }
 
-/* == what the store says == */
+/* == updates from the store == */
 
-void relay_trial(Relay *r, const char *name, const json_t *content,
-                 uint64_t revision) {
+void relay_on_trial(Relay *r, const char *name, const json_t *content,
+                    uint64_t revision) {
   Trial x;
   if (!content) {
     if (digest_parse(name, &x.digest)) trials_gone(r->trials, x.digest);
     return;
   }
   if (trials_read(name, content, revision, &x))
-    trials_set(r->trials, now_of(r), &x);
+    trials_set(r->trials, relay_now(r), &x);
   else
     log_warn("trial-damaged", "s:s,s:I", "name", name, "revision",
              (json_int_t)revision);
 }
 
-void relay_trials(Relay *r, GHashTable *names) {
+void relay_on_trial_names(Relay *r, GHashTable *names) {
   trials_only(r->trials, names);
 }
--- a/packages/flow/wire.h
+++ b/packages/flow/wire.h
@@ -1,6 +1,6 @@
-/* wire.h: the header fields of callers and targets, decoded and encoded, as the
-   relay needs them. The platform's adapter implements it: the only place that
-   knows how they are spelled. */
+/* wire.h: decodes and encodes the header fields of callers and targets for the
+   relay. platform/wire.c implements it and is the only code that knows their
+   names. */
 #ifndef FLOW_WIRE_H
 #define FLOW_WIRE_H
 
@@ -8,17 +8,18 @@
 #include "flow/headers.h"
 #include "kernel/err.h"
 
-/* False with a typed error when the request can't be understood. `ask->key`
+/* Returns false with a typed error when the request is invalid. `request->key`
    points into `h`. */
-bool wire_ask(const Headers *h, Ask *ask, Err *e);
-/* Appends a target's request: its head, and the caller's body. */
-void wire_request(GString *out, const char *method, const char *target,
-                  const Headers *h, const GString *body, const AskSend *send);
-/* `id`: the one that the answer has to echo. */
-void wire_answer(const Headers *h, const char *id, Answer *a);
-/* Appends the fields of a target's answer that the caller gets. */
-void wire_pass(GString *out, const Headers *h);
-/* Appends the fields of a refusal of our own. */
-void wire_refusal(GString *out, const char *id, const Err *e);
+bool wire_decode_request(const Headers *h, RequestInfo *request, Err *e);
+/* Appends the request for a target: its head and the caller's body. */
+void wire_append_request(GString *out, const char *method, const char *target,
+                         const Headers *h, const GString *body,
+                         const RequestForward *send);
+/* `id` is the one that the answer has to echo. */
+void wire_decode_answer(const Headers *h, const char *id, AnswerInfo *a);
+/* Appends the fields of a target's answer that are passed to the caller. */
+void wire_append_answer_fields(GString *out, const Headers *h);
+/* Appends the fields of a refusal by this instance. */
+void wire_append_refusal_fields(GString *out, const char *id, const Err *e);
 
 #endif
--- a/packages/http/server.c
+++ b/packages/http/server.c
@@ -86,7 +86,7 @@
 HttpServer *http_serve(const char *addr, const HttpOptions *o,
                        HttpHandler handler, HttpDone done, void *ctx, Err *e) {
   struct sockaddr_in in;
-  if (!sock_address(addr, &in)) {
+  if (!sock_parse_address(addr, &in)) {
     err_set(e, ERR_SETTING, "'%s' is not an address of the form ip:port", addr);
     return NULL;
   }
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -167,7 +167,7 @@
            (json_int_t)c->version, "before",
            (json_int_t)(old ? old->version : 0), "routes", (int)c->routes->len,
            "customers", (int)c->customers->len, "store_age", feed_age(n->feed));
-  relay_conf(n->relay, c);
+  relay_set_conf(n->relay, c);
   cluster_conf(n->cluster, c->version);
   set_budgets(n, c);
   check_bounds(n, c);
@@ -192,7 +192,7 @@
   bool news = targets_is_news(n->targets, t);
   uint64_t life = targets_life(n->targets, t->id);
   bool again = targets_set(n->targets, loopclock_now(n->loop), t);
-  if (again) relay_restarted(n->relay, t->addr, life);
+  if (again) relay_on_target_restarted(n->relay, t->addr, life);
   if (!news || !tells_of_target(n)) return news;
   log_info("target", "s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:b", "target", t->id,
            "service", t->service, "addr", t->addr, "datacentre", t->dc,
@@ -237,12 +237,12 @@
 static void on_trial(void *ctx, const char *name, const json_t *content,
                      uint64_t revision) {
   Node *n = ctx;
-  relay_trial(n->relay, name, content, revision);
+  relay_on_trial(n->relay, name, content, revision);
 }
 
 static void on_trials(void *ctx, GHashTable *names) {
   Node *n = ctx;
-  relay_trials(n->relay, names);
+  relay_on_trial_names(n->relay, names);
 }
 
 /* == what other instances say == */
@@ -250,7 +250,7 @@
 static void on_reserved(void *ctx, uint64_t handle, ErrKind cause,
                         int retry_ms) {
   Node *n = ctx;
-  relay_reserved(n->relay, handle, cause, retry_ms);
+  relay_on_reserved(n->relay, handle, cause, retry_ms);
 }
 
 /* Seeds are there even when they can't be seen: an instance that starts in a
@@ -334,22 +334,22 @@
 
 static void on_tally(void *ctx, const TallyWord *m) {
   Node *n = ctx;
-  relay_tally(n->relay, m);
+  relay_on_tally(n->relay, m);
 }
 
 static void on_permit(void *ctx, const TallyPermit *m) {
   Node *n = ctx;
-  relay_permit(n->relay, m);
+  relay_on_permit(n->relay, m);
 }
 
 static void on_limit(void *ctx, const TallyLimit *m) {
   Node *n = ctx;
-  relay_limit(n->relay, m->target, m->limit);
+  relay_on_limit(n->relay, m->target, m->limit);
 }
 
 static void on_suspect(void *ctx, const SuspectsMsg *m) {
   Node *n = ctx;
-  if (n->relay) relay_suspect(n->relay, m);
+  if (n->relay) relay_on_suspect(n->relay, m);
 }
 
 static void on_pool(void *ctx, uint64_t from, const TargetsPoolWord *m) {
@@ -405,18 +405,18 @@
   calls_print(store_calls(n->store), out);
 }
 
-static void on_question(void *ctx, Caller *c, const CallerReq *r,
+static void on_question(void *ctx, Caller *c, const CallerRequest *r,
                         const Err *bad) {
   Node *n = ctx;
   GString *text = g_string_new(NULL);
   int status = 200;
-  if (!bad && strcmp(r->target->str, "/metrics") == 0)
+  if (!bad && strcmp(r->uri->str, "/metrics") == 0)
     print_metrics(n, text);
   else
     status = is_ready(n) ? 200 : 503;
-  caller_head(c, status, "", (int64_t)text->len);
-  caller_body(c, text->str, text->len);
-  caller_end(c);
+  caller_send_head(c, status, "", (int64_t)text->len);
+  caller_send_body(c, text->str, text->len);
+  caller_end_answer(c);
   g_string_free(text, TRUE);
 }
 
@@ -432,14 +432,14 @@
   Node *n = w->data;
   if (n->stop_at > 0) return;
   n->stop_at = loopclock_now(loop);
-  log_info("draining", "s:i", "open", relay_open_requests(n->relay));
+  log_info("draining", "s:i", "open", relay_open_request_count(n->relay));
   relay_drain(n->relay);
 }
 
 static void end(Node *n, bool clean) {
   log_calls(n);
   log_info("stopped", "s:b,s:i", "clean", (int)clean, "open",
-           relay_open_requests(n->relay));
+           relay_open_request_count(n->relay));
   n->status = clean ? 0 : 3;
   ev_break(n->loop, EVBREAK_ALL);
 }
@@ -451,9 +451,9 @@
   double most = number("stop") - STOP_MARGIN_S;
   if (past > REFUSE_AFTER_S && !n->refusing) {
     n->refusing = true;
-    relay_refuse(n->relay);
+    relay_refuse_requests(n->relay);
   }
-  bool idle = relay_open_requests(n->relay) == 0;
+  bool idle = relay_open_request_count(n->relay) == 0;
   if (n->refusing && (idle || past > most - LINGER_S) && !n->returning) {
     n->returning = true;
     cluster_drain(n->cluster);
@@ -470,7 +470,7 @@
   Node *n = ctx;
   log_warn("stood-still", "s:f", "seconds", gap_s);
   n->still_at = loopclock_now(n->loop);
-  relay_behind(n->relay, true);
+  relay_set_stale(n->relay, true);
   cluster_stood_still(n->cluster);
   feed_stood_still(n->feed);
 }
@@ -482,19 +482,20 @@
   if (!knows && past < STILL_MOST_S) return;
   log_info("caught-up", "s:b,s:f", "by_store", (int)knows, "after", past);
   n->still_at = 0;
-  relay_behind(n->relay, false);
+  relay_set_stale(n->relay, false);
 }
 
 /* An instance that gets more than its link bears lets the balancer place its
    callers elsewhere for a while. */
 static void watch_link(Node *n) {
-  bool full = intake_full(&n->intake, loopclock_now(n->loop),
-                          relay_taken(n->relay), n->instances);
+  bool full = intake_update(&n->intake, loopclock_now(n->loop),
+                            relay_bytes_received(n->relay), n->instances);
   if (full == n->full) return;
   n->full = full;
-  relay_leave(n->relay, full);
+  relay_set_leaving(n->relay, full);
   count_add(COUNT_LINK_FULL, full);
-  log_info("link", "s:b,s:f", "full", (int)full, "room", n->intake.room);
+  log_info("link", "s:b,s:f", "full", (int)full, "room",
+           n->intake.available_bytes);
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int revents) {
@@ -570,9 +571,10 @@
   RetriesOptions retries = {.ratio = number("retry-ratio"),
                             .window_s = number("retry-window"),
                             .extra = number("retry-extra")};
-  RelayOptions relay = {
-      .listen = settings_text(settings, "listen"),
-      .body_room = (settings_number(settings, "memory") << 20) / BODY_SHARE};
+  RelayOptions relay = {.listen_addr = settings_text(settings, "listen"),
+                        .max_body_bytes =
+                            (settings_number(settings, "memory") << 20) /
+                            BODY_SHARE};
   n->seeds = count_seeds(settings_text(settings, "seeds"));
   n->regions = regions_new(settings_text(settings, "datacentre"),
                            settings_text(settings, "region"),
@@ -589,18 +591,18 @@
   relay.regions = n->regions;
   n->relay = relay_open(n->loop, &relay, n->targets, n->retries, e);
   if (!n->relay) return false;
-  relay_cluster(n->relay, n->cluster);
+  relay_set_cluster(n->relay, n->cluster);
   n->ready = callers_open(n->loop, settings_text(settings, "ready"),
                           &ready_events, n, e);
   if (!n->ready) return false;
-  callers_room(n->ready, READY_ROOM);
+  callers_set_memory_limit(n->ready, READY_ROOM);
   n->feed = feed_open(n->loop, n->store, &feed_events, n);
   return true;
 }
 
 static void start_timers(Node *n) {
   loopclock_on_gap(n->loop, STILL_S, on_still, n);
-  intake_start(&n->intake, loopclock_now(n->loop), number("link"));
+  intake_init(&n->intake, loopclock_now(n->loop), number("link"));
   ev_timer_init(&n->tick, on_tick, TICK_S, TICK_S);
   ev_timer_init(&n->sweep, on_sweep, SWEEP_S, SWEEP_S);
   ev_signal_init(&n->term, on_stop_signal, SIGTERM);
--- a/packages/peer/decode.c
+++ b/packages/peer/decode.c
@@ -152,7 +152,7 @@
 
 static void get_parts(Reader *r, TargetParts *m) {
   m->target = get_u64(r);
-  m->n = get_small(r, ASK_PARTS + 1);
+  m->n = get_small(r, REQUEST_MAX_PARTS + 1);
   for (int i = 0; i < m->n; i++) m->names[i] = get_u64(r);
 }
 
--- a/packages/route/choose.c
+++ b/packages/route/choose.c
@@ -175,7 +175,7 @@
 /* Parts that are read elsewhere than at one of their homes are read once more
    there by the next request, which does not look for them here. */
 static int64_t stray_tokens(const Pick *p, const Target *t) {
-  const Ask *a = p->ask->ask;
+  const RequestInfo *a = p->ask->ask;
   const TallyWord *w = word_of(p, t);
   uint64_t key = parts_key(a);
   if (!w || key == 0 || is_home(p, t)) return 0;
@@ -183,7 +183,7 @@
 }
 
 static int64_t fresh_tokens(const Pick *p, const Target *t) {
-  const Ask *a = p->ask->ask;
+  const RequestInfo *a = p->ask->ask;
   const TallyWord *w = word_of(p, t);
   if (w) return parts_tokens(a) - parts_first(a, w->known);
   int64_t all = parts_tokens(a), had = kept_there(p, t, 0);
@@ -249,7 +249,7 @@
 static bool is_long(const Pick *p) {
   const TargetAsk *a = p->ask;
   if (!a->engine || a->pause_s <= 0) return false;
-  return (double)a->ask->tokens_in * p->slope > LONG_PAUSES * a->pause_s;
+  return (double)a->ask->prompt_tokens * p->slope > LONG_PAUSES * a->pause_s;
 }
 
 static bool any_sound(const Pick *p, const GPtrArray *list, int from, int to) {
--- a/packages/route/parts.c
+++ b/packages/route/parts.c
@@ -39,7 +39,7 @@
 }
 
 /* Names part `i` together with all before it. */
-static uint64_t chain(const Ask *a, int i, uint64_t before) {
+static uint64_t chain(const RequestInfo *a, int i, uint64_t before) {
   uint64_t pair[2] = {before, a->parts[i].id};
   return XXH64(pair, sizeof pair, 0);
 }
@@ -67,7 +67,7 @@
   return part;
 }
 
-int parts_note(Parts *p, const Ask *a, double now, uint64_t *news) {
+int parts_note(Parts *p, const RequestInfo *a, double now, uint64_t *news) {
   uint64_t name = 0;
   int n = 0;
   sweep(p, now);
@@ -93,7 +93,8 @@
   return part && now - part->used < KEEP_S && now - part->since >= age_s;
 }
 
-int64_t parts_kept(const Parts *p, const Ask *a, double now, double age_s) {
+int64_t parts_kept(const Parts *p, const RequestInfo *a, double now,
+                   double age_s) {
   int64_t n = 0;
   uint64_t id = 0;
   for (int i = 0; i < a->n_parts; i++) {
@@ -104,7 +105,7 @@
   return n;
 }
 
-int parts_names(const Ask *a, uint64_t *names, int most) {
+int parts_names(const RequestInfo *a, uint64_t *names, int most) {
   uint64_t name = 0;
   int n = 0;
   for (; n + 1 < a->n_parts && n < most; n++)
@@ -123,23 +124,23 @@
   return (int)g_hash_table_size(p->known);
 }
 
-int64_t parts_tokens(const Ask *a) {
+int64_t parts_tokens(const RequestInfo *a) {
   int64_t n = 0;
   for (int i = 0; i < a->n_parts; i++) n += a->parts[i].tokens;
-  return MAX(n, a->tokens_in);
+  return MAX(n, a->prompt_tokens);
 }
 
-int64_t parts_first(const Ask *a, int n) {
+int64_t parts_first(const RequestInfo *a, int n) {
   int64_t sum = 0;
   for (int i = 0; i < n && i < a->n_parts; i++) sum += a->parts[i].tokens;
   return sum;
 }
 
-int64_t parts_shared(const Ask *a) {
+int64_t parts_shared(const RequestInfo *a) {
   return parts_first(a, a->n_parts - 1);
 }
 
-uint64_t parts_key(const Ask *a) {
+uint64_t parts_key(const RequestInfo *a) {
   uint64_t id = 0;
   for (int i = 0; i + 1 < a->n_parts; i++) id = chain(a, i, id);
   return id;
--- a/packages/route/targets.c
+++ b/packages/route/targets.c
@@ -336,7 +336,7 @@
   note_change(t);
 }
 
-static void note_parts(Target *t, double now, const Ask *ask,
+static void note_parts(Target *t, double now, const RequestInfo *ask,
                        RegionSet regions) {
   Targets *s = t->set;
   TargetParts m = {.target = t->hash};
@@ -346,7 +346,8 @@
     g_queue_push_tail(&s->parts_news, g_memdup2(&m, sizeof m));
 }
 
-void target_sent(Target *t, double now, const Ask *ask, const TargetChoice *c) {
+void target_sent(Target *t, double now, const RequestInfo *ask,
+                 const TargetChoice *c) {
   t->open++;
   t->waiting++;
   quota_sent(&use_of(t)->sends, now);
--- a/packages/route/targets.h
+++ b/packages/route/targets.h
@@ -79,7 +79,7 @@
 /* What is to be placed. */
 typedef struct TargetAsk {
   const char *service;
-  const Ask *ask;
+  const RequestInfo *ask;
   bool engine;
   double cold_rate; /* requests a second that a cold target bears; 0: as a
                        warm one */
@@ -146,7 +146,8 @@
 int target_open(const Target *t); /* our own requests there */
 
 /* The chosen target gets the request. */
-void target_sent(Target *t, double now, const Ask *ask, const TargetChoice *c);
+void target_sent(Target *t, double now, const RequestInfo *ask,
+                 const TargetChoice *c);
 /* Its first byte came after `took_s`; `ahead` tokens of other prompts were to
    be read there when it was sent. */
 void target_first(Target *t, int64_t fresh, int64_t ahead, double took_s);
@@ -213,7 +214,7 @@
 typedef struct TargetParts {
   uint64_t target; /* text_hash of it */
   int n;
-  uint64_t names[ASK_PARTS];
+  uint64_t names[REQUEST_MAX_PARTS];
 } TargetParts;
 
 /* Whether all instances tell each other of parts, and of their work. Where they
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -182,7 +182,7 @@
   cr_assert(m.parts.target == 7 && m.parts.n == 2);
   cr_assert(m.parts.names[0] == UINT64_MAX && m.parts.names[1] == 3);
   msgpack_sbuffer_clear(&b);
-  w.n = ASK_PARTS;
+  w.n = REQUEST_MAX_PARTS;
   codec_put_parts(&b, &w);
   cr_assert(same(&b, &m));
   msgpack_sbuffer_destroy(&b);
--- a/tests/test_division.c
+++ b/tests/test_division.c
@@ -41,19 +41,19 @@
 
 /* == parts == */
 
-static Ask prompt(uint64_t shared, uint64_t own) {
-  Ask a = {.tokens_in = 9000, .n_parts = 3};
-  a.parts[0] = (AskPart){1, 2000};
-  a.parts[1] = (AskPart){shared, 4000};
-  a.parts[2] = (AskPart){own, 3000};
+static RequestInfo prompt(uint64_t shared, uint64_t own) {
+  RequestInfo a = {.prompt_tokens = 9000, .n_parts = 3};
+  a.parts[0] = (RequestPart){1, 2000};
+  a.parts[1] = (RequestPart){shared, 4000};
+  a.parts[2] = (RequestPart){own, 3000};
   return a;
 }
 
 Test(parts, a_part_counts_only_behind_all_before_it) {
   Parts *p = parts_new();
-  Ask a = prompt(5, 6), b = prompt(5, 7), c = prompt(9, 6);
+  RequestInfo a = prompt(5, 6), b = prompt(5, 7), c = prompt(9, 6);
   cr_assert_eq(parts_kept(p, &a, 1, 0), 0);
-  uint64_t news[ASK_PARTS];
+  uint64_t news[REQUEST_MAX_PARTS];
   parts_note(p, &a, 1, news);
   cr_assert_eq(parts_kept(p, &a, 2, 0), 9000);
   cr_assert_eq(parts_kept(p, &b, 2, 0), 6000, "its own part is new");
@@ -70,8 +70,8 @@
 
 Test(parts, others_learn_of_shared_parts_and_are_told_again_after_a_while) {
   Parts *p = parts_new(), *other = parts_new();
-  Ask a = prompt(5, 6), b = prompt(5, 7), c = prompt(8, 7);
-  uint64_t news[ASK_PARTS];
+  RequestInfo a = prompt(5, 6), b = prompt(5, 7), c = prompt(8, 7);
+  uint64_t news[REQUEST_MAX_PARTS];
   cr_assert_eq(parts_note(p, &a, 1, news), 2, "not its own part");
   parts_told(other, news, 2, 1);
   cr_assert_eq(parts_kept(other, &b, 2, 0), 6000);
@@ -85,13 +85,13 @@
 /* Each request has a part of its own: they filled the memory for good. */
 Test(parts, what_is_lost_is_not_remembered_for_ever) {
   Parts *p = parts_new();
-  uint64_t news[ASK_PARTS];
+  uint64_t news[REQUEST_MAX_PARTS];
   for (uint64_t i = 0; i < 20000; i++) {
-    Ask a = prompt(i % 50, 1000 + i);
+    RequestInfo a = prompt(i % 50, 1000 + i);
     parts_note(p, &a, 1 + (double)i * 0.1, news);
   }
   cr_assert_lt(parts_count(p), 2000, "%d", parts_count(p));
-  Ask a = prompt(49, 1000 + 19999);
+  RequestInfo a = prompt(49, 1000 + 19999);
   cr_assert_eq(parts_kept(p, &a, 2001, 0), 9000, "what is used is kept");
   parts_free(p);
 }
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -103,7 +103,7 @@
 }
 
 static void request(int who, double now) {
-  Ask prompt = {.tokens_in = 3000, .tokens_out = 100};
+  RequestInfo prompt = {.prompt_tokens = 3000, .max_output_tokens = 100};
   TargetAsk ask = {.service = "engines", .ask = &prompt};
   Tally *tally = sim.silent[who] ? NULL : sim.tally[sim.side[who]];
   TargetChoice c =
@@ -336,7 +336,7 @@
 /* Those who are refused are told to come back one after the other. */
 Test(limit, callers_come_back_at_the_pace_of_the_pool) {
   begin(1);
-  Ask prompt = {.tokens_in = 3000, .tokens_out = 100};
+  RequestInfo prompt = {.prompt_tokens = 3000, .max_output_tokens = 100};
   TargetAsk ask = {
       .service = "engines", .ask = &prompt, .engine = true, .no_permit = true};
   for (int i = 0; i < TARGETS; i++) {
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -29,14 +29,14 @@
   return s;
 }
 
-static Ask prompt(uint64_t key) {
-  Ask a = {.tokens_in = 9000, .n_parts = 2};
-  a.parts[0] = (AskPart){key, 8000};
-  a.parts[1] = (AskPart){key + 1000000, 1000};
+static RequestInfo prompt(uint64_t key) {
+  RequestInfo a = {.prompt_tokens = 9000, .n_parts = 2};
+  a.parts[0] = (RequestPart){key, 8000};
+  a.parts[1] = (RequestPart){key + 1000000, 1000};
   return a;
 }
 
-static TargetChoice choose(Targets *s, double now, const Ask *a) {
+static TargetChoice choose(Targets *s, double now, const RequestInfo *a) {
   TargetAsk ask = {.service = "svc", .ask = a, .engine = true};
   return targets_pick(s, now, &ask);
 }
@@ -47,7 +47,7 @@
   for (size_t k = 0; k < SIZES; k++) {
     int n = sizes[k];
     Targets *s = some(n, 1);
-    Ask a = prompt(1);
+    RequestInfo a = prompt(1);
     cr_assert_not_null(choose(s, 1, &a).target);
     double most = 2.0 * n * log2(n);
     cr_assert_lt((double)targets_looks(s), most, "%d", n);
@@ -58,7 +58,7 @@
 Test(pool, one_that_comes_later_costs_no_sort) {
   for (size_t k = 0; k < SIZES; k++) {
     Targets *s = some(sizes[k], 1);
-    Ask a = prompt(1);
+    RequestInfo a = prompt(1);
     choose(s, 1, &a);
     uint64_t before = targets_looks(s);
     for (int i = 0; i < 100; i++) {
@@ -78,7 +78,7 @@
   for (size_t k = 0; k < SIZES; k++) {
     Targets *s = some(sizes[k], 1);
     uint64_t asked[TARGETS_ASKED];
-    Ask a = prompt(1);
+    RequestInfo a = prompt(1);
     choose(s, 1, &a);
     uint64_t before = targets_looks(s);
     for (uint64_t i = 0; i < 100; i++) {
@@ -101,7 +101,7 @@
   Targets *s = some(all, 1), *other = targets_new("b", 99);
   for (int i = all - 1; i >= 0; i--) add(other, i);
   for (uint64_t k = 0; k < 200; k++) {
-    Ask a = prompt(k);
+    RequestInfo a = prompt(k);
     TargetAsk ask = {.service = "svc", .ask = &a, .engine = true};
     uint64_t here[TARGETS_ASKED], there[TARGETS_ASKED];
     int n = targets_to_ask(s, 1, &ask, here);
@@ -122,7 +122,7 @@
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     int whole = 0;
     for (uint64_t i = 0; i < 300; i++) {
-      Ask a = prompt(i);
+      RequestInfo a = prompt(i);
       TargetAsk ask = {.service = "svc", .ask = &a, .engine = true};
       uint64_t asked[TARGETS_ASKED];
       int n = targets_to_ask(s, 1, &ask, asked);
@@ -156,7 +156,7 @@
 /* The first home of each of many prompts. */
 static void homes_of(Targets *s, uint64_t *homes, int prompts) {
   for (int k = 0; k < prompts; k++) {
-    Ask a = prompt((uint64_t)k);
+    RequestInfo a = prompt((uint64_t)k);
     uint64_t asked[TARGETS_ASKED];
     TargetAsk ask = {.service = "svc", .ask = &a, .engine = true};
     targets_to_ask(s, 1, &ask, asked);
@@ -203,7 +203,7 @@
     targets_gone(s, 0, id, false);
   }
   for (uint64_t k = 0; k < 20; k++) {
-    Ask a = prompt(k);
+    RequestInfo a = prompt(k);
     cr_assert_not_null(choose(s, 1, &a).target);
   }
   targets_free(s);
@@ -213,7 +213,7 @@
    each instance knowing its own alone. */
 Test(pool, drawn_targets_share_the_work) {
   Targets *s = some(2000, 3);
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetAsk ask = {.service = "svc", .ask = &a};
   int most = 0;
   for (int i = 0; i < 4000; i++) {
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -135,7 +135,7 @@
 }
 
 static void request(int who, double now) {
-  Ask a = {.tokens_in = 3000, .tokens_out = 100};
+  RequestInfo a = {.prompt_tokens = 3000, .max_output_tokens = 100};
   TallyWord words[TARGETS_ASKED];
   TargetAsk ask = {
       .service = "engines", .ask = &a, .engine = true, .cold_rate = RATE};
@@ -272,7 +272,7 @@
 Test(cold, an_answer_that_says_so_makes_a_target_cold_at_once) {
   begin(7, 1);
   Targets *s = deciders[0];
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetAsk ask = {
       .service = "engines", .ask = &a, .engine = true, .cold_rate = 1e-9};
   ask.no_permit = true;
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -127,7 +127,7 @@
 typedef struct Rig {
   Regions *regions;
   Targets *targets;
-  Ask ask;
+  RequestInfo ask;
   TargetAsk wanted;
 } Rig;
 
@@ -148,9 +148,9 @@
   add(g, "a1");
   add(g, "b1");
   add(g, "c1");
-  g->ask = (Ask){.tokens_in = TOKENS, .n_parts = 2};
-  g->ask.parts[0] = (AskPart){7, TOKENS - 1000};
-  g->ask.parts[1] = (AskPart){8, 1000};
+  g->ask = (RequestInfo){.prompt_tokens = TOKENS, .n_parts = 2};
+  g->ask.parts[0] = (RequestPart){7, TOKENS - 1000};
+  g->ask.parts[1] = (RequestPart){8, 1000};
   g->wanted = (TargetAsk){.service = "svc",
                           .ask = &g->ask,
                           .engine = true,
--- a/tests/test_tally.c
+++ b/tests/test_tally.c
@@ -147,7 +147,7 @@
 }
 
 static int ask_words(Sim *s, double now, int who, TargetAsk *a,
-                     const Ask *prompt, TallyWord *words) {
+                     const RequestInfo *prompt, TallyWord *words) {
   uint64_t out[TARGETS_ASKED];
   TallyAsk q = {.parts = {1, {prompt->parts[0].id}}};
   int n = targets_to_ask(s->set[who], now, a, out);
@@ -161,11 +161,11 @@
 /* One prompt: chosen, read behind what stands before it. */
 static void one(Sim *s, double now, int who, int session, int64_t shared,
                 uint64_t number) {
-  Ask prompt = {.tokens_in = shared + 4000, .n_parts = 2};
+  RequestInfo prompt = {.prompt_tokens = shared + 4000, .n_parts = 2};
   TallyWord words[TARGETS_ASKED];
   TargetAsk a = {.service = "m", .ask = &prompt, .engine = true};
-  prompt.parts[0] = (AskPart){(uint64_t)session + 1, shared};
-  prompt.parts[1] = (AskPart){number + 1000000, 4000};
+  prompt.parts[0] = (RequestPart){(uint64_t)session + 1, shared};
+  prompt.parts[1] = (RequestPart){number + 1000000, 4000};
   if (s->tally) {
     a.n_words = ask_words(s, now, who, &a, &prompt, words);
     a.words = words;
--- a/tests/test_targets.c
+++ b/tests/test_targets.c
@@ -23,19 +23,19 @@
   return s;
 }
 
-static Target *pick(Targets *s, double now, const Ask *a, bool engine) {
+static Target *pick(Targets *s, double now, const RequestInfo *a, bool engine) {
   TargetAsk ask = {.service = "svc", .ask = a, .engine = engine};
   return targets_pick(s, now, &ask).target;
 }
 
-static void sent(Target *t, double now, const Ask *a, int64_t fresh) {
+static void sent(Target *t, double now, const RequestInfo *a, int64_t fresh) {
   TargetChoice c = {.target = t, .fresh = fresh};
   target_sent(t, now, a, &c);
 }
 
 Test(targets, a_leaving_one_gets_no_new_work) {
   Targets *s = some(1);
-  Ask a = {0};
+  RequestInfo a = {0};
   cr_assert_not_null(pick(s, 1, &a, false));
   TargetInfo t = info(0, "svc");
   t.leaving = true;
@@ -51,7 +51,7 @@
 
 Test(targets, an_entry_that_lapsed_with_the_store_is_used_a_little_longer) {
   Targets *s = some(2);
-  Ask a = {0};
+  RequestInfo a = {0};
   targets_gone(s, 10, "i-0", false);
   cr_assert_str_eq(target_id(pick(s, 10, &a, false)), "i-1");
   targets_gone(s, 10, "i-1", true);
@@ -69,7 +69,7 @@
    leaves. */
 Test(targets, a_lapsed_one_gets_work_only_when_there_is_no_other) {
   Targets *s = some(3);
-  Ask a = {0};
+  RequestInfo a = {0};
   targets_gone(s, 10, "i-0", true);
   targets_gone(s, 10, "i-1", true);
   for (int i = 0; i < 20; i++) {
@@ -92,7 +92,7 @@
 
 Test(targets, one_that_ended_gets_nothing_until_its_entry_is_gone) {
   Targets *s = some(2);
-  Ask a = {0};
+  RequestInfo a = {0};
   Target *t = pick(s, 1, &a, false);
   target_ended(t, 1);
   for (double now = 1; now < 4.8; now += 0.1)
@@ -102,7 +102,7 @@
 
 Test(targets, what_may_end_its_target_goes_where_the_fewest_run) {
   Targets *s = some(3);
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetAsk alone = {
       .service = "svc", .ask = &a, .engine = true, .alone = true};
   Target *t = pick(s, 1, &a, true);
@@ -114,7 +114,7 @@
 
 Test(targets, silence_puts_one_aside_but_never_all) {
   Targets *s = some(2);
-  Ask a = {0};
+  RequestInfo a = {0};
   Target *t = pick(s, 1, &a, false);
   sent(t, 1, &a, 0);
   target_done(t, 1, TARGET_SILENT, false, 0, 0.1);
@@ -134,9 +134,9 @@
   }
   int same = 0;
   for (uint64_t k = 1; k <= 50; k++) {
-    Ask a = {.tokens_in = 9000, .n_parts = 2};
-    a.parts[0] = (AskPart){k, 8000};
-    a.parts[1] = (AskPart){1000 + k, 1000};
+    RequestInfo a = {.prompt_tokens = 9000, .n_parts = 2};
+    a.parts[0] = (RequestPart){k, 8000};
+    a.parts[1] = (RequestPart){1000 + k, 1000};
     same += strcmp(target_id(pick(s, 1, &a, true)),
                    target_id(pick(other, 1, &a, true))) == 0;
   }
@@ -147,9 +147,9 @@
 
 Test(targets, a_home_under_load_spills) {
   Targets *s = some(4);
-  Ask a = {.tokens_in = 2000, .n_parts = 2};
-  a.parts[0] = (AskPart){7, 1500};
-  a.parts[1] = (AskPart){8, 500};
+  RequestInfo a = {.prompt_tokens = 2000, .n_parts = 2};
+  a.parts[0] = (RequestPart){7, 1500};
+  a.parts[1] = (RequestPart){8, 500};
   Target *home = pick(s, 1, &a, true);
   sent(home, 1, &a, 200000); /* four seconds of reading */
   cr_assert_neq(pick(s, 1, &a, true), home);
@@ -160,7 +160,7 @@
 
 Test(targets, another_at_its_address_ends_it) {
   Targets *s = some(1);
-  Ask a = {0};
+  RequestInfo a = {0};
   targets_replaced(s, 1, pick(s, 1, &a, false));
   cr_assert_null(pick(s, 1, &a, false));
   targets_free(s);
@@ -169,10 +169,10 @@
 /* Where others tell what they had read, nothing is assumed of a home. */
 Test(targets, told_parts_lead_to_the_target_that_has_them) {
   Targets *s = some(8), *other = some(8);
-  Ask a = {.tokens_in = 9000, .n_parts = 2};
+  RequestInfo a = {.prompt_tokens = 9000, .n_parts = 2};
   TargetParts m;
-  a.parts[0] = (AskPart){7, 8000};
-  a.parts[1] = (AskPart){8, 1000};
+  a.parts[0] = (RequestPart){7, 8000};
+  a.parts[1] = (RequestPart){8, 1000};
   targets_parts_are_told(s, true);
   targets_parts_are_told(other, true);
   TargetAsk ask = {.service = "svc", .ask = &a, .engine = true};
@@ -193,9 +193,9 @@
 /* A full target's memory serves another one. */
 Test(targets, what_a_busy_target_has_read_is_moved_to_a_free_one) {
   Targets *s = some(4);
-  Ask a = {.tokens_in = 9000, .n_parts = 2};
-  a.parts[0] = (AskPart){7, 8000};
-  a.parts[1] = (AskPart){8, 1000};
+  RequestInfo a = {.prompt_tokens = 9000, .n_parts = 2};
+  a.parts[0] = (RequestPart){7, 8000};
+  a.parts[1] = (RequestPart){8, 1000};
   targets_parts_are_told(s, true);
   TargetAsk ask = {.service = "svc", .ask = &a, .engine = true, .move_s = 2e-6};
   TargetChoice first = targets_pick(s, 1, &ask);
@@ -228,8 +228,8 @@
   targets_parts_are_told(s, true);
   GHashTable *longs = g_hash_table_new(g_str_hash, g_str_equal);
   for (uint64_t k = 1; k <= 200; k++) {
-    Ask a = {.tokens_in = 9000, .n_parts = 1};
-    a.parts[0] = (AskPart){k, 9000};
+    RequestInfo a = {.prompt_tokens = 9000, .n_parts = 1};
+    a.parts[0] = (RequestPart){k, 9000};
     TargetAsk ask = {
         .service = "svc", .ask = &a, .engine = true, .pause_s = 0.3};
     TargetChoice c = targets_pick(s, 1, &ask);
@@ -238,8 +238,8 @@
     g_hash_table_add(longs, (gpointer)target_id(c.target));
   }
   for (uint64_t k = 1000; k <= 1200; k++) {
-    Ask a = {.tokens_in = 400, .n_parts = 1};
-    a.parts[0] = (AskPart){k, 400};
+    RequestInfo a = {.prompt_tokens = 400, .n_parts = 1};
+    a.parts[0] = (RequestPart){k, 400};
     TargetAsk ask = {
         .service = "svc", .ask = &a, .engine = true, .pause_s = 0.3};
     TargetChoice c = targets_pick(s, 1, &ask);
@@ -255,14 +255,14 @@
 Test(targets, a_large_fleet_neither_divides_nor_moves) {
   Targets *s = some(6);
   bool used[6] = {false};
-  Ask a = {.tokens_in = 400, .n_parts = 1};
+  RequestInfo a = {.prompt_tokens = 400, .n_parts = 1};
   TargetAsk ask = {.service = "svc",
                    .ask = &a,
                    .engine = true,
                    .move_s = 2e-6,
                    .pause_s = 0.3};
   for (uint64_t k = 0; k < 60; k++) {
-    a.parts[0] = (AskPart){k + 1, 400};
+    a.parts[0] = (RequestPart){k + 1, 400};
     TargetChoice c = targets_pick(s, 1 + (double)k, &ask);
     cr_assert(c.beside_long && !c.donor);
     target_sent(c.target, 1 + (double)k, &a, &c);
@@ -276,7 +276,7 @@
 Test(targets, long_prompts_spill_where_none_of_their_targets_is_sound) {
   Targets *s = some(6);
   targets_parts_are_told(s, true);
-  Ask a = {.tokens_in = 9000};
+  RequestInfo a = {.prompt_tokens = 9000};
   TargetAsk ask = {.service = "svc", .ask = &a, .engine = true, .pause_s = 0.3};
   for (int i = 0; i < 5; i++) {
     TargetChoice c = targets_pick(s, 1, &ask);
@@ -294,7 +294,7 @@
 /* What another instance has at a target holds ours up just as well. */
 Test(targets, what_others_have_there_counts_while_their_word_is_fresh) {
   Targets *s = some(2);
-  Ask a = {.tokens_in = 100};
+  RequestInfo a = {.prompt_tokens = 100};
   TargetWork w = {.target = text_hash("i-0"), .open = 4, .tokens = 90000};
   targets_others(s, 1, 77, &w);
   for (int i = 0; i < 20; i++)
@@ -316,7 +316,7 @@
 
 Test(targets, our_work_is_told_once_for_each_change) {
   Targets *s = some(2);
-  Ask a = {.tokens_in = 500};
+  RequestInfo a = {.prompt_tokens = 500};
   TargetWork w;
   cr_assert_not(targets_changed(s, &w));
   Target *t = pick(s, 1, &a, true);
@@ -347,7 +347,7 @@
 }
 
 static bool gets_work(Targets *s, double now, const char *dc) {
-  Ask a = {.tokens_in = 1000};
+  RequestInfo a = {.prompt_tokens = 1000};
   for (int i = 0; i < 40; i++) {
     Target *t = pick(s, now, &a, i % 2 == 0);
     if (!t) return false;
@@ -405,9 +405,9 @@
 Test(targets, nothing_touches_an_evacuated_target) {
   Targets *s = two_places();
   targets_parts_are_told(s, true);
-  Ask a = {.tokens_in = 9000, .n_parts = 2};
-  a.parts[0] = (AskPart){77, 8000};
-  a.parts[1] = (AskPart){78, 1000};
+  RequestInfo a = {.prompt_tokens = 9000, .n_parts = 2};
+  a.parts[0] = (RequestPart){77, 8000};
+  a.parts[1] = (RequestPart){78, 1000};
   TargetAsk ask = {.service = "svc", .ask = &a, .engine = true, .move_s = 1e-6};
   Target *home = targets_pick(s, 1, &ask).target;
   sent(home, 1, &a, 9000);
@@ -427,7 +427,7 @@
 
 Test(targets, a_choice_tells_that_an_evacuation_left_none) {
   Targets *s = two_places();
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetAsk ask = {.service = "svc", .ask = &a};
   targets_evacuate(s, "a", true);
   targets_evacuate(s, "b", true);
@@ -452,10 +452,10 @@
 
 /* == a new start under the old id == */
 
-static Ask prompt(void) {
-  Ask a = {.tokens_in = 3000, .n_parts = 2};
-  a.parts[0] = (AskPart){.id = 5, .tokens = 2500};
-  a.parts[1] = (AskPart){.id = 6, .tokens = 500};
+static RequestInfo prompt(void) {
+  RequestInfo a = {.prompt_tokens = 3000, .n_parts = 2};
+  a.parts[0] = (RequestPart){.id = 5, .tokens = 2500};
+  a.parts[1] = (RequestPart){.id = 6, .tokens = 500};
   return a;
 }
 
@@ -467,7 +467,7 @@
 }
 
 /* What is to be read there of this prompt. */
-static int64_t fresh(Targets *s, double now, const Ask *a) {
+static int64_t fresh(Targets *s, double now, const RequestInfo *a) {
   TargetAsk ask = {.service = "svc", .ask = a, .engine = true};
   return targets_pick(s, now, &ask).fresh;
 }
@@ -475,7 +475,7 @@
 Test(targets, who_starts_again_under_its_id_holds_nothing_of_before) {
   Targets *s = targets_new("a", 1);
   targets_parts_are_told(s, true);
-  Ask a = prompt();
+  RequestInfo a = prompt();
   TargetInfo t = born(1000, 10);
   cr_assert(!targets_set(s, 0, &t), "the first time");
   Target *old = pick(s, 1, &a, true);
@@ -498,7 +498,7 @@
 
 Test(targets, who_left_and_starts_again_gets_work) {
   Targets *s = targets_new("a", 1);
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetInfo t = born(1000, 10);
   t.leaving = true;
   targets_set(s, 0, &t);
@@ -515,7 +515,7 @@
 
 Test(targets, words_on_a_former_life_do_not_count_for_the_new_one) {
   Targets *s = targets_new("a", 1);
-  Ask a = prompt();
+  RequestInfo a = prompt();
   TargetInfo t = born(1000, 10);
   targets_set(s, 0, &t);
   TargetWork old = {
@@ -531,7 +531,7 @@
 
 Test(targets, an_entry_that_moves_to_another_service_serves_that_one) {
   Targets *s = some(2);
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetInfo t = info(0, "other");
   t.revision = 11;
   targets_set(s, 1, &t);
@@ -546,7 +546,7 @@
    one of four works two to six times as long for some tenths of a second. */
 Test(targets, work_goes_past_one_whose_machine_is_busy_with_other_work) {
   Targets *s = some(4);
-  Ask a = {0};
+  RequestInfo a = {0};
   Target *busy = pick(s, 1, &a, false);
   target_load(busy, 1, 0, 0, 4);
   for (int i = 0; i < 20; i++) cr_assert_neq(pick(s, 1.02, &a, false), busy);
@@ -558,7 +558,7 @@
 
 Test(targets, a_pace_that_is_absurd_is_believed_within_bounds) {
   static const double paces[] = {0, 1, 1e9, 1e-9};
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetAsk ask = {.service = "svc", .ask = &a};
   for (size_t k = 0; k < G_N_ELEMENTS(paces); k++) {
     Targets *s = some(1);
@@ -578,7 +578,7 @@
    time is as it usually is. */
 Test(targets, what_is_learned_of_a_busy_moment_does_not_last) {
   Targets *s = some(2);
-  Ask a = {0};
+  RequestInfo a = {0};
   Target *t = pick(s, 1, &a, false);
   sent(t, 1, &a, 0);
   target_load(t, 1.12, 0, 0, 4);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -9,8 +9,8 @@
 static void fill(Headers *h, const char *const *list) {
   headers_init(h);
   for (int i = 0; list[i]; i += 2) {
-    headers_name_piece(h, list[i], strlen(list[i]));
-    headers_value_piece(h, list[i + 1], strlen(list[i + 1]));
+    headers_append_name(h, list[i], strlen(list[i]));
+    headers_append_value(h, list[i + 1], strlen(list[i + 1]));
   }
 }
 
@@ -40,16 +40,16 @@
 
 Test(wire, a_request_is_read) {
   Headers h;
-  Ask a;
+  RequestInfo a;
   Err e = {0};
   fill(&h, asked);
-  cr_assert(wire_ask(&h, &a, &e));
+  cr_assert(wire_decode_request(&h, &a, &e));
   cr_assert_str_eq(a.id, "a1");
   cr_assert_str_eq(a.host, "front.example");
   cr_assert_str_eq(a.key, "secret");
   cr_assert_float_eq(a.deadline_s, 12, 1e-9);
-  cr_assert_eq(a.tokens_in, 1460);
-  cr_assert_eq(a.tokens_out, 80);
+  cr_assert_eq(a.prompt_tokens, 1460);
+  cr_assert_eq(a.max_output_tokens, 80);
   cr_assert_eq(a.n_parts, 3);
   cr_assert_eq(a.parts[2].id, 0xe4402b7d);
   cr_assert_eq(a.parts[2].tokens, 250);
@@ -63,10 +63,10 @@
   const char *const *lists[] = {none, two};
   for (int i = 0; i < 2; i++) {
     Headers h;
-    Ask a;
+    RequestInfo a;
     Err e = {0};
     fill(&h, lists[i]);
-    cr_assert_not(wire_ask(&h, &a, &e));
+    cr_assert_not(wire_decode_request(&h, &a, &e));
     cr_assert_eq(e.kind, ERR_MALFORMED);
     headers_free(&h);
   }
@@ -75,14 +75,14 @@
 Test(wire, a_target_gets_our_word_and_never_the_key) {
   Headers h;
   GString *body = g_string_new("abc"), *out = g_string_new(NULL);
-  AskSend send = {.target = "i-1",
-                  .donor = "1.2.3.4:80",
-                  .customer = "acme",
-                  .left_s = 1.5,
-                  .priority = 2,
-                  .last_event = ASK_NO_EVENT};
+  RequestForward send = {.target = "i-1",
+                         .donor = "1.2.3.4:80",
+                         .customer = "acme",
+                         .remaining_s = 1.5,
+                         .priority = 2,
+                         .last_event = REQUEST_NO_EVENT};
   fill(&h, asked);
-  wire_request(out, "POST", "/a/b?c=d", &h, body, &send);
+  wire_append_request(out, "POST", "/a/b?c=d", &h, body, &send);
   cr_assert(g_str_has_prefix(out->str, "POST /a/b?c=d HTTP/1.1\r\n"));
   cr_assert(strstr(out->str, "X-Loftpath-Attempt-Id: a1\r\n"));
   cr_assert(strstr(out->str, "X-Loftpath-Deadline-Ms: 1500\r\n"));
@@ -106,9 +106,10 @@
                                         "Last-Event-Id", "3", NULL};
   Headers h;
   GString *body = g_string_new(NULL), *out = g_string_new(NULL);
-  AskSend send = {.target = "i", .left_s = 1, .priority = -1, .last_event = 9};
+  RequestForward send = {
+      .target = "i", .remaining_s = 1, .priority = -1, .last_event = 9};
   fill(&h, resumed);
-  wire_request(out, "GET", "/", &h, body, &send);
+  wire_append_request(out, "GET", "/", &h, body, &send);
   cr_assert(strstr(out->str, "Last-Event-Id: 9\r\n"));
   cr_assert_null(strstr(out->str, "Last-Event-Id: 3"));
   cr_assert_null(strstr(out->str, "Content-Length"));
@@ -128,62 +129,62 @@
                                      "2500",
                                      NULL};
   Headers h;
-  Answer a;
+  AnswerInfo a;
   fill(&h, list);
-  wire_answer(&h, "a1", &a);
-  cr_assert(a.ours && a.signed_ && a.load_told && !a.not_run);
+  wire_decode_answer(&h, "a1", &a);
+  cr_assert(a.id_matches && a.is_signed && a.has_load && !a.not_run);
   cr_assert_eq(a.running, 3);
   cr_assert_eq(a.slots, 8);
   cr_assert_float_eq(a.cold_s, 2.5, 1e-9);
-  wire_answer(&h, "a2", &a);
-  cr_assert_not(a.ours);
+  wire_decode_answer(&h, "a2", &a);
+  cr_assert_not(a.id_matches);
   headers_free(&h);
 }
 
 Test(wire, a_refusal_says_when_to_come_back) {
   GString *out = g_string_new(NULL);
   Err e = {.retry_ms = 200};
-  wire_refusal(out, "a1", &e);
+  wire_append_refusal_fields(out, "a1", &e);
   cr_assert(strstr(out->str, "Retry-After: 0.200\r\n"));
   cr_assert(strstr(out->str, "Loftpath-Ran: not-run\r\n"));
   g_string_free(out, TRUE);
 }
 
 /* What an answer with that one field says. */
-static void answer_of(const char *field, const char *text, Answer *a) {
+static void answer_of(const char *field, const char *text, AnswerInfo *a) {
   const char *const list[] = {field, text, NULL};
   Headers h;
   fill(&h, list);
-  wire_answer(&h, "a1", a);
+  wire_decode_answer(&h, "a1", a);
   headers_free(&h);
 }
 
 Test(wire, a_limit_is_a_decimal_figure_or_damaged) {
   static const struct {
     const char *text;
-    AnswerLimit limits;
+    AnswerLimitStatus limits;
     double limit;
   } rows[] = {
-      {"1.7", ANSWER_LIMIT, 1.7},        {"0.7", ANSWER_LIMIT, 0.7},
-      {"100", ANSWER_LIMIT, 100},        {"0", ANSWER_LIMIT, 0},
-      {".5", ANSWER_LIMIT, 0.5},         {"2.", ANSWER_LIMIT, 2},
-      {"", ANSWER_LIMIT_DAMAGED, 0},     {".", ANSWER_LIMIT_DAMAGED, 0},
-      {"-1", ANSWER_LIMIT_DAMAGED, 0},   {"nan", ANSWER_LIMIT_DAMAGED, 0},
-      {"inf", ANSWER_LIMIT_DAMAGED, 0},  {"1,7", ANSWER_LIMIT_DAMAGED, 0},
-      {"1.7x", ANSWER_LIMIT_DAMAGED, 0}, {"1e9", ANSWER_LIMIT_DAMAGED, 0},
-      {"0x10", ANSWER_LIMIT_DAMAGED, 0}, {"few", ANSWER_LIMIT_DAMAGED, 0},
+      {"1.7", ANSWER_LIMIT_GIVEN, 1.7},  {"0.7", ANSWER_LIMIT_GIVEN, 0.7},
+      {"100", ANSWER_LIMIT_GIVEN, 100},  {"0", ANSWER_LIMIT_GIVEN, 0},
+      {".5", ANSWER_LIMIT_GIVEN, 0.5},   {"2.", ANSWER_LIMIT_GIVEN, 2},
+      {"", ANSWER_LIMIT_INVALID, 0},     {".", ANSWER_LIMIT_INVALID, 0},
+      {"-1", ANSWER_LIMIT_INVALID, 0},   {"nan", ANSWER_LIMIT_INVALID, 0},
+      {"inf", ANSWER_LIMIT_INVALID, 0},  {"1,7", ANSWER_LIMIT_INVALID, 0},
+      {"1.7x", ANSWER_LIMIT_INVALID, 0}, {"1e9", ANSWER_LIMIT_INVALID, 0},
+      {"0x10", ANSWER_LIMIT_INVALID, 0}, {"few", ANSWER_LIMIT_INVALID, 0},
   };
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++) {
-    Answer a;
+    AnswerInfo a;
     answer_of("Server-Limit", rows[i].text, &a);
-    cr_assert_eq(a.limits, rows[i].limits, "%s", rows[i].text);
-    cr_assert_float_eq(a.limit, rows[i].limit, 1e-9, "%s", rows[i].text);
+    cr_assert_eq(a.limit_status, rows[i].limits, "%s", rows[i].text);
+    cr_assert_float_eq(a.limit_per_s, rows[i].limit, 1e-9, "%s", rows[i].text);
   }
   Headers none;
-  Answer a;
+  AnswerInfo a;
   fill(&none, (const char *const[]){NULL});
-  wire_answer(&none, "a1", &a);
-  cr_assert_eq(a.limits, ANSWER_NO_LIMIT);
+  wire_decode_answer(&none, "a1", &a);
+  cr_assert_eq(a.limit_status, ANSWER_LIMIT_NONE);
   headers_free(&none);
 }
 
@@ -210,11 +211,11 @@
       {"much", false, 0, 0, 0},
   };
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++) {
-    Answer a;
+    AnswerInfo a;
     answer_of("X-Loftpath-Server-Load", rows[i].text, &a);
-    cr_assert_eq(a.load_told, rows[i].told, "%s", rows[i].text);
+    cr_assert_eq(a.has_load, rows[i].told, "%s", rows[i].text);
     cr_assert_eq(a.running, rows[i].running, "%s", rows[i].text);
     cr_assert_eq(a.waiting, rows[i].waiting, "%s", rows[i].text);
-    cr_assert_float_eq(a.pace, rows[i].pace, 1e-6, "%s", rows[i].text);
+    cr_assert_float_eq(a.slowdown, rows[i].pace, 1e-6, "%s", rows[i].text);
   }
 }
