--- a/packages/flow/ask.h
+++ b/packages/flow/ask.h
@@ -42,7 +42,7 @@
   bool is_signed;       /* it carries a target's signature */
   bool not_run;         /* the target states that it did not run the request */
   bool is_wrong_target; /* another target now has the address */
-  bool is_encoded;      /* an intermediary has encoded the body */
+  bool is_encoded;      /* the body is encoded, which targets don't do */
   bool is_closing;      /* the target closes the connection */
   double cold_s; /* remaining time that the target is cold; 0: not given */
   bool has_load; /* the next three fields are set */
--- a/packages/flow/caller.c
+++ b/packages/flow/caller.c
@@ -402,8 +402,8 @@
   return "Status";
 }
 
-void caller_send_head(Caller *c, int status, const char *fields,
-                      int64_t length) {
+void caller_write_head(Caller *c, int status, const char *fields,
+                       int64_t length) {
   bool bare = c->no_body || status == 204 || status == 304;
   c->chunked = length == CALLER_CHUNKED && !bare;
   if (c->chunked &&
@@ -423,7 +423,7 @@
   g_string_append(c->out, "\r\n");
 }
 
-void caller_send_body(Caller *c, const char *data, size_t n) {
+void caller_write_body(Caller *c, const char *data, size_t n) {
   if (n == 0 || c->no_body) return;
   if (c->chunked) g_string_append_printf(c->out, "%zx\r\n", n);
   g_string_append_len(c->out, data, (gssize)n);
--- a/packages/flow/caller.h
+++ b/packages/flow/caller.h
@@ -63,9 +63,9 @@
 
 /* Appends the head of the answer. `fields` holds further header lines, each
    with its line end; `length` is that of the body, or CALLER_CHUNKED. */
-void caller_send_head(Caller *c, int status, const char *fields,
-                      int64_t length);
-void caller_send_body(Caller *c, const char *data, size_t n);
+void caller_write_head(Caller *c, int status, const char *fields,
+                       int64_t length);
+void caller_write_body(Caller *c, const char *data, size_t n);
 /* Ends the answer and sends it. */
 void caller_end_answer(Caller *c);
 /* Sends what is buffered. */
@@ -78,7 +78,7 @@
 /* Returns how many bytes of the answer may be buffered: its share of the memory
    limit. */
 size_t caller_buffer_limit(const Caller *c);
-/* Returns true when no more may be buffered; `drained` is called later. */
+/* Returns whether no more may be buffered; if so, `drained` is called later. */
 bool caller_check_full(Caller *c);
 
 #endif
--- a/packages/flow/dispatch.c
+++ b/packages/flow/dispatch.c
@@ -20,7 +20,7 @@
 /* == passing an answer on == */
 
 static void send_head(Run *x, int64_t length) {
-  caller_send_head(x->caller, x->status, x->fields->str, length);
+  caller_write_head(x->caller, x->status, x->fields->str, length);
   x->head_sent = true;
 }
 
@@ -40,7 +40,7 @@
   events_feed(&x->events, data, n, out);
   if (out->len > 0) {
     if (!x->head_sent) send_head(x, CALLER_CHUNKED);
-    caller_send_body(x->caller, out->str, out->len);
+    caller_write_body(x->caller, out->str, out->len);
     record_forwarded(x);
   }
   g_string_free(out, TRUE);
@@ -56,11 +56,11 @@
   size_t max_bytes = MIN(LIMIT_ANSWER_WHOLE, caller_buffer_limit(x->caller));
   if (!x->head_sent && x->body->len + n > max_bytes) {
     send_head(x, CALLER_CHUNKED);
-    caller_send_body(x->caller, x->body->str, x->body->len);
+    caller_write_body(x->caller, x->body->str, x->body->len);
     drop_body(x);
   }
   if (x->head_sent) {
-    caller_send_body(x->caller, data, n);
+    caller_write_body(x->caller, data, n);
     return;
   }
   g_string_append_len(x->body, data, (gssize)n);
@@ -210,7 +210,7 @@
     next = x->next;
     if (!is_too_slow(x)) continue;
     count_add(COUNT_CALLER_SLOW, 1);
-    err_set(&e, ERR_TARGET_CUT, "the caller takes its answer too slowly");
+    err_set(&e, ERR_TARGET_CUT, "the caller reads its answer too slowly");
     run_fail(x, &e);
   }
 }
@@ -228,7 +228,7 @@
   run_record_completed(x);
   if (!x->head_sent) {
     send_head(x, x->stream ? CALLER_CHUNKED : (int64_t)x->body->len);
-    caller_send_body(x->caller, x->body->str, x->body->len);
+    caller_write_body(x->caller, x->body->str, x->body->len);
   }
   run_end_served(x);
 }
@@ -331,9 +331,11 @@
       [TARGET_NONE_LEFT] = {RUN_RETRY_SOON_MS, "no target serves %s now"},
       [TARGET_NONE_ALLOWED] = {RUN_RETRY_NOT_ALLOWED_MS,
                                "%s has no target in the allowed regions"},
-      [TARGET_NONE_EVACUATED] = {RUN_RETRY_EVACUATED_MS,
-                                 "what is left of %s is evacuated"},
-      [TARGET_NONE_FULL] = {0, "what is left of %s takes no more now"},
+      [TARGET_NONE_EVACUATED] =
+          {RUN_RETRY_EVACUATED_MS,
+           "the remaining targets of %s are under evacuation"},
+      [TARGET_NONE_FULL] =
+          {0, "the remaining targets of %s accept no more requests now"},
   };
   Err e;
   int retry_ms = causes[c->none].retry_ms;
@@ -348,8 +350,8 @@
 static void fail_stale(Run *x) {
   Err e;
   run_cancel_query(x);
-  err_retry(&e, ERR_BEHIND, RUN_RETRY_SOON_MS, "this instance stood still");
-  if (x->maybe_ran) err_set(&e, ERR_TARGET_FAILED, "this instance stood still");
+  err_retry(&e, ERR_BEHIND, RUN_RETRY_SOON_MS, "this instance was paused");
+  if (x->maybe_ran) err_set(&e, ERR_TARGET_FAILED, "this instance was paused");
   run_fail(x, &e);
 }
 
--- a/packages/flow/relay.c
+++ b/packages/flow/relay.c
@@ -100,10 +100,10 @@
   Err e;
   bool sent = x->maybe_ran || (x->link && link_has_sent(x->link));
   if (sent)
-    err_set(&e, ERR_LATE, "no whole answer came in time");
+    err_set(&e, ERR_LATE, "no complete answer arrived in time");
   else
     err_retry(&e, ERR_OVERLOADED, RUN_RETRY_SOON_MS,
-              "no target took it in time");
+              "no target accepted the request in time");
   x->maybe_ran |= sent;
   run_fail(x, &e);
 }
@@ -176,8 +176,8 @@
                      "this instance is stopping");
   if (r->stale)
     return err_retry(e, ERR_BEHIND, RUN_RETRY_SOON_MS,
-                     "this instance stood still");
-  if ((int64_t)callers_body_bytes(r->callers) > r->max_body_bytes)
+                     "this instance was paused");
+  if ((int64_t)callers_body_bytes(r->callers) > r->max_held_body_bytes)
     return err_retry(e, ERR_OVERLOADED, RUN_RETRY_SOON_MS,
                      "this instance holds too many requests");
   return true;
@@ -239,7 +239,7 @@
   r->runs_by_reservation = g_hash_table_new(g_int64_hash, g_int64_equal);
   r->runs_by_query = g_hash_table_new(g_int64_hash, g_int64_equal);
   r->retries = retries;
-  r->max_body_bytes = o->max_body_bytes;
+  r->max_held_body_bytes = o->max_held_body_bytes;
   r->links = links_open(loop, &links);
   r->ends = ends_new();
   r->suspects = suspects_new();
@@ -250,7 +250,7 @@
   links_set_connect_fn(r->links, relay_on_connect, r);
   r->callers = callers_open(loop, o->listen_addr, &caller_events, r, e);
   if (r->callers)
-    callers_set_memory_limit(r->callers, (size_t)o->max_body_bytes);
+    callers_set_memory_limit(r->callers, (size_t)o->max_held_body_bytes);
   if (r->callers) return r;
   links_close(r->links);
   free_suspects(r);
@@ -298,9 +298,9 @@
   return callers_bytes_received(r->callers);
 }
 
-void relay_set_stale(Relay *r, bool behind) {
-  r->stale = behind;
-  if (behind) links_close_all_idle(r->links);
+void relay_set_stale(Relay *r, bool stale) {
+  r->stale = stale;
+  if (stale) links_close_all_idle(r->links);
 }
 
 void relay_refuse_requests(Relay *r) {
--- a/packages/flow/relay.h
+++ b/packages/flow/relay.h
@@ -15,10 +15,10 @@
 typedef struct Relay Relay;
 
 typedef struct RelayOptions {
-  const char *listen_addr; /* "ip:port" for callers */
-  int64_t max_body_bytes;  /* of request bodies in memory */
-  Store *store;            /* holds the trials of suspects (run.h) */
-  const Regions *regions;  /* of the data centres; outlives the relay */
+  const char *listen_addr;     /* "ip:port" for callers */
+  int64_t max_held_body_bytes; /* of request bodies in memory */
+  Store *store;                /* holds the trials of suspects (run.h) */
+  const Regions *regions;      /* of the data centres; outlives the relay */
 } RelayOptions;
 
 Relay *relay_open(struct ev_loop *loop, const RelayOptions *o, Targets *targets,
@@ -63,7 +63,7 @@
 void relay_sweep(Relay *r);
 /* Sets whether the state of this instance is stale because its process was
    paused. While it is, new requests are refused and none is dispatched. */
-void relay_set_stale(Relay *r, bool behind);
+void relay_set_stale(Relay *r, bool stale);
 /* From now on new requests are refused. */
 void relay_refuse_requests(Relay *r);
 int relay_open_request_count(const Relay *r);
--- a/packages/flow/run.c
+++ b/packages/flow/run.c
@@ -114,8 +114,8 @@
                 e->text, "remedy", info->remedy, "ran", err_ran(e->ran));
   char *text = json_dumps(o, JSON_COMPACT);
   wire_append_refusal_fields(fields, id, e);
-  caller_send_head(c, info->status, fields->str, (int64_t)strlen(text));
-  caller_send_body(c, text, strlen(text));
+  caller_write_head(c, info->status, fields->str, (int64_t)strlen(text));
+  caller_write_body(c, text, strlen(text));
   free(text);
   json_decref(o);
   g_string_free(fields, TRUE);
--- a/packages/flow/run.h
+++ b/packages/flow/run.h
@@ -104,7 +104,7 @@
   GHashTable *runs_by_query; /* query id -> Run */
   uint64_t last_query_id, last_run_id;
   Conf *conf;
-  int64_t max_body_bytes;
+  int64_t max_held_body_bytes;
   Run *first_run;
   int n_runs;
   bool refusing, stale;
--- a/packages/flow/trying.c
+++ b/packages/flow/trying.c
@@ -70,7 +70,7 @@
     e.ran = RAN_MAYBE; /* in earlier attempts */
   } else {
     err_retry(&e, ERR_ON_TRIAL, RETRY_TRIAL_MS,
-              "targets ended under this request, and it is being tried");
+              "targets ended under this request; an attempt is in progress");
   }
   run_fail(x, &e);
 }
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -414,8 +414,8 @@
     print_metrics(n, text);
   else
     status = is_ready(n) ? 200 : 503;
-  caller_send_head(c, status, "", (int64_t)text->len);
-  caller_send_body(c, text->str, text->len);
+  caller_write_head(c, status, "", (int64_t)text->len);
+  caller_write_body(c, text->str, text->len);
   caller_end_answer(c);
   g_string_free(text, TRUE);
 }
@@ -572,7 +572,7 @@
                             .window_s = number("retry-window"),
                             .extra = number("retry-extra")};
   RelayOptions relay = {.listen_addr = settings_text(settings, "listen"),
-                        .max_body_bytes =
+                        .max_held_body_bytes =
                             (settings_number(settings, "memory") << 20) /
                             BODY_SHARE};
   n->seeds = count_seeds(settings_text(settings, "seeds"));
