--- a/packages/flow/intake.h
+++ b/packages/flow/intake.h
@@ -3,15 +3,15 @@
 
    The load balancer sends all connections of a caller to one instance, and some
    customers have a single caller. An instance with a link of 10 Mbit/s, one of
-   a fleet of 74, received 150 requests of 7 KB per second: answers of budgets'
-   homes and of targets queued 0.3 to 0.6 s behind request bodies, and of 300
-   requests within two seconds ten were served, while the other instances had
-   capacity. An instance that reports not ready gets no new connections, so the
-   caller moves to the next one, and with a move every few seconds no link stays
-   full for long. Together with accounts that follow the caller (ledger/holder)
-   this raised the value of the requests served from 0.78 to 0.83 of the
-   possible over five days with faults, and from 0.78 to 0.89 on the busiest
-   day. */
+   a fleet of 74, received 150 requests of 7 KB per second: answers of targets
+   and of the instances that are homes of budgets queued 0.3 to 0.6 s behind
+   request bodies, and of 300 requests within two seconds ten were served, while
+   the other instances had capacity. An instance that reports not ready gets no
+   new connections, so the caller moves to the next one, and with a move every
+   few seconds no link stays full for long. Together with accounts that follow
+   the caller (ledger/holder) this raised the value of the requests served from
+   0.78 to 0.83 of the possible over five days with faults, and from 0.78 to
+   0.89 on the busiest day. */
 #ifndef FLOW_INTAKE_H
 #define FLOW_INTAKE_H
 
--- a/packages/flow/relay.h
+++ b/packages/flow/relay.h
@@ -31,7 +31,8 @@
 /* Sets the configuration for new requests. */
 void relay_set_conf(Relay *r, Conf *c);
 Conf *relay_get_conf(const Relay *r);
-/* The reservation `handle` of a budget was decided. */
+/* The reservation `handle` was decided. A reservation holds a part of a
+   customer's budget for one request. */
 void relay_on_reserved(Relay *r, uint64_t handle, ErrKind cause, int retry_ms);
 /* The number of requests of all instances at a target, which a request
    queried. */
--- a/packages/flow/trying.c
+++ b/packages/flow/trying.c
@@ -30,17 +30,17 @@
   double ended_at; /* when the run ended */
 } Try;
 
-static double relay_now(const Relay *r) {
+static double loop_time(const Relay *r) {
   return loopclock_now(r->loop);
 }
 
-static void write_name(const Try *t, char out[DIGEST_TEXT]) {
+static void format_name(const Try *t, char out[DIGEST_TEXT]) {
   digest_text(t->trial.digest, out);
 }
 
 static void log_try(const Try *t, const char *what) {
   char digest[DIGEST_TEXT];
-  write_name(t, digest);
+  format_name(t, digest);
   log_warn("trial", "s:s,s:s,s:i", "digest", digest, "what", what, "tries",
            t->trial.tries);
 }
@@ -79,7 +79,7 @@
   const Relay *r = x->relay;
   Digest d = run_digest(x);
   TrialsVerdict v =
-      trials_verdict(r->trials, relay_now(r), d, suspects_has(r->suspects, d));
+      trials_verdict(r->trials, loop_time(r), d, suspects_has(r->suspects, d));
   return v == TRIALS_TRY && find_try(r, d) ? TRIALS_BUSY : v;
 }
 
@@ -106,7 +106,7 @@
   if (a->kind == ERR_NONE && !t->succeeded && store_object(a, &o)) {
     Trial closed = trials_close(&t->trial, t->outcome);
     closed.revision = o.revision;
-    trials_set(t->relay->trials, relay_now(t->relay), &closed);
+    trials_set(t->relay->trials, loop_time(t->relay), &closed);
   }
   remove_try(t);
 }
@@ -118,13 +118,13 @@
   Trial found;
   char name[DIGEST_TEXT];
   t->store_pending = false;
-  write_name(t, name);
+  format_name(t, name);
   if (a->kind != ERR_NONE && a->kind != ERR_STORE_ABSENT) return;
   bool ours = store_object(a, &o) &&
               trials_read(name, o.content, o.revision, &found) &&
               found.by == t->trial.by;
   if (!ours) {
-    if (relay_now(t->relay) - t->ended_at > LATE_WRITE_TIMEOUT_S) remove_try(t);
+    if (loop_time(t->relay) - t->ended_at > LATE_WRITE_TIMEOUT_S) remove_try(t);
     return;
   }
   t->unknown = false;
@@ -136,7 +136,7 @@
   static const char *const outcomes[] = {"unsent", "nothing", "target ended"};
   char name[DIGEST_TEXT];
   Store *s = t->relay->store;
-  write_name(t, name);
+  format_name(t, name);
   t->store_pending = true;
   if (t->unknown) {
     store_get(s, CALLS_TRIAL, FEED_TRIALS_KIND, name, on_checked, t);
@@ -157,7 +157,7 @@
 static bool is_over(const Try *t) {
   if (t->run || t->store_pending) return false;
   if (t->succeeded || t->outcome != TRIALS_NOTHING) return true;
-  return relay_now(t->relay) - t->ended_at > OUTCOME_DELAY_S;
+  return loop_time(t->relay) - t->ended_at > OUTCOME_DELAY_S;
 }
 
 void run_end_trial(Run *x, bool sent) {
@@ -201,16 +201,16 @@
   StoreObject o;
   Trial found;
   char name[DIGEST_TEXT];
-  write_name(t, name);
+  format_name(t, name);
   if (store_object(a, &o) && trials_read(name, o.content, o.revision, &found))
-    trials_set(t->relay->trials, relay_now(t->relay), &found);
+    trials_set(t->relay->trials, loop_time(t->relay), &found);
 }
 
 static void on_trial_created(Try *t, const StoreAnswer *a) {
   StoreObject o;
   Run *x = t->run;
   if (store_object(a, &o)) t->trial.revision = o.revision;
-  trials_set(t->relay->trials, relay_now(t->relay), &t->trial);
+  trials_set(t->relay->trials, loop_time(t->relay), &t->trial);
   log_try(t, "begins");
   count_add(COUNT_TRIALS, 1);
   if (x)
@@ -269,7 +269,7 @@
   t->store_pending = true;
   x->try = t;
   g_ptr_array_add(r->tries, t);
-  write_name(t, name);
+  format_name(t, name);
   store_put(r->store, CALLS_TRIAL, FEED_TRIALS_KIND, name, t->trial.revision,
             trials_write(&t->trial), on_create_answer, t);
 }
@@ -299,7 +299,7 @@
     return;
   }
   if (trials_read(name, content, revision, &x))
-    trials_set(r->trials, relay_now(r), &x);
+    trials_set(r->trials, loop_time(r), &x);
   else
     log_warn("trial-damaged", "s:s,s:I", "name", name, "revision",
              (json_int_t)revision);
--- a/packages/place/plan.h
+++ b/packages/place/plan.h
@@ -1,5 +1,5 @@
-/* plan.h: a plan assigns adapters to the targets of a pool. It is stored as one
-   object per pool in the platform's store. */
+/* plan.h: a plan assigns adapters to the targets of a pool (targets that share
+   a queue). It is stored as one object per pool in the platform's store. */
 #ifndef PLACE_PLAN_H
 #define PLACE_PLAN_H
 
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -345,20 +345,20 @@
   run(s, p, 5);
   s->want.min_targets = 2;
   update(s, p); /* a PUT is pending */
-  PlaceAction a, late = {0};
+  PlaceAction a, old_put = {0};
   while (place_next_action(p, &a)) {
-    if (a.action == PLACE_PUT_PLAN) late = a;
+    if (a.action == PLACE_PUT_PLAN) old_put = a;
     if (a.action != PLACE_PUT_PLAN) g_free(a.text);
   }
   place_set_home(p, false);
   place_set_home(p, true);
   s->now += 1;
   update(s, p); /* starts a GET */
-  place_on_store_result(p, s->now, late.seq, ERR_NONE, 99, NULL);
+  place_on_store_result(p, s->now, old_put.seq, ERR_NONE, 99, NULL);
   perform_actions(s, p);
   run(s, p, 5);
   cr_assert_eq(count_loaded(s), 2); /* not an empty plan at version 99 */
-  g_free(late.text);
+  g_free(old_put.text);
   place_free(p);
   world_free(s);
 }
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -69,9 +69,9 @@
   Queue *q = queue_new();
   int retry;
   for (uint64_t i = 1; i <= 40; i++) push(q, 0, item(i, "c", 3));
-  QueueItem late = item(99, "c", 3);
-  late.max_wait_s = 2;
-  cr_assert_eq(queue_push(q, 0, &late, 10, &retry), ERR_OVERLOADED);
+  QueueItem long_wait = item(99, "c", 3);
+  long_wait.max_wait_s = 2;
+  cr_assert_eq(queue_push(q, 0, &long_wait, 10, &retry), ERR_OVERLOADED);
   cr_assert(retry >= 2000 && retry <= 2200, "retry after %d ms", retry);
   QueueItem urgent = item(100, "c", 0);
   urgent.max_wait_s = 2;
