--- a/packages/route/choose.c
+++ b/packages/route/choose.c
@@ -188,7 +188,7 @@
    next request does not look for them there, so it has to read them once
    more. */
 static int64_t count_stray_tokens(const Pick *p, const Target *t) {
-  const Ask *a = p->request->ask;
+  const RequestInfo *a = p->request->ask;
   const TallyReport *w = find_report(p, t);
   uint64_t key = parts_key(a);
   if (!w || key == 0 || is_home(p, t)) return 0;
@@ -196,7 +196,7 @@
 }
 
 static int64_t count_uncached_tokens(const Pick *p, const Target *t) {
-  const Ask *a = p->request->ask;
+  const RequestInfo *a = p->request->ask;
   const TallyReport *w = find_report(p, t);
   if (w) return parts_prompt_tokens(a) - parts_prefix_tokens(a, w->known_parts);
   int64_t all = parts_prompt_tokens(a), cached = cached_tokens_at(p, t, 0);
@@ -267,7 +267,7 @@
 static bool is_long(const Pick *p) {
   const TargetRequest *a = p->request;
   if (!a->engine || a->max_pause_s <= 0) return false;
-  return (double)a->ask->tokens_in * p->prefill_s_per_token >
+  return (double)a->ask->prompt_tokens * p->prefill_s_per_token >
          LONG_PROMPT_PAUSE_RATIO * a->max_pause_s;
 }
 
--- a/packages/route/parts.c
+++ b/packages/route/parts.c
@@ -40,7 +40,7 @@
 }
 
 /* Hash of part `i` and all parts before it. */
-static uint64_t hash_prefix(const Ask *a, int i, uint64_t before) {
+static uint64_t hash_prefix(const RequestInfo *a, int i, uint64_t before) {
   uint64_t pair[2] = {before, a->parts[i].id};
   return XXH64(pair, sizeof pair, 0);
 }
@@ -68,7 +68,8 @@
   return part;
 }
 
-int parts_note_prompt(Parts *p, const Ask *a, double now, uint64_t *to_send) {
+int parts_note_prompt(Parts *p, const RequestInfo *a, double now,
+                      uint64_t *to_send) {
   uint64_t name = 0;
   int n = 0;
   expire_parts(p, now);
@@ -94,7 +95,7 @@
   return part && now - part->used < PART_KEEP_S && now - part->since >= age_s;
 }
 
-int64_t parts_cached_tokens(const Parts *p, const Ask *a, double now,
+int64_t parts_cached_tokens(const Parts *p, const RequestInfo *a, double now,
                             double age_s) {
   int64_t n = 0;
   uint64_t id = 0;
@@ -106,7 +107,7 @@
   return n;
 }
 
-int parts_names(const Ask *a, uint64_t *names, int max_names) {
+int parts_names(const RequestInfo *a, uint64_t *names, int max_names) {
   uint64_t name = 0;
   int n = 0;
   for (; n + 1 < a->n_parts && n < max_names; n++)
@@ -125,23 +126,23 @@
   return (int)g_hash_table_size(p->known);
 }
 
-int64_t parts_prompt_tokens(const Ask *a) {
+int64_t parts_prompt_tokens(const RequestInfo *a) {
   int64_t n = 0;
   for (int i = 0; i < a->n_parts; i++) n += a->parts[i].tokens;
-  return MAX(n, a->tokens_in);
+  return MAX(n, a->prompt_tokens);
 }
 
-int64_t parts_prefix_tokens(const Ask *a, int n) {
+int64_t parts_prefix_tokens(const RequestInfo *a, int n) {
   int64_t sum = 0;
   for (int i = 0; i < n && i < a->n_parts; i++) sum += a->parts[i].tokens;
   return sum;
 }
 
-int64_t parts_shared_tokens(const Ask *a) {
+int64_t parts_shared_tokens(const RequestInfo *a) {
   return parts_prefix_tokens(a, a->n_parts - 1);
 }
 
-uint64_t parts_key(const Ask *a) {
+uint64_t parts_key(const RequestInfo *a) {
   uint64_t id = 0;
   for (int i = 0; i + 1 < a->n_parts; i++) id = hash_prefix(a, i, id);
   return id;
--- a/packages/route/targets.c
+++ b/packages/route/targets.c
@@ -342,7 +342,7 @@
   queue_work_update(t);
 }
 
-static void record_parts(Target *t, double now, const Ask *ask,
+static void record_parts(Target *t, double now, const RequestInfo *ask,
                          RegionSet regions) {
   Targets *s = t->set;
   TargetParts m = {.target = t->hash};
@@ -352,7 +352,7 @@
     g_queue_push_tail(&s->parts_to_send, g_memdup2(&m, sizeof m));
 }
 
-void target_note_sent(Target *t, double now, const Ask *ask,
+void target_note_sent(Target *t, double now, const RequestInfo *ask,
                       const TargetChoice *c) {
   t->open++;
   t->waiting++;
--- a/packages/route/targets.h
+++ b/packages/route/targets.h
@@ -83,7 +83,7 @@
 /* A request that needs a target. */
 typedef struct TargetRequest {
   const char *service;
-  const Ask *ask;
+  const RequestInfo *ask;
   bool engine;
   double cold_rate_per_s; /* of a cold target; 0: the same as of a warm one */
   double move_token_s; /* time to move the cached state of one token; 0: it is
@@ -154,7 +154,7 @@
 int target_open(const Target *t); /* number of our own requests there */
 
 /* A request is sent to the chosen target. */
-void target_note_sent(Target *t, double now, const Ask *ask,
+void target_note_sent(Target *t, double now, const RequestInfo *ask,
                       const TargetChoice *c);
 /* Its first byte arrived after `took_s`; `queued_tokens` of other prompts were
    waiting to be read there when the request was sent. */
@@ -224,7 +224,7 @@
 typedef struct TargetParts {
   uint64_t target; /* target_hash of it */
   int n;
-  uint64_t names[ASK_PARTS];
+  uint64_t names[REQUEST_MAX_PARTS];
 } TargetParts;
 
 /* Whether all instances exchange prompt parts and their work. If not, equal
--- a/tests/stored_again.h
+++ b/tests/stored_again.h
@@ -78,8 +78,8 @@
 }
 
 static inline char *reencode_plan(const char *text) {
-  Plan *p = plan_read(text);
-  char *encoded = p ? plan_text(p) : NULL;
+  Plan *p = plan_parse(text);
+  char *encoded = p ? plan_to_json(p) : NULL;
   plan_free(p);
   return encoded;
 }
--- a/tests/test_division.c
+++ b/tests/test_division.c
@@ -44,19 +44,19 @@
 
 /* == parts == */
 
-static Ask prompt(uint64_t shared, uint64_t own) {
-  Ask a = {.tokens_in = 9000, .n_parts = 3};
-  a.parts[0] = (AskPart){1, 2000};
-  a.parts[1] = (AskPart){shared, 4000};
-  a.parts[2] = (AskPart){own, 3000};
+static RequestInfo prompt(uint64_t shared, uint64_t own) {
+  RequestInfo a = {.prompt_tokens = 9000, .n_parts = 3};
+  a.parts[0] = (RequestPart){1, 2000};
+  a.parts[1] = (RequestPart){shared, 4000};
+  a.parts[2] = (RequestPart){own, 3000};
   return a;
 }
 
 Test(parts, part_is_cached_only_after_all_previous_parts) {
   Parts *p = parts_new();
-  Ask a = prompt(5, 6), b = prompt(5, 7), c = prompt(9, 6);
+  RequestInfo a = prompt(5, 6), b = prompt(5, 7), c = prompt(9, 6);
   cr_assert_eq(parts_cached_tokens(p, &a, 1, 0), 0);
-  uint64_t to_send[ASK_PARTS];
+  uint64_t to_send[REQUEST_MAX_PARTS];
   parts_note_prompt(p, &a, 1, to_send);
   cr_assert_eq(parts_cached_tokens(p, &a, 2, 0), 9000);
   cr_assert_eq(parts_cached_tokens(p, &b, 2, 0), 6000,
@@ -74,8 +74,8 @@
 
 Test(parts, shared_parts_are_sent_and_resent) {
   Parts *p = parts_new(), *other = parts_new();
-  Ask a = prompt(5, 6), b = prompt(5, 7), c = prompt(8, 7);
-  uint64_t to_send[ASK_PARTS];
+  RequestInfo a = prompt(5, 6), b = prompt(5, 7), c = prompt(8, 7);
+  uint64_t to_send[REQUEST_MAX_PARTS];
   cr_assert_eq(parts_note_prompt(p, &a, 1, to_send), 2,
                "not the request's own part");
   parts_apply_report(other, to_send, 2, 1);
@@ -91,13 +91,13 @@
    these were kept forever. */
 Test(parts, expired_parts_are_removed) {
   Parts *p = parts_new();
-  uint64_t to_send[ASK_PARTS];
+  uint64_t to_send[REQUEST_MAX_PARTS];
   for (uint64_t i = 0; i < 20000; i++) {
-    Ask a = prompt(i % 50, 1000 + i);
+    RequestInfo a = prompt(i % 50, 1000 + i);
     parts_note_prompt(p, &a, 1 + (double)i * 0.1, to_send);
   }
   cr_assert_lt(parts_count(p), 2000, "%d", parts_count(p));
-  Ask a = prompt(49, 1000 + 19999);
+  RequestInfo a = prompt(49, 1000 + 19999);
   cr_assert_eq(parts_cached_tokens(p, &a, 2001, 0), 9000,
                "used parts are kept");
   parts_free(p);
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -100,8 +100,9 @@
 /* == how often a home writes == */
 
 #define LANES 8
-#define BUDGETS (LIMIT_BUDGET_SHARDS / LANES) /* one in each shard of a lane   \
-                                               */
+#define BUDGETS                                                                \
+  (LIMIT_BUDGET_SHARDS / LANES) /* one in each shard of a lane                 \
+                                 */
 #define REGIONS 7
 
 static uint64_t versions[LIMIT_BUDGET_SHARDS], grants[BUDGETS];
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -105,7 +105,7 @@
 }
 
 static void request(int who, double now) {
-  Ask prompt = {.tokens_in = 3000, .tokens_out = 100};
+  RequestInfo prompt = {.prompt_tokens = 3000, .max_output_tokens = 100};
   TargetRequest ask = {.service = "engines", .ask = &prompt};
   Tally *tally = sim.gets_no_answers[who] ? NULL : sim.tally[sim.side[who]];
   TargetChoice c =
@@ -345,7 +345,7 @@
 /* Refused callers get staggered retry times. */
 Test(limit, callers_retry_at_the_rate_of_the_pool) {
   begin(1);
-  Ask prompt = {.tokens_in = 3000, .tokens_out = 100};
+  RequestInfo prompt = {.prompt_tokens = 3000, .max_output_tokens = 100};
   TargetRequest ask = {.service = "engines",
                        .ask = &prompt,
                        .engine = true,
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -29,14 +29,14 @@
   return s;
 }
 
-static Ask prompt(uint64_t key) {
-  Ask a = {.tokens_in = 9000, .n_parts = 2};
-  a.parts[0] = (AskPart){key, 8000};
-  a.parts[1] = (AskPart){key + 1000000, 1000};
+static RequestInfo prompt(uint64_t key) {
+  RequestInfo a = {.prompt_tokens = 9000, .n_parts = 2};
+  a.parts[0] = (RequestPart){key, 8000};
+  a.parts[1] = (RequestPart){key + 1000000, 1000};
   return a;
 }
 
-static TargetChoice choose(Targets *s, double now, const Ask *a) {
+static TargetChoice choose(Targets *s, double now, const RequestInfo *a) {
   TargetRequest request = {.service = "svc", .ask = a, .engine = true};
   return targets_pick(s, now, &request);
 }
@@ -47,7 +47,7 @@
   for (size_t k = 0; k < SIZES; k++) {
     int n = sizes[k];
     Targets *s = targets_with(n, 1);
-    Ask a = prompt(1);
+    RequestInfo a = prompt(1);
     cr_assert_not_null(choose(s, 1, &a).target);
     double highest = 2.0 * n * log2(n);
     cr_assert_lt((double)targets_visits(s), highest, "%d", n);
@@ -58,7 +58,7 @@
 Test(pool, later_target_costs_no_sort) {
   for (size_t k = 0; k < SIZES; k++) {
     Targets *s = targets_with(sizes[k], 1);
-    Ask a = prompt(1);
+    RequestInfo a = prompt(1);
     choose(s, 1, &a);
     uint64_t before = targets_visits(s);
     for (int i = 0; i < 100; i++) {
@@ -78,7 +78,7 @@
   for (size_t k = 0; k < SIZES; k++) {
     Targets *s = targets_with(sizes[k], 1);
     uint64_t queried[TARGETS_MAX_QUERIED];
-    Ask a = prompt(1);
+    RequestInfo a = prompt(1);
     choose(s, 1, &a);
     uint64_t before = targets_visits(s);
     for (uint64_t i = 0; i < 100; i++) {
@@ -101,7 +101,7 @@
   Targets *s = targets_with(all, 1), *other = targets_new("b", 99);
   for (int i = all - 1; i >= 0; i--) add(other, i);
   for (uint64_t k = 0; k < 200; k++) {
-    Ask a = prompt(k);
+    RequestInfo a = prompt(k);
     TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
     uint64_t here[TARGETS_MAX_QUERIED], there[TARGETS_MAX_QUERIED];
     int n = targets_to_query(s, 1, &request, here);
@@ -122,7 +122,7 @@
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     int whole = 0;
     for (uint64_t i = 0; i < 300; i++) {
-      Ask a = prompt(i);
+      RequestInfo a = prompt(i);
       TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
       uint64_t queried[TARGETS_MAX_QUERIED];
       int n = targets_to_query(s, 1, &request, queried);
@@ -158,7 +158,7 @@
 /* The first home of each of many prompts. */
 static void find_homes(Targets *s, uint64_t *homes, int prompts) {
   for (int k = 0; k < prompts; k++) {
-    Ask a = prompt((uint64_t)k);
+    RequestInfo a = prompt((uint64_t)k);
     uint64_t queried[TARGETS_MAX_QUERIED];
     TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
     targets_to_query(s, 1, &request, queried);
@@ -205,7 +205,7 @@
     targets_remove(s, 0, id, false);
   }
   for (uint64_t k = 0; k < 20; k++) {
-    Ask a = prompt(k);
+    RequestInfo a = prompt(k);
     cr_assert_not_null(choose(s, 1, &a).target);
   }
   targets_free(s);
@@ -215,7 +215,7 @@
    and each instance knows only its own. */
 Test(pool, sampled_targets_share_the_work) {
   Targets *s = targets_with(2000, 3);
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetRequest request = {.service = "svc", .ask = &a};
   int highest = 0;
   for (int i = 0; i < 4000; i++) {
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -137,7 +137,7 @@
 }
 
 static void request(int who, double now) {
-  Ask a = {.tokens_in = 3000, .tokens_out = 100};
+  RequestInfo a = {.prompt_tokens = 3000, .max_output_tokens = 100};
   TallyReport reports[TARGETS_MAX_QUERIED];
   TargetRequest ask = {
       .service = "engines", .ask = &a, .engine = true, .cold_rate_per_s = RATE};
@@ -279,7 +279,7 @@
 Test(cold, answer_can_mark_a_target_cold) {
   begin(7, 1);
   Targets *s = deciders[0];
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetRequest ask = {
       .service = "engines", .ask = &a, .engine = true, .cold_rate_per_s = 1e-9};
   ask.permits_exhausted = true;
--- a/tests/test_tally.c
+++ b/tests/test_tally.c
@@ -151,7 +151,7 @@
 }
 
 static int query_reports(Sim *s, double now, int who, TargetRequest *a,
-                         const Ask *prompt, TallyReport *reports) {
+                         const RequestInfo *prompt, TallyReport *reports) {
   uint64_t out[TARGETS_MAX_QUERIED];
   TallyQuery q = {.parts = {1, {prompt->parts[0].id}}};
   int n = targets_to_query(s->set[who], now, a, out);
@@ -165,11 +165,11 @@
 /* One prompt: chooses a target, where it is read after those sent before. */
 static void send_prompt(Sim *s, double now, int who, int session,
                         int64_t shared, uint64_t number) {
-  Ask prompt = {.tokens_in = shared + 4000, .n_parts = 2};
+  RequestInfo prompt = {.prompt_tokens = shared + 4000, .n_parts = 2};
   TallyReport reports[TARGETS_MAX_QUERIED];
   TargetRequest a = {.service = "m", .ask = &prompt, .engine = true};
-  prompt.parts[0] = (AskPart){(uint64_t)session + 1, shared};
-  prompt.parts[1] = (AskPart){number + 1000000, 4000};
+  prompt.parts[0] = (RequestPart){(uint64_t)session + 1, shared};
+  prompt.parts[1] = (RequestPart){number + 1000000, 4000};
   if (s->tally) {
     a.n_reports = query_reports(s, now, who, &a, &prompt, reports);
     a.reports = reports;
--- a/tests/test_targets.c
+++ b/tests/test_targets.c
@@ -23,12 +23,12 @@
   return s;
 }
 
-static Target *pick(Targets *s, double now, const Ask *a, bool engine) {
+static Target *pick(Targets *s, double now, const RequestInfo *a, bool engine) {
   TargetRequest request = {.service = "svc", .ask = a, .engine = engine};
   return targets_pick(s, now, &request).target;
 }
 
-static void note_sent(Target *t, double now, const Ask *a,
+static void note_sent(Target *t, double now, const RequestInfo *a,
                       int64_t uncached_tokens) {
   TargetChoice c = {.target = t, .uncached_tokens = uncached_tokens};
   target_note_sent(t, now, a, &c);
@@ -36,7 +36,7 @@
 
 Test(targets, leaving_target_gets_no_new_work) {
   Targets *s = targets_with(1);
-  Ask a = {0};
+  RequestInfo a = {0};
   cr_assert_not_null(pick(s, 1, &a, false));
   TargetInfo t = info(0, "svc");
   t.leaving = true;
@@ -52,7 +52,7 @@
 
 Test(targets, lapsed_entry_stays_usable_for_a_short_time) {
   Targets *s = targets_with(2);
-  Ask a = {0};
+  RequestInfo a = {0};
   targets_remove(s, 10, "i-0", false);
   cr_assert_str_eq(target_id(pick(s, 10, &a, false)), "i-1");
   targets_remove(s, 10, "i-1", true);
@@ -71,7 +71,7 @@
    s after the target had announced that it was leaving. */
 Test(targets, lapsed_target_gets_work_only_without_an_alternative) {
   Targets *s = targets_with(3);
-  Ask a = {0};
+  RequestInfo a = {0};
   targets_remove(s, 10, "i-0", true);
   targets_remove(s, 10, "i-1", true);
   for (int i = 0; i < 20; i++) {
@@ -94,7 +94,7 @@
 
 Test(targets, ended_target_gets_no_work_until_its_entry_is_removed) {
   Targets *s = targets_with(2);
-  Ask a = {0};
+  RequestInfo a = {0};
   Target *t = pick(s, 1, &a, false);
   target_note_ended(t, 1);
   for (double now = 1; now < 4.8; now += 0.1)
@@ -104,7 +104,7 @@
 
 Test(targets, isolated_request_goes_to_the_target_with_fewest_requests) {
   Targets *s = targets_with(3);
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetRequest isolated = {
       .service = "svc", .ask = &a, .engine = true, .isolate = true};
   Target *t = pick(s, 1, &a, true);
@@ -116,7 +116,7 @@
 
 Test(targets, unresponsive_target_is_ejected_but_never_all) {
   Targets *s = targets_with(2);
-  Ask a = {0};
+  RequestInfo a = {0};
   Target *t = pick(s, 1, &a, false);
   note_sent(t, 1, &a, 0);
   target_note_done(t, 1, TARGET_UNRESPONSIVE, false, 0, 0.1);
@@ -136,9 +136,9 @@
   }
   int same = 0;
   for (uint64_t k = 1; k <= 50; k++) {
-    Ask a = {.tokens_in = 9000, .n_parts = 2};
-    a.parts[0] = (AskPart){k, 8000};
-    a.parts[1] = (AskPart){1000 + k, 1000};
+    RequestInfo a = {.prompt_tokens = 9000, .n_parts = 2};
+    a.parts[0] = (RequestPart){k, 8000};
+    a.parts[1] = (RequestPart){1000 + k, 1000};
     same += strcmp(target_id(pick(s, 1, &a, true)),
                    target_id(pick(other, 1, &a, true))) == 0;
   }
@@ -149,9 +149,9 @@
 
 Test(targets, loaded_home_spills_to_another_target) {
   Targets *s = targets_with(4);
-  Ask a = {.tokens_in = 2000, .n_parts = 2};
-  a.parts[0] = (AskPart){7, 1500};
-  a.parts[1] = (AskPart){8, 500};
+  RequestInfo a = {.prompt_tokens = 2000, .n_parts = 2};
+  a.parts[0] = (RequestPart){7, 1500};
+  a.parts[1] = (RequestPart){8, 500};
   Target *home = pick(s, 1, &a, true);
   note_sent(home, 1, &a, 200000); /* four seconds of reading */
   cr_assert_neq(pick(s, 1, &a, true), home);
@@ -162,7 +162,7 @@
 
 Test(targets, replaced_target_gets_no_work) {
   Targets *s = targets_with(1);
-  Ask a = {0};
+  RequestInfo a = {0};
   targets_mark_replaced(s, 1, pick(s, 1, &a, false));
   cr_assert_null(pick(s, 1, &a, false));
   targets_free(s);
@@ -172,10 +172,10 @@
    cached at its home. */
 Test(targets, reported_parts_lead_to_the_target_that_cached_them) {
   Targets *s = targets_with(8), *other = targets_with(8);
-  Ask a = {.tokens_in = 9000, .n_parts = 2};
+  RequestInfo a = {.prompt_tokens = 9000, .n_parts = 2};
   TargetParts m;
-  a.parts[0] = (AskPart){7, 8000};
-  a.parts[1] = (AskPart){8, 1000};
+  a.parts[0] = (RequestPart){7, 8000};
+  a.parts[1] = (RequestPart){8, 1000};
   targets_set_parts_exchanged(s, true);
   targets_set_parts_exchanged(other, true);
   TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
@@ -196,9 +196,9 @@
 /* The cache of a busy target serves another one. */
 Test(targets, cached_tokens_of_a_busy_target_move_to_a_free_one) {
   Targets *s = targets_with(4);
-  Ask a = {.tokens_in = 9000, .n_parts = 2};
-  a.parts[0] = (AskPart){7, 8000};
-  a.parts[1] = (AskPart){8, 1000};
+  RequestInfo a = {.prompt_tokens = 9000, .n_parts = 2};
+  a.parts[0] = (RequestPart){7, 8000};
+  a.parts[1] = (RequestPart){8, 1000};
   targets_set_parts_exchanged(s, true);
   TargetRequest request = {
       .service = "svc", .ask = &a, .engine = true, .move_token_s = 2e-6};
@@ -235,8 +235,8 @@
   targets_set_parts_exchanged(s, true);
   GHashTable *long_targets = g_hash_table_new(g_str_hash, g_str_equal);
   for (uint64_t k = 1; k <= 200; k++) {
-    Ask a = {.tokens_in = 9000, .n_parts = 1};
-    a.parts[0] = (AskPart){k, 9000};
+    RequestInfo a = {.prompt_tokens = 9000, .n_parts = 1};
+    a.parts[0] = (RequestPart){k, 9000};
     TargetRequest request = {
         .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
     TargetChoice c = targets_pick(s, 1, &request);
@@ -245,8 +245,8 @@
     g_hash_table_add(long_targets, (gpointer)target_id(c.target));
   }
   for (uint64_t k = 1000; k <= 1200; k++) {
-    Ask a = {.tokens_in = 400, .n_parts = 1};
-    a.parts[0] = (AskPart){k, 400};
+    RequestInfo a = {.prompt_tokens = 400, .n_parts = 1};
+    a.parts[0] = (RequestPart){k, 400};
     TargetRequest request = {
         .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
     TargetChoice c = targets_pick(s, 1, &request);
@@ -263,14 +263,14 @@
 Test(targets, large_fleet_neither_divides_pools_nor_moves_tokens) {
   Targets *s = targets_with(6);
   bool used[6] = {false};
-  Ask a = {.tokens_in = 400, .n_parts = 1};
+  RequestInfo a = {.prompt_tokens = 400, .n_parts = 1};
   TargetRequest request = {.service = "svc",
                            .ask = &a,
                            .engine = true,
                            .move_token_s = 2e-6,
                            .max_pause_s = 0.3};
   for (uint64_t k = 0; k < 60; k++) {
-    a.parts[0] = (AskPart){k + 1, 400};
+    a.parts[0] = (RequestPart){k + 1, 400};
     TargetChoice c = targets_pick(s, 1 + (double)k, &request);
     cr_assert(c.serves_long && !c.donor);
     target_note_sent(c.target, 1 + (double)k, &a, &c);
@@ -285,7 +285,7 @@
 Test(targets, long_prompts_spill_if_their_targets_are_unhealthy) {
   Targets *s = targets_with(6);
   targets_set_parts_exchanged(s, true);
-  Ask a = {.tokens_in = 9000};
+  RequestInfo a = {.prompt_tokens = 9000};
   TargetRequest request = {
       .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
   for (int i = 0; i < 5; i++) {
@@ -305,7 +305,7 @@
 /* The work of another instance at a target delays ours just as much. */
 Test(targets, work_of_other_instances_counts_until_its_report_is_stale) {
   Targets *s = targets_with(2);
-  Ask a = {.tokens_in = 100};
+  RequestInfo a = {.prompt_tokens = 100};
   TargetWork w = {.target = text_hash("i-0"), .open = 4, .tokens = 90000};
   targets_apply_work(s, 1, 77, &w);
   for (int i = 0; i < 20; i++)
@@ -328,7 +328,7 @@
 
 Test(targets, own_work_is_sent_once_per_change) {
   Targets *s = targets_with(2);
-  Ask a = {.tokens_in = 500};
+  RequestInfo a = {.prompt_tokens = 500};
   TargetWork w;
   cr_assert_not(targets_next_work(s, &w));
   Target *t = pick(s, 1, &a, true);
@@ -359,7 +359,7 @@
 }
 
 static bool gets_work(Targets *s, double now, const char *dc) {
-  Ask a = {.tokens_in = 1000};
+  RequestInfo a = {.prompt_tokens = 1000};
   for (int i = 0; i < 40; i++) {
     Target *t = pick(s, now, &a, i % 2 == 0);
     if (!t) return false;
@@ -416,9 +416,9 @@
 Test(targets, evacuated_target_is_neither_queried_nor_used) {
   Targets *s = two_data_centres();
   targets_set_parts_exchanged(s, true);
-  Ask a = {.tokens_in = 9000, .n_parts = 2};
-  a.parts[0] = (AskPart){77, 8000};
-  a.parts[1] = (AskPart){78, 1000};
+  RequestInfo a = {.prompt_tokens = 9000, .n_parts = 2};
+  a.parts[0] = (RequestPart){77, 8000};
+  a.parts[1] = (RequestPart){78, 1000};
   TargetRequest request = {
       .service = "svc", .ask = &a, .engine = true, .move_token_s = 1e-6};
   Target *home = targets_pick(s, 1, &request).target;
@@ -439,7 +439,7 @@
 
 Test(targets, choice_reports_that_all_targets_are_evacuated) {
   Targets *s = two_data_centres();
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetRequest request = {.service = "svc", .ask = &a};
   targets_set_evacuated(s, "a", true);
   targets_set_evacuated(s, "b", true);
@@ -464,10 +464,10 @@
 
 /* == restarts under the same id == */
 
-static Ask prompt(void) {
-  Ask a = {.tokens_in = 3000, .n_parts = 2};
-  a.parts[0] = (AskPart){.id = 5, .tokens = 2500};
-  a.parts[1] = (AskPart){.id = 6, .tokens = 500};
+static RequestInfo prompt(void) {
+  RequestInfo a = {.prompt_tokens = 3000, .n_parts = 2};
+  a.parts[0] = (RequestPart){.id = 5, .tokens = 2500};
+  a.parts[1] = (RequestPart){.id = 6, .tokens = 500};
   return a;
 }
 
@@ -479,7 +479,7 @@
 }
 
 /* The tokens of this prompt that its target would have to read. */
-static int64_t count_uncached(Targets *s, double now, const Ask *a) {
+static int64_t count_uncached(Targets *s, double now, const RequestInfo *a) {
   TargetRequest request = {.service = "svc", .ask = a, .engine = true};
   return targets_pick(s, now, &request).uncached_tokens;
 }
@@ -487,7 +487,7 @@
 Test(targets, restarted_target_has_no_earlier_state) {
   Targets *s = targets_new("a", 1);
   targets_set_parts_exchanged(s, true);
-  Ask a = prompt();
+  RequestInfo a = prompt();
   TargetInfo t = incarnation(1000, 10);
   cr_assert(!targets_set(s, 0, &t), "not a restart");
   Target *old = pick(s, 1, &a, true);
@@ -511,7 +511,7 @@
 
 Test(targets, target_that_left_and_restarted_gets_work) {
   Targets *s = targets_new("a", 1);
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetInfo t = incarnation(1000, 10);
   t.leaving = true;
   targets_set(s, 0, &t);
@@ -529,7 +529,7 @@
 
 Test(targets, reports_on_an_earlier_incarnation_are_ignored) {
   Targets *s = targets_new("a", 1);
-  Ask a = prompt();
+  RequestInfo a = prompt();
   TargetInfo t = incarnation(1000, 10);
   targets_set(s, 0, &t);
   TargetWork old = {
@@ -545,7 +545,7 @@
 
 Test(targets, entry_can_move_to_another_service) {
   Targets *s = targets_with(2);
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetInfo t = info(0, "other");
   t.revision = 11;
   targets_set(s, 1, &t);
@@ -560,7 +560,7 @@
    one of four takes two to six times as long for some tenths of a second. */
 Test(targets, slow_target_is_avoided_while_its_pace_report_is_fresh) {
   Targets *s = targets_with(4);
-  Ask a = {0};
+  RequestInfo a = {0};
   Target *busy = pick(s, 1, &a, false);
   target_set_load(busy, 1, 0, 0, 4);
   for (int i = 0; i < 20; i++) cr_assert_neq(pick(s, 1.02, &a, false), busy);
@@ -572,7 +572,7 @@
 
 Test(targets, reported_pace_is_clamped) {
   static const double paces[] = {0, 1, 1e9, 1e-9};
-  Ask a = {0};
+  RequestInfo a = {0};
   TargetRequest request = {.service = "svc", .ask = &a};
   for (size_t k = 0; k < G_N_ELEMENTS(paces); k++) {
     Targets *s = targets_with(1);
@@ -592,7 +592,7 @@
    is the usual one. */
 Test(targets, learned_answer_time_excludes_the_reported_pace) {
   Targets *s = targets_with(2);
-  Ask a = {0};
+  RequestInfo a = {0};
   Target *t = pick(s, 1, &a, false);
   note_sent(t, 1, &a, 0);
   target_set_load(t, 1.12, 0, 0, 4);
