--- a/packages/member/gossip.c
+++ b/packages/member/gossip.c
@@ -148,9 +148,9 @@
 
 /* Sets the state and what follows from it. */
 static void set_state(Gossip *g, Entry *e, GossipState state) {
-  static const double lasts[GOSSIP_STATES] = {0, SUSPECT_S, DEAD_TTL_S};
+  static const double duration_s[GOSSIP_STATES] = {0, SUSPECT_S, DEAD_TTL_S};
   e->state = state;
-  e->until = g->now + lasts[state];
+  e->until = g->now + duration_s[state];
   mark_update_due(g, e);
 }
 
@@ -251,7 +251,7 @@
   add_far(g, end);
 }
 
-static uint64_t mix(uint64_t h) {
+static uint64_t mix_hash(uint64_t h) {
   h ^= h >> 33;
   h *= 0xff51afd7ed558ccdULL;
   return h ^ h >> 33;
@@ -262,7 +262,7 @@
   rebuild_ring(g);
   for (guint i = 0; i < g->ring->len; i++) {
     const Entry *e = g->ring->pdata[i];
-    sum ^= mix(e->hash + e->m.leaving);
+    sum ^= mix_hash(e->hash + e->m.leaving);
   }
   return sum;
 }
--- a/packages/member/member.c
+++ b/packages/member/member.c
@@ -118,8 +118,8 @@
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Peer *p = v;
     if (p->m.table >= s->self.table) p->table_moved_at = now;
-    double every_s = MAX(p->m.heartbeat_interval_s, MEMBER_HEARTBEAT_S);
-    if (now - p->heard_at < every_s * MEMBER_MAX_MISSED_HEARTBEATS) continue;
+    double interval_s = MAX(p->m.heartbeat_interval_s, MEMBER_HEARTBEAT_S);
+    if (now - p->heard_at < interval_s * MEMBER_MAX_MISSED_HEARTBEATS) continue;
     g_hash_table_iter_remove(&it);
     changed = true;
   }
@@ -187,12 +187,12 @@
   for (int i = 0; i < n; i++) {
     if (list[i].target) continue;
     Seed *x = add_seed(s, now, &list[i]);
-    const Seed *was = find_seed(old, list[i].peer);
-    if (!was) continue;
-    x->tries = was->tries;
-    x->first_greeted_at = was->first_greeted_at;
-    x->next_at = was->next_at;
-    x->retry_s = was->retry_s;
+    const Seed *earlier = find_seed(old, list[i].peer);
+    if (!earlier) continue;
+    x->tries = earlier->tries;
+    x->first_greeted_at = earlier->first_greeted_at;
+    x->next_at = earlier->next_at;
+    x->retry_s = earlier->retry_s;
   }
   g_ptr_array_free(old, TRUE);
   GHashTableIter it;
@@ -251,24 +251,25 @@
   return strcmp(m->region, s->self.region) == 0;
 }
 
-static void add_heartbeat(GArray *out, const char *to, double every_s) {
-  MemberHeartbeat b = {to, every_s};
+static void add_heartbeat(GArray *out, const char *to, double interval_s) {
+  MemberHeartbeat b = {to, interval_s};
   g_array_append_val(out, b);
 }
 
 /* Seeds from which no heartbeat came are greeted with doubling delays: while
    many instances start at once, the first greetings are lost. */
-static void greet_seeds(MemberSet *s, double now, double every_s, GArray *out) {
-  GHashTable *heard = g_hash_table_new(g_str_hash, g_str_equal);
+static void greet_seeds(MemberSet *s, double now, double interval_s,
+                        GArray *out) {
+  GHashTable *answered_peers = g_hash_table_new(g_str_hash, g_str_equal);
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init(&it, s->peers);
   while (g_hash_table_iter_next(&it, NULL, &v))
-    g_hash_table_add(heard, ((Peer *)v)->m.peer);
-  g_hash_table_add(heard, s->self.peer);
+    g_hash_table_add(answered_peers, ((Peer *)v)->m.peer);
+  g_hash_table_add(answered_peers, s->self.peer);
   for (guint i = s->seeds->len; i-- > 0;) {
     Seed *x = s->seeds->pdata[i];
-    bool answered = g_hash_table_contains(heard, x->m.peer);
+    bool answered = g_hash_table_contains(answered_peers, x->m.peer);
     if (x->introduced && (answered || x->tries >= INTRODUCED_MAX_TRIES)) {
       g_ptr_array_remove_index_fast(s->seeds, i);
       continue;
@@ -280,14 +281,14 @@
       x->next_at = now + GREET_MAX_S;
       continue;
     }
-    add_heartbeat(out, x->m.peer, every_s);
+    add_heartbeat(out, x->m.peer, interval_s);
     x->tries++;
     x->next_at = now + x->retry_s;
-    bool soon =
+    bool is_recent =
         !x->introduced && now - x->first_greeted_at < GREET_NO_BACKOFF_S;
-    if (!soon) x->retry_s = MIN(x->retry_s * 2, GREET_MAX_S);
+    if (!is_recent) x->retry_s = MIN(x->retry_s * 2, GREET_MAX_S);
   }
-  g_hash_table_destroy(heard);
+  g_hash_table_destroy(answered_peers);
 }
 
 static bool is_seed_due(const MemberSet *s, double now) {
@@ -298,9 +299,9 @@
 
 void member_collect_heartbeats(MemberSet *s, double now, GArray *out) {
   bool near = now >= s->next_near, far = now >= s->next_far;
-  bool greet = s->greet_pending && now >= s->next_greet;
+  bool greeting_due = s->greet_pending && now >= s->next_greet;
   bool seeds = is_seed_due(s, now);
-  if (!near && !far && !greet && !seeds) return;
+  if (!near && !far && !greeting_due && !seeds) return;
   int n = 1, all = (int)MAX(g_hash_table_size(s->peers), s->seeds->len) + 1;
   GHashTableIter it;
   gpointer v;
@@ -312,17 +313,18 @@
       small ? all : n, small ? MEMBER_BYTES_PER_S : MEMBER_NEAR_BYTES_PER_S);
   double far_s = heartbeat_interval(all, small ? MEMBER_BYTES_PER_S
                                                : MEMBER_FAR_BYTES_PER_S);
-  if (greet) {
+  if (greeting_due) {
     s->greet_pending = false;
     s->next_greet = now + MEMBER_HEARTBEAT_S;
   }
   g_hash_table_iter_init(&it, s->peers);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Peer *p = v;
-    bool in = is_near(s, &p->m);
-    if ((in ? near : far) || (greet && p->greetings_left > 0))
-      add_heartbeat(out, p->m.peer, in ? near_s : far_s);
-    if (greet && p->greetings_left > 0 && --p->greetings_left > 0)
+    bool is_same_region = is_near(s, &p->m);
+    if ((is_same_region ? near : far) ||
+        (greeting_due && p->greetings_left > 0))
+      add_heartbeat(out, p->m.peer, is_same_region ? near_s : far_s);
+    if (greeting_due && p->greetings_left > 0 && --p->greetings_left > 0)
       s->greet_pending = true;
   }
   if (seeds) greet_seeds(s, now, far_s, out);
--- a/packages/member/readers.c
+++ b/packages/member/readers.c
@@ -123,7 +123,7 @@
 /* The store answers us and not the first choices: we read in their place,
    unless enough instances with a smaller id than ours do. */
 static bool must_step_in(const Readers *r, double now) {
-  int before = 0;
+  int n_before = 0;
   GHashTableIter it;
   gpointer id, value;
   if (now - r->answered_at >= READERS_TIMEOUT_S) return false;
@@ -132,29 +132,30 @@
     const ReaderReport *report = value;
     bool reads =
         report->read_at > 0 && now - report->read_at < READERS_TIMEOUT_S;
-    before += reads && strcmp(id, r->self) < 0;
+    n_before += reads && strcmp(id, r->self) < 0;
   }
-  return before < READERS_PER_REGION;
+  return n_before < READERS_PER_REGION;
 }
 
 ReadersDuty readers_duty(Readers *r, double now) {
-  int well = 0, away = 0;
+  int n_ok = 0, unavailable = 0;
   if (r->small_fleet) return READERS_DUTY_OWN;
   g_hash_table_foreach_remove(r->reports, is_expired, &now);
-  for (int i = 0; well < READERS_PER_REGION && well + away < READERS_MAX_TRYING;
+  for (int i = 0;
+       n_ok < READERS_PER_REGION && n_ok + unavailable < READERS_MAX_TRYING;
        i++) {
     /* We are leaving, or none of the first choices sends reports. */
     if (i == r->n_choices) return READERS_DUTY_OWN;
     if (strcmp(r->choice[i], r->self) == 0) return READERS_DUTY_ALL;
     /* A choice that is new here gets a whole timeout for its first report. */
     const ReaderReport *report = get_report(r, now, r->choice[i]);
-    well += now - report->ok_at < READERS_TIMEOUT_S;
-    away += report->unavailable_at > 0 &&
-            now - report->unavailable_at < READERS_TIMEOUT_S;
+    n_ok += now - report->ok_at < READERS_TIMEOUT_S;
+    unavailable += report->unavailable_at > 0 &&
+                   now - report->unavailable_at < READERS_TIMEOUT_S;
   }
   /* Only reports of the first choices count here: at the end of an outage the
      store answers all instances at once, and all would begin to read. */
-  if (well < READERS_PER_REGION && must_step_in(r, now))
+  if (n_ok < READERS_PER_REGION && must_step_in(r, now))
     return READERS_DUTY_ALL;
   return READERS_DUTY_NONE;
 }
--- a/tests/test_readers.c
+++ b/tests/test_readers.c
@@ -121,7 +121,7 @@
 #define MAX_INSTANCES 295
 #define STEP_S 0.2
 #define STALE_S 1.5
-#define READ_S 0.6
+#define READ_INTERVAL_S 0.6
 
 typedef enum { STORE_ANSWERS, STORE_REJECTS, STORE_UNREACHABLE } StoreAccess;
 
@@ -211,15 +211,15 @@
 
 static void run_step(Instance *x) {
   bool is_reader = readers_duty(x->readers, clock_s) != READERS_DUTY_NONE;
-  bool told = clock_s - x->read_report_at < STALE_S;
-  bool away = clock_s - x->unavailable_report_at < STALE_S;
-  if (!is_reader && told) return;
-  if (!is_reader && away) {
+  bool has_read_report = clock_s - x->read_report_at < STALE_S;
+  bool store_unavailable = clock_s - x->unavailable_report_at < STALE_S;
+  if (!is_reader && has_read_report) return;
+  if (!is_reader && store_unavailable) {
     probe_store(x);
     return;
   }
   if (clock_s < x->next_read_at) return;
-  x->next_read_at = clock_s + READ_S;
+  x->next_read_at = clock_s + READ_INTERVAL_S;
   call_store(x);
 }
 
@@ -333,7 +333,7 @@
 
 Test(readers, calls_of_an_outage_do_not_grow_with_the_fleet) {
   double max_calls =
-      10 * (READERS_MAX_TRYING / READ_S + READERS_FLEET_CALLS_PER_S);
+      10 * (READERS_MAX_TRYING / READ_INTERVAL_S + READERS_FLEET_CALLS_PER_S);
   int small = count_outage_calls(86, STORE_REJECTS);
   int large = count_outage_calls(MAX_INSTANCES, STORE_REJECTS);
   cr_assert_leq(small, max_calls * 1.1, "%d calls", small);
