--- a/packages/route/pool.h
+++ b/packages/route/pool.h
@@ -20,8 +20,8 @@
 /* Up to this many members each has a counting instance of its own, and a
    choice visits all members. In a larger pool adjacent members form a group
    with one counting instance, and a prompt's homes and the other targets it is
-   offered are of one group: one query then needs two new links between a
-   thousand instances instead of six. */
+   offered are of one group. So a request needs one query, which takes two new
+   links in a fleet of a thousand instances instead of six. */
 #define POOL_SMALL_MAX_MEMBERS 512
 #define POOL_GROUP_MIN_MEMBERS 8 /* lower bound of the average group size */
 
--- a/packages/route/quota.h
+++ b/packages/route/quota.h
@@ -3,7 +3,7 @@
    or had no work, and would be overloaded by much more than it can take then.
    Or it is short of capacity and reports a limit in its answers.
 
-      The bounds protect targets from instances that don't know each other's
+   The bounds protect targets from instances that don't know each other's
    choices: from the full traffic when a data centre's targets come back cold
    together, and from a fleet in which each instance sends less than a target's
    limit but all together send more. The instance that counts a target's work
--- a/packages/route/suspects.h
+++ b/packages/route/suspects.h
@@ -1,7 +1,7 @@
 /* suspects.h: requests under which targets ended; pure, for one instance.
 
-      A single end is no evidence, since dozens of requests run at a target. It
-   is evidence when it happens to the request again, at another target, and no
+   A single end is no evidence, since dozens of requests run at a target. It is
+   evidence when it happens to the request again, at another target, and no
    attempt of it ended well in between. So two homes, instances chosen by the
    request's digest, count its marks, each of which says that a target ended
    under it. With the second mark they name it a suspect to all instances. An
@@ -9,7 +9,7 @@
    for all. Until then it is tried at only one target of the fleet at a time:
    trials.h.
 
-      The load that this is for: a request that ends each target that begins to
+   The load that this is for: a request that ends each target that begins to
    run it keeps coming to any instance, beside dozens of other requests at each
    target. In 40 ends under it, it was marked 40 times, its neighbours once or
    twice. Where targets end by themselves, 19 times in 15 s among ten targets,
--- a/packages/route/tally.h
+++ b/packages/route/tally.h
@@ -5,13 +5,13 @@
    few milliseconds before they send. The answer is accurate to within those
    milliseconds, while a target's own report is some hundred milliseconds old.
 
-      The load that this is for: 295 instances with two requests per second
-   each share 160 engines. No instance knows what the others send, equal
-   prompts go to one engine for their common parts, and while all prompts are
-   new many are late on engines that are hardly in use.
+   The load that this is for: 295 instances with two requests per second each
+   share 160 engines. No instance knows what the others send, equal prompts go
+   to one engine for their common parts, and while all prompts are new many are
+   late on engines that are hardly in use.
 
-      The same count determines what a bounded target (quota.h) may still get:
-   in a fleet of any size an instance requests a permit, the permission to send
+   The same count determines what a bounded target (quota.h) may still get: in
+   a fleet of any size an instance requests a permit, the permission to send
    one request, before it sends there. */
 #ifndef ROUTE_TALLY_H
 #define ROUTE_TALLY_H
--- a/packages/route/trials.h
+++ b/packages/route/trials.h
@@ -2,7 +2,7 @@
    target of the fleet at a time and held back once another target ends; pure,
    for one instance.
 
-      A trial is an object in the platform's store. It is created before the
+   A trial is an object in the platform's store. It is created before the
    request is sent and deleted when the request ends well. So two instances
    can't try it at the same time, and a trial that is not deleted stays in
    force even if all instances are lost. Two or three targets end under a
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -1,7 +1,7 @@
 /* test_pool.c: the cost of adding and choosing among thousands of targets, in
    visits to single targets, and the homes of prompts there.
 
-      The load that this is for: a thousand instances with half a request per
+   The load that this is for: a thousand instances with half a request per
    second each and ten thousand targets, so that work done once for each target
    or member dominates. */
 #include <criterion/criterion.h>
