--- a/bin/loftpathd.c
+++ b/bin/loftpathd.c
@@ -192,10 +192,10 @@
     if (atomic_load(&entry.open) > 0) continue;
     if (!given_back) fleet_drain(entry.fleet);
     given_back = true;
-    if (fleet_drained(entry.fleet)) return true;
+    if (fleet_is_drained(entry.fleet)) return true;
     if (clock_now() - told < STOP_TELL_S) continue;
     int budgets, records;
-    fleet_waits(entry.fleet, &budgets, &records);
+    fleet_count_undrained(entry.fleet, &budgets, &records);
     log_info("stop-waits", "s:i,s:i", "budget_lanes", budgets, "records",
              records);
     told = clock_now();
--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -259,7 +259,7 @@
 }
 
 static json_t *instances_json(Entry *e) {
-  View *v = fleet_view(e->fleet);
+  View *v = fleet_copy_view(e->fleet);
   json_t *list = json_array();
   for (int i = 0; i < v->n; i++) {
     const Member *m = &v->list[i];
--- a/packages/entry/exchange.c
+++ b/packages/entry/exchange.c
@@ -97,7 +97,7 @@
 /* A cap of the whole fleet is split over the instances that are there. */
 static int64_t split_cap(const Exchange *x, int64_t cap) {
   if (cap == 0) return 0;
-  View *v = fleet_view(x->entry->fleet);
+  View *v = fleet_copy_view(x->entry->fleet);
   int n = MAX(v->n, 1);
   view_free(v);
   return (cap + n - 1) / n;
@@ -141,7 +141,7 @@
   x->sent = clock_now();
   log_route(x);
   if (!x->service.plain) /* an engine's run can be taken up by a retry */
-    fleet_at(x->entry->fleet, &x->run, x->ticket.choice.name);
+    fleet_note_dispatch(x->entry->fleet, &x->run, x->ticket.choice.name);
 }
 
 ExchangeStart exchange_start(Exchange *x, HttpReq *r, int64_t tokens,
@@ -218,7 +218,7 @@
 
 void exchange_unknown(Exchange *x, int64_t tokens) {
   close_exchange(x, tokens);
-  fleet_unknown(x->entry->fleet, &x->run);
+  fleet_mark_unknown(x->entry->fleet, &x->run);
   count_add(COUNT_WASTE, tokens);
   log_warn("unknown", "s:s,s:s,s:s,s:I", "request", x->id, "customer",
            x->customer.name, "target", x->ticket.choice.name, "tokens",
--- a/packages/entry/placer.c
+++ b/packages/entry/placer.c
@@ -307,7 +307,7 @@
   Placer *p = arg;
   Platform *store = platform_open(p->entry->options.platform, CALL_S);
   while (running(p)) {
-    View *v = fleet_view(p->entry->fleet);
+    View *v = fleet_copy_view(p->entry->fleet);
     GList *names = pools_models(p->entry->pools);
     for (GList *i = names; running(p) && i; i = i->next)
       decide(p, store, v, i->data);
--- a/packages/entry/poll.c
+++ b/packages/entry/poll.c
@@ -82,7 +82,7 @@
   while (loads_tell(p->loads, now, &m)) g_array_append_val(words, m);
   pthread_mutex_unlock(&p->lock);
   for (guint i = 0; i < words->len; i++)
-    fleet_tell_load(p->entry->fleet, &g_array_index(words, LoadsMsg, i));
+    fleet_send_load(p->entry->fleet, &g_array_index(words, LoadsMsg, i));
   g_array_free(words, TRUE);
 }
 
--- a/packages/entry/watch.c
+++ b/packages/entry/watch.c
@@ -49,8 +49,8 @@
     g_strlcpy(b.name, r->name, sizeof b.name);
     g_array_append_val(list, b);
   }
-  fleet_budgets(w->entry->fleet, (LedgerBudget *)(void *)list->data,
-                (int)list->len);
+  fleet_set_budgets(w->entry->fleet, (LedgerBudget *)(void *)list->data,
+                    (int)list->len);
   g_array_free(list, TRUE);
 }
 
@@ -64,7 +64,7 @@
   poll_targets(w->poll);
   give_budgets(w, t);
   snapshots_set(w->entry->snapshots, t);
-  fleet_table(w->entry->fleet, v);
+  fleet_set_table_version(w->entry->fleet, v);
   log_info("table", "s:I", "version", (json_int_t)v);
 }
 
@@ -152,8 +152,8 @@
     g_array_append_val(seeds, s);
     if (s.target) pools_leaving(w->entry->pools, s.name, s.leaving);
   }
-  fleet_listed(w->entry->fleet, (MemberSeed *)(void *)seeds->data,
-               (int)seeds->len);
+  fleet_set_listed_members(w->entry->fleet, (MemberSeed *)(void *)seeds->data,
+                           (int)seeds->len);
   g_array_free(seeds, TRUE);
   json_decref(list);
 }
--- a/packages/fleet/cluster.c
+++ b/packages/fleet/cluster.c
@@ -1,4 +1,4 @@
-/* cluster.c: messages, time and the store's answers, fed to the cores. */
+/* cluster.c: passes messages, timer ticks and store answers to the cores. */
 #include "fleet/cluster.h"
 
 #include <glib.h>
@@ -13,23 +13,25 @@
 #include "kernel/loopclock.h"
 #include "peer/peer.h"
 
-#define BUDGET_KIND "budgets" /* of our own, in the platform's store */
-#define TICK_S 0.05           /* the shortest time of the cores is 0.06 s */
-#define SETTLE_QUIET_S 0.25   /* greetings are repeated after 0.2 s */
-#define SETTLE_MOST_S 2.5     /* an instance may be the only one */
-#define SETTLE_USUAL_S 1.2 /* 0.6 to 1.5 s after a loss of all, 7 instances */
-#define SETTLE_SOON_S 0.3  /* and when that is over */
-/* The view is taken over this often at most: while many start, it changes with
-   each message, and homes are worked out anew for each. */
-#define VIEW_EVERY_S 0.15
-#define DROPPED_EVERY_S 1.0 /* between lines on what was not sent */
-#define SWEEP_S 1.0         /* between looks for counts that ran out */
-/* Who counts at a target tells all of its limit: of one target at a time, the
-   more seldom the more instances hear of it, and of each again after a while
-   for those who have just started. */
-#define LIMIT_WORD_EACH_S 0.01 /* for each instance, between two words */
-#define LIMIT_WORD_AGAIN_S 2.0
-#define CONF_ASK_S 0.4 /* the store is given this long to bring it */
+/* Objects in the platform's store that the router writes. */
+#define BUDGET_OBJECT_KIND "budgets"
+#define TICK_INTERVAL_S 0.05  /* the cores' shortest timeout is 0.06 s */
+#define DISCOVERY_IDLE_S 0.25 /* greetings are resent after 0.2 s */
+#define DISCOVERY_MAX_S 2.5   /* this may be the only instance */
+/* Discovery takes 0.6 to 1.5 s when 7 instances restart at once. */
+#define DISCOVERY_USUAL_S 1.2
+#define DISCOVERY_OVERTIME_S 0.3 /* the estimate once that has passed */
+/* Minimum time between two views. While many instances start, membership
+   changes with each message, and each new view recomputes the homes. */
+#define VIEW_REFRESH_MIN_INTERVAL_S 0.15
+#define DROP_LOG_INTERVAL_S 1.0 /* between log lines on messages not sent */
+#define SWEEP_INTERVAL_S 1.0    /* between checks for expired counts */
+/* The instance that counts at a target sends its limit to all instances: one
+   target at a time, at intervals that grow with the number of receivers. Each
+   limit is resent for instances that started recently. */
+#define LIMIT_INTERVAL_PER_INSTANCE_S 0.01
+#define LIMIT_RESEND_INTERVAL_S 2.0
+#define CONF_REQUEST_DELAY_S 0.4 /* the store's time to deliver it first */
 
 struct Cluster {
   struct ev_loop *loop;
@@ -39,34 +41,34 @@
   Gossip *members;
   Readers *readers;
   View *view;
-  Spread *spread; /* of `view` */
+  Spread *spread; /* forwarding tree for `view` */
   Tallies *tallies;
-  uint64_t viewed; /* version of the members that `view` shows */
+  uint64_t view_version; /* membership version of `view`; 0: none yet */
   Ledger *ledger;
   Peer *peer;
   ev_io readable;
   ev_prepare flush;
   ev_timer tick;
-  GHashTable *ids; /* hash of an id -> the id */
+  GHashTable *ids; /* hash of an id -> id */
   uint64_t next_handle;
-  uint64_t conf;
-  Packed conf_text; /* of the version `packed`, as the others get it */
-  uint64_t packed;
-  double conf_behind, conf_asked; /* since when; last question */
-  double started, changed;        /* we; the view */
-  bool settled;                   /* the view may be acted on */
+  uint64_t conf_version;
+  Packed conf_text; /* compressed text of `packed_version` */
+  uint64_t packed_version;
+  double conf_stale_since, conf_requested_at; /* lag began; last request */
+  double started_at, view_changed_at;
+  bool is_ready; /* discovery is over; the view may be used */
   bool leaving;
-  ReadersDuty duty; /* what we read in the store */
-  int64_t dropped;  /* messages that were not sent, when last logged */
-  double dropped_at, swept;
-  double limits_at; /* when the others are told of a limit next */
+  ReadersDuty duty;     /* as last logged */
+  int64_t logged_drops; /* count of unsent messages at the last log line */
+  double drops_logged_at, swept_at;
+  double next_limit_at; /* when the next limit may be sent */
 };
 
-static double now_of(const Cluster *c) {
+static double current_time(const Cluster *c) {
   return loopclock_now(c->loop);
 }
 
-/* == what the ledger wants == */
+/* == actions of the ledger == */
 
 typedef struct ShardCall {
   Cluster *cluster;
@@ -74,9 +76,9 @@
   bool put;
 } ShardCall;
 
-static void act(Cluster *c);
+static void run_ledger_actions(Cluster *c);
 
-static void on_stored(void *ctx, const StoreAnswer *a) {
+static void on_shard_stored(void *ctx, const StoreAnswer *a) {
   ShardCall *call = ctx;
   Cluster *c = call->cluster;
   StoreObject o = {0};
@@ -86,13 +88,14 @@
   if (a->kind != ERR_NONE && a->kind != ERR_STORE_ABSENT)
     log_info("budget-call", "s:i,s:b,s:s", "shard", call->shard, "write",
              (int)call->put, "outcome", err_info(a->kind)->name);
-  ledger_stored(c->ledger, now_of(c), call->shard, a->kind, o.revision, text);
+  ledger_stored(c->ledger, current_time(c), call->shard, a->kind, o.revision,
+                text);
   free(text);
   g_free(call);
-  act(c);
+  run_ledger_actions(c);
 }
 
-static void call_store(Cluster *c, LedgerAction *a) {
+static void access_shard(Cluster *c, LedgerAction *a) {
   char name[16];
   ShardCall *call = g_new0(ShardCall, 1);
   call->cluster = c;
@@ -100,14 +103,15 @@
   call->put = a->what == LEDGER_DO_PUT;
   g_snprintf(name, sizeof name, "%03d", a->shard);
   if (call->put)
-    store_put(c->store, CALLS_BUDGET, BUDGET_KIND, name, a->version,
-              json_loads(a->text, 0, NULL), on_stored, call);
+    store_put(c->store, CALLS_BUDGET, BUDGET_OBJECT_KIND, name, a->version,
+              json_loads(a->text, 0, NULL), on_shard_stored, call);
   else
-    store_get(c->store, CALLS_BUDGET, BUDGET_KIND, name, on_stored, call);
+    store_get(c->store, CALLS_BUDGET, BUDGET_OBJECT_KIND, name, on_shard_stored,
+              call);
   g_free(a->text);
 }
 
-static void act(Cluster *c) {
+static void run_ledger_actions(Cluster *c) {
   LedgerAction a;
   while (ledger_next(c->ledger, &a)) {
     const Member *m;
@@ -117,17 +121,17 @@
       if (m) peer_ledger(c->peer, m->peer, m->id, &a.msg);
       break;
     case LEDGER_DO_GET:
-    case LEDGER_DO_PUT: call_store(c, &a); break;
+    case LEDGER_DO_PUT: access_shard(c, &a); break;
     case LEDGER_DO_ANSWER:
-      c->ev.reserved(c->ctx, a.handle, a.cause, a.retry_ms);
+      c->ev.reservation_decided(c->ctx, a.handle, a.cause, a.retry_ms);
       break;
     }
   }
 }
 
-/* == members == */
+/* == membership == */
 
-static void remember_ids(Cluster *c) {
+static void index_ids(Cluster *c) {
   g_hash_table_remove_all(c->ids);
   for (int i = 0; i < c->view->n; i++) {
     uint64_t h = text_hash(c->view->list[i].id);
@@ -136,7 +140,7 @@
   }
 }
 
-static int rank_of_self(const Cluster *c) {
+static int own_rank(const Cluster *c) {
   const char *self = gossip_me(c->members)->id;
   int i = 0;
   while (i < c->view->n && strcmp(c->view->list[i].id, self) < 0) i++;
@@ -144,44 +148,48 @@
 }
 
 static void refresh_view(Cluster *c) {
-  double now = now_of(c);
+  double now = current_time(c);
   uint64_t version = gossip_version(c->members);
-  bool first = c->viewed == 0;
-  if (version == c->viewed || (!first && now - c->changed < VIEW_EVERY_S))
+  bool first = c->view_version == 0;
+  if (version == c->view_version ||
+      (!first && now - c->view_changed_at < VIEW_REFRESH_MIN_INTERVAL_S))
     return;
   spread_free(c->spread);
   view_free(c->view);
   c->view = gossip_view(c->members);
   c->spread = spread_new(c->view, gossip_me(c->members));
-  c->viewed = version;
-  c->changed = now;
+  c->view_version = version;
+  c->view_changed_at = now;
   log_info("view", "s:i", "members", c->view->n);
-  remember_ids(c);
+  index_ids(c);
   readers_view(c->readers, c->view);
-  tallies_view(c->tallies, now, c->view);
-  c->ev.instances(c->ctx, rank_of_self(c), c->view->n);
-  if (!c->settled) return;
+  tallies_set_members(c->tallies, now, c->view);
+  c->ev.instances_changed(c->ctx, own_rank(c), c->view->n);
+  if (!c->is_ready) return;
   ledger_view(c->ledger, now, c->view);
-  act(c);
-}
-
-/* An instance that has just started sees itself alone, and would be the home
-   of every budget: after a start of all they would race each other for the
-   store (46 homes of one budget were seen). It waits until it knows others and
-   nobody new came for a while. */
-static void settle(Cluster *c) {
-  double now = now_of(c);
-  bool quiet = c->view->n > 1 && now - c->changed > SETTLE_QUIET_S;
-  if (c->settled || !(quiet || now - c->started > SETTLE_MOST_S)) return;
-  c->settled = true;
+  run_ledger_actions(c);
+}
+
+/* An instance that has just started knows only itself and would act as the home
+   of every budget (the instance that manages its shard in the store). When all
+   instances start at once, they would compete for the store: one budget had 46
+   homes. So it waits until it knows others and the view has not changed for
+   DISCOVERY_IDLE_S. */
+static void check_discovery(Cluster *c) {
+  double now = current_time(c);
+  bool discovery_idle =
+      c->view->n > 1 && now - c->view_changed_at > DISCOVERY_IDLE_S;
+  if (c->is_ready || !(discovery_idle || now - c->started_at > DISCOVERY_MAX_S))
+    return;
+  c->is_ready = true;
   log_info("settled", "s:i,s:f", "members", c->view->n, "after",
-           now - c->started);
+           now - c->started_at);
   ledger_view(c->ledger, now, c->view);
-  act(c);
+  run_ledger_actions(c);
 }
 
-/* Sends what the core of members wants to be sent. */
-static void act_members(Cluster *c) {
+/* Sends the messages that the membership core has queued. */
+static void run_member_actions(Cluster *c) {
   GossipAction a;
   while (gossip_next(c->members, &a)) {
     if (a.is_news)
@@ -193,57 +201,61 @@
 
 /* == the operators' configuration among instances == */
 
-/* Somebody has had a newer one for a while: the store is out of our reach. */
-static void ask_conf(Cluster *c) {
-  double now = now_of(c);
-  const Member *newer = gossip_newer(c->members, c->conf);
-  if (!newer) c->conf_behind = now;
-  if (!newer || now - c->conf_behind < CONF_ASK_S) return;
-  if (now - c->conf_asked < CONF_ASK_S) return;
-  c->conf_asked = now;
+/* Requests the configuration from another instance that has had a newer version
+   for CONF_REQUEST_DELAY_S: the store is then unreachable from here. */
+static void request_newer_conf(Cluster *c) {
+  double now = current_time(c);
+  const Member *newer = gossip_newer(c->members, c->conf_version);
+  if (!newer) c->conf_stale_since = now;
+  if (!newer || now - c->conf_stale_since < CONF_REQUEST_DELAY_S) return;
+  if (now - c->conf_requested_at < CONF_REQUEST_DELAY_S) return;
+  c->conf_requested_at = now;
   log_info("configuration-asked", "s:s,s:I,s:I", "of", newer->id, "theirs",
-           (json_int_t)newer->table, "ours", (json_int_t)c->conf);
-  peer_conf(c->peer, newer->peer, newer->id, c->conf, &(Packed){0});
+           (json_int_t)newer->table, "ours", (json_int_t)c->conf_version);
+  peer_conf(c->peer, newer->peer, newer->id, c->conf_version, &(Packed){0});
 }
 
-/* After a restart of many each of them may ask: the work is done once. */
+/* Compresses the text once per version: after many instances restart, each may
+   request it. */
 static const Packed *pack_conf(Cluster *c) {
-  if (c->packed == c->conf) return &c->conf_text;
+  if (c->packed_version == c->conf_version) return &c->conf_text;
   packed_free(&c->conf_text);
   c->conf_text = packed_new(c->ev.conf_text(c->ctx));
-  c->packed = c->conf;
+  c->packed_version = c->conf_version;
   return &c->conf_text;
 }
 
 static void unpack_conf(Cluster *c, const char *from, const CodecConf *m) {
   char *text = packed_text(&m->text);
   if (text)
-    c->ev.conf(c->ctx, text);
+    c->ev.conf_received(c->ctx, text);
   else
     log_warn("configuration-damaged", "s:s,s:I", "of", from, "version",
              (json_int_t)m->version);
   g_free(text);
 }
 
-static void take_conf(Cluster *c, const char *from, const CodecConf *m) {
+static void receive_conf(Cluster *c, const char *from, const CodecConf *m) {
   if (m->text.size > 0) {
-    if (m->version > c->conf) unpack_conf(c, from, m);
+    if (m->version > c->conf_version) unpack_conf(c, from, m);
     return;
   }
   const Member *asker = view_find(c->view, from);
-  if (asker && c->conf > m->version)
-    peer_conf(c->peer, asker->peer, asker->id, c->conf, pack_conf(c));
+  if (asker && c->conf_version > m->version)
+    peer_conf(c->peer, asker->peer, asker->id, c->conf_version, pack_conf(c));
 }
 
-/* == what readers of the store tell == */
+/* == updates from readers of the store == */
 
-/* Sends one copy of a message; `until`: of the receiver's part. */
+/* Sends one copy of a message; `until`: end of the range of members that the
+   receiver forwards it to. */
 typedef void (*SendCopy)(Cluster *c, const Member *to, const char *until,
                          const void *msg);
 
-/* Hands it on to those of our region whom we are to care for. */
-static void hand_on(Cluster *c, const char *until, SendCopy send,
-                    const void *msg) {
+/* Forwards a message to the members of the region that this instance is
+   responsible for in the forwarding tree. */
+static void forward_copies(Cluster *c, const char *until, SendCopy send,
+                           const void *msg) {
   SpreadPart part[SPREAD_FAN];
   int n = c->spread ? spread_split(c->spread, until, part) : 0;
   for (int i = 0; i < n; i++) send(c, part[i].to, part[i].until, msg);
@@ -256,52 +268,55 @@
   peer_feed(c->peer, to->peer, to->id, &copy);
 }
 
-/* Whether a member before the `i`-th is of its region. */
-static bool region_is_known(const View *v, int i) {
+/* Whether a member before the `i`-th has the same region. */
+static bool region_is_listed_before(const View *v, int i) {
   for (int k = 0; k < i; k++)
     if (strcmp(v->list[k].region, v->list[i].region) == 0) return true;
   return false;
 }
 
-/* One member of each other region tells the others there; `name` chooses. */
-static void tell_regions(Cluster *c, uint64_t name, SendCopy send,
-                         const void *msg) {
+/* Sends to one member of each other region, selected by `name`, which forwards
+   the message there. */
+static void send_to_other_regions(Cluster *c, uint64_t name, SendCopy send,
+                                  const void *msg) {
   const Member *me = gossip_me(c->members);
   for (int i = 0; i < c->view->n; i++) {
     const char *region = c->view->list[i].region;
-    if (strcmp(region, me->region) == 0 || region_is_known(c->view, i))
+    if (strcmp(region, me->region) == 0 || region_is_listed_before(c->view, i))
       continue;
     const Member *m = view_home(c->view, region, name, 0);
     if (m) send(c, m, "", msg);
   }
 }
 
-static void take_feed(Cluster *c, const char *from, const CodecFeed *feed) {
+static void receive_feed(Cluster *c, const char *from, const CodecFeed *feed) {
   const char *reader = g_hash_table_lookup(c->ids, &feed->reader);
-  bool to_us = feed->kind == CODEC_FEED_ASK || feed->kind == CODEC_FEED_PART;
-  if (!to_us) hand_on(c, feed->until, send_feed, feed);
-  if (!to_us && reader)
-    readers_heard(c->readers, now_of(c), reader, feed->word);
-  c->ev.feed(c->ctx, from, feed);
+  bool is_handover =
+      feed->kind == CODEC_FEED_ASK || feed->kind == CODEC_FEED_PART;
+  if (!is_handover) forward_copies(c, feed->until, send_feed, feed);
+  if (!is_handover && reader)
+    readers_heard(c->readers, current_time(c), reader, feed->word);
+  c->ev.feed_received(c->ctx, from, feed);
 }
 
-/* == requests under which targets ended == */
+/* == requests during which targets failed == */
 
-#define SUSPECT_HOMES 2 /* that count its marks: one may be lost with them */
+/* Homes that count the marks of a request; one may be lost with its counts. */
+#define SUSPECT_HOME_COUNT 2
 
 static bool is_self(const Cluster *c, const Member *m) {
   return strcmp(m->id, gossip_me(c->members)->id) == 0;
 }
 
-static void tell_homes(Cluster *c, const SuspectsMsg *m) {
-  const Member *homes[SUSPECT_HOMES];
-  CodecSuspect word = {.msg = *m};
-  int n = view_homes(c->view, NULL, m->digest.lo, homes, SUSPECT_HOMES);
+static void send_mark_to_homes(Cluster *c, const SuspectsMsg *m) {
+  const Member *homes[SUSPECT_HOME_COUNT];
+  CodecSuspect packet = {.msg = *m};
+  int n = view_homes(c->view, NULL, m->digest.lo, homes, SUSPECT_HOME_COUNT);
   for (int i = 0; i < n; i++) {
     if (is_self(c, homes[i]))
-      c->ev.suspect(c->ctx, m);
+      c->ev.suspect_received(c->ctx, m);
     else
-      peer_suspect(c->peer, homes[i]->peer, homes[i]->id, &word);
+      peer_suspect(c->peer, homes[i]->peer, homes[i]->id, &packet);
   }
 }
 
@@ -312,13 +327,13 @@
   peer_suspect(c->peer, to->peer, to->id, &copy);
 }
 
-static void take_suspect(Cluster *c, const CodecSuspect *word) {
-  if (word->msg.kind != SUSPECTS_MARK)
-    hand_on(c, word->until, send_suspect, word);
-  c->ev.suspect(c->ctx, &word->msg);
+static void receive_suspect(Cluster *c, const CodecSuspect *packet) {
+  if (packet->msg.kind != SUSPECTS_MARK)
+    forward_copies(c, packet->until, send_suspect, packet);
+  c->ev.suspect_received(c->ctx, &packet->msg);
 }
 
-/* == what targets take == */
+/* == limits of targets == */
 
 static void send_limit(Cluster *c, const Member *to, const char *until,
                        const void *msg) {
@@ -327,19 +342,20 @@
   peer_limit(c->peer, to->peer, to->id, &copy);
 }
 
-static void take_limit(Cluster *c, const CodecLimit *word) {
-  hand_on(c, word->until, send_limit, word);
-  c->ev.limit(c->ctx, &word->msg);
+static void receive_limit(Cluster *c, const CodecLimit *packet) {
+  forward_copies(c, packet->until, send_limit, packet);
+  c->ev.limit_received(c->ctx, &packet->msg);
 }
 
-static void tell_limits(Cluster *c, double now) {
-  CodecLimit word = {.to_all = true};
-  if (now < c->limits_at) return;
-  if (!tallies_limit_news(c->tallies, now, LIMIT_WORD_AGAIN_S, &word.msg))
+static void broadcast_next_limit(Cluster *c, double now) {
+  CodecLimit packet = {.to_all = true};
+  if (now < c->next_limit_at) return;
+  if (!tallies_next_limit(c->tallies, now, LIMIT_RESEND_INTERVAL_S,
+                          &packet.msg))
     return;
-  c->limits_at = now + c->view->n * LIMIT_WORD_EACH_S;
-  tell_regions(c, word.msg.target, send_limit, &word);
-  take_limit(c, &word);
+  c->next_limit_at = now + c->view->n * LIMIT_INTERVAL_PER_INSTANCE_S;
+  send_to_other_regions(c, packet.msg.target, send_limit, &packet);
+  receive_limit(c, &packet);
 }
 
 /* == events == */
@@ -348,10 +364,10 @@
   Cluster *c = ctx;
   if (m->type == CODEC_NEWS || m->type == CODEC_GOSSIP) {
     if (m->type == CODEC_NEWS)
-      gossip_news(c->members, now_of(c), from, &m->news);
+      gossip_news(c->members, current_time(c), from, &m->news);
     else
-      gossip_receive(c->members, now_of(c), from, &m->gossip);
-    act_members(c);
+      gossip_receive(c->members, current_time(c), from, &m->gossip);
+    run_member_actions(c);
     return;
   }
   const char *id = g_hash_table_lookup(c->ids, &from);
@@ -360,24 +376,25 @@
     return;
   }
   if (m->type == CODEC_CONF) {
-    take_conf(c, id, &m->conf);
+    receive_conf(c, id, &m->conf);
   } else if (m->type == CODEC_WORK) {
-    c->ev.work(c->ctx, from, &m->work);
+    c->ev.work_reported(c->ctx, from, &m->work);
   } else if (m->type == CODEC_PARTS) {
-    c->ev.parts(c->ctx, &m->parts);
+    c->ev.parts_reported(c->ctx, &m->parts);
   } else if (m->type == CODEC_POOL) {
-    c->ev.pool(c->ctx, from, &m->pool);
+    c->ev.pool_reported(c->ctx, from, &m->pool);
   } else if (m->type == CODEC_FEED) {
-    take_feed(c, id, &m->feed);
+    receive_feed(c, id, &m->feed);
   } else if (m->type == CODEC_SUSPECT) {
-    take_suspect(c, &m->suspect);
+    receive_suspect(c, &m->suspect);
   } else if (m->type == CODEC_LIMIT && m->limit.to_all) {
-    take_limit(c, &m->limit);
-  } else if (tallies_take(c->tallies, now_of(c), view_find(c->view, id), m)) {
+    receive_limit(c, &m->limit);
+  } else if (tallies_receive(c->tallies, current_time(c),
+                             view_find(c->view, id), m)) {
     return;
   } else if (m->type == CODEC_LEDGER) {
-    ledger_receive(c->ledger, now_of(c), id, &m->ledger);
-    act(c);
+    ledger_receive(c->ledger, current_time(c), id, &m->ledger);
+    run_ledger_actions(c);
   }
 }
 
@@ -388,8 +405,9 @@
   peer_turn(c->peer, on_message, c);
 }
 
-/* Before the loop sleeps: messages of one turn leave together. Sending may
-   take in what came, without the descriptor telling of it again. */
+/* Runs before the loop sleeps, so that the messages of one iteration are sent
+   together. Sending may also read incoming messages, after which the descriptor
+   does not become readable for them again; so they are handled here. */
 static void on_flush(struct ev_loop *loop, ev_prepare *w, int revents) {
   (void)loop;
   (void)revents;
@@ -399,39 +417,41 @@
   peer_flush(c->peer);
 }
 
-/* Messages that found no room on their link, or no link. */
+/* Logs how many messages were dropped because a link was full or missing. */
 static void log_dropped(Cluster *c, double now) {
   int64_t n = count_get(COUNT_PEER_DROPPED);
-  if (n == c->dropped || now - c->dropped_at < DROPPED_EVERY_S) return;
-  log_info("peer-dropped", "s:I", "messages", (json_int_t)(n - c->dropped));
-  c->dropped = n;
-  c->dropped_at = now;
+  if (n == c->logged_drops || now - c->drops_logged_at < DROP_LOG_INTERVAL_S)
+    return;
+  log_info("peer-dropped", "s:I", "messages",
+           (json_int_t)(n - c->logged_drops));
+  c->logged_drops = n;
+  c->drops_logged_at = now;
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int revents) {
   (void)loop;
   (void)revents;
   Cluster *c = w->data;
-  double now = now_of(c);
-  gossip_self(c->members, c->leaving, c->conf);
+  double now = current_time(c);
+  gossip_self(c->members, c->leaving, c->conf_version);
   gossip_tick(c->members, now);
-  act_members(c);
+  run_member_actions(c);
   refresh_view(c);
-  settle(c);
-  ask_conf(c);
+  check_discovery(c);
+  request_newer_conf(c);
   log_dropped(c, now);
-  tell_limits(c, now);
-  if (now - c->swept >= SWEEP_S) {
-    c->swept = now;
-    tallies_sweep(c->tallies, now);
+  broadcast_next_limit(c, now);
+  if (now - c->swept_at >= SWEEP_INTERVAL_S) {
+    c->swept_at = now;
+    tallies_remove_expired(c->tallies, now);
   }
   ledger_tick(c->ledger, now, (int64_t)time(NULL));
-  act(c);
+  run_ledger_actions(c);
 }
 
 /* == open and close == */
 
-/* Only the IP counts: all instances use the same port for each other. */
+/* Only the IP is used: all instances listen on the same peer port. */
 static void read_seeds(Cluster *c, const char *seeds) {
   const char *port = strrchr(gossip_me(c->members)->peer, ':');
   char **list = g_strsplit(seeds, ",", -1);
@@ -441,7 +461,7 @@
     ip[strcspn(ip, ":")] = '\0';
     if (!ip[0]) continue;
     g_snprintf(peer, sizeof peer, "tcp://%s%s", ip, port);
-    gossip_seed(c->members, now_of(c), peer);
+    gossip_seed(c->members, current_time(c), peer);
   }
   g_strfreev(list);
 }
@@ -449,7 +469,7 @@
 static void start_watchers(Cluster *c) {
   ev_io_init(&c->readable, on_readable, peer_fd(c->peer), EV_READ);
   ev_prepare_init(&c->flush, on_flush);
-  ev_timer_init(&c->tick, on_tick, 0, TICK_S);
+  ev_timer_init(&c->tick, on_tick, 0, TICK_INTERVAL_S);
   c->readable.data = c->flush.data = c->tick.data = c;
   ev_io_start(c->loop, &c->readable);
   ev_prepare_start(c->loop, &c->flush);
@@ -467,10 +487,10 @@
   c->ev = *ev;
   c->ctx = ctx;
   c->peer = peer;
-  c->started = loopclock_now(loop);
+  c->started_at = loopclock_now(loop);
   peer_on_demand(peer);
   c->members = gossip_new(&o->self, o->seed);
-  TalliesEvents tallies = {ev->tally, ev->permit};
+  TalliesEvents tallies = {ev->tally_received, ev->permit_answered};
   c->tallies = tallies_new(peer, o->self.id, o->regions, &tallies, ctx);
   c->readers = readers_new(o->self.id, o->self.region);
   c->view = view_new(NULL, 0);
@@ -497,53 +517,53 @@
   g_free(c);
 }
 
-/* == calls == */
+/* == exported calls == */
 
-void cluster_conf(Cluster *c, uint64_t version) {
-  c->conf = version;
-  c->conf_behind = now_of(c);
+void cluster_set_conf_version(Cluster *c, uint64_t version) {
+  c->conf_version = version;
+  c->conf_stale_since = current_time(c);
 }
 
-ReadersDuty cluster_duty(Cluster *c) {
+ReadersDuty cluster_reader_duty(Cluster *c) {
   static const char *const names[] = {"nothing", "own", "all"};
-  ReadersDuty duty = readers_duty(c->readers, now_of(c));
+  ReadersDuty duty = readers_duty(c->readers, current_time(c));
   if (duty != c->duty)
     log_info("reads", "s:s,s:i", "duty", names[duty], "members", c->view->n);
   c->duty = duty;
   return duty;
 }
 
-void cluster_met(Cluster *c, ReadersWord word) {
-  readers_met(c->readers, now_of(c), word);
+void cluster_note_store_outcome(Cluster *c, ReadersWord outcome) {
+  readers_met(c->readers, current_time(c), outcome);
 }
 
-bool cluster_knocks(Cluster *c) {
-  return readers_knocks(c->readers, now_of(c));
+bool cluster_may_probe_store(Cluster *c) {
+  return readers_knocks(c->readers, current_time(c));
 }
 
-bool cluster_asks(Cluster *c) {
-  return readers_asks(c->readers, now_of(c));
+bool cluster_may_query_store(Cluster *c) {
+  return readers_asks(c->readers, current_time(c));
 }
 
-/* The next other instance of our region from *i on; NULL: none. */
-static const Member *next_near(const Cluster *c, int *i) {
+/* Finds the next other instance of this region from index *i on, or NULL. */
+static const Member *next_in_region(const Cluster *c, int *i) {
   const Member *me = gossip_me(c->members);
   while (*i < c->view->n) {
     const Member *m = &c->view->list[(*i)++];
-    bool near = strcmp(m->region, me->region) == 0;
-    if (near && strcmp(m->id, me->id) != 0) return m;
+    bool in_region = strcmp(m->region, me->region) == 0;
+    if (in_region && strcmp(m->id, me->id) != 0) return m;
   }
   return NULL;
 }
 
-void cluster_feed(Cluster *c, const CodecFeed *feed) {
+void cluster_broadcast_feed(Cluster *c, const CodecFeed *feed) {
   CodecFeed ours = *feed;
   ours.reader = text_hash(gossip_me(c->members)->id);
   ours.until[0] = '\0';
-  hand_on(c, ours.until, send_feed, &ours);
+  forward_copies(c, ours.until, send_feed, &ours);
 }
 
-void cluster_feed_to(Cluster *c, const char *id, const CodecFeed *feed) {
+void cluster_send_feed(Cluster *c, const char *id, const CodecFeed *feed) {
   const Member *m = view_find(c->view, id);
   CodecFeed copy = *feed;
   if (!m) return;
@@ -551,17 +571,17 @@
   peer_feed(c->peer, m->peer, m->id, &copy);
 }
 
-void cluster_work(Cluster *c, const TargetWork *work) {
+void cluster_broadcast_work(Cluster *c, const TargetWork *work) {
   const Member *m;
   if (cluster_is_large(c)) return;
-  for (int i = 0; (m = next_near(c, &i));)
+  for (int i = 0; (m = next_in_region(c, &i));)
     peer_work(c->peer, m->peer, m->id, work);
 }
 
-void cluster_parts(Cluster *c, const TargetParts *parts) {
+void cluster_broadcast_parts(Cluster *c, const TargetParts *parts) {
   const Member *m;
   if (cluster_is_large(c)) return;
-  for (int i = 0; (m = next_near(c, &i));)
+  for (int i = 0; (m = next_in_region(c, &i));)
     peer_parts(c->peer, m->peer, m->id, parts);
 }
 
@@ -569,84 +589,84 @@
   return c->view->n >= FLEET_SMALL;
 }
 
-void cluster_tally_ask(Cluster *c, const TallyAsk *a) {
-  tallies_ask(c->tallies, now_of(c), a);
+void cluster_request_tally(Cluster *c, const TallyAsk *a) {
+  tallies_request_count(c->tallies, current_time(c), a);
 }
 
-void cluster_tally_tell(Cluster *c, const TallyRun *r) {
-  tallies_tell(c->tallies, now_of(c), r);
+void cluster_report_run(Cluster *c, const TallyRun *r) {
+  tallies_report_run(c->tallies, current_time(c), r);
 }
 
-void cluster_permit_ask(Cluster *c, const TallyPermitAsk *a) {
-  tallies_ask_permit(c->tallies, now_of(c), a);
+void cluster_request_permit(Cluster *c, const TallyPermitAsk *a) {
+  tallies_request_permit(c->tallies, current_time(c), a);
 }
 
-void cluster_limit(Cluster *c, const TallyLimit *m) {
-  tallies_limit(c->tallies, now_of(c), m);
+void cluster_report_limit(Cluster *c, const TallyLimit *m) {
+  tallies_report_limit(c->tallies, current_time(c), m);
 }
 
-void cluster_stood_still(Cluster *c) {
-  tallies_stood_still(c->tallies, now_of(c));
+void cluster_note_pause(Cluster *c) {
+  tallies_note_pause(c->tallies, current_time(c));
 }
 
-void cluster_suspect(Cluster *c, const SuspectsMsg *m) {
-  CodecSuspect word = {.msg = *m};
+void cluster_send_suspect(Cluster *c, const SuspectsMsg *m) {
+  CodecSuspect packet = {.msg = *m};
   if (m->kind == SUSPECTS_MARK) {
-    tell_homes(c, m);
+    send_mark_to_homes(c, m);
     return;
   }
-  hand_on(c, "", send_suspect, &word);
-  tell_regions(c, m->digest.lo, send_suspect, &word);
+  forward_copies(c, "", send_suspect, &packet);
+  send_to_other_regions(c, m->digest.lo, send_suspect, &packet);
 }
 
-void cluster_pool(Cluster *c, const TargetsPoolWord *word) {
+void cluster_broadcast_pool(Cluster *c, const TargetsPoolWord *report) {
   const Member *m;
   if (cluster_is_large(c)) return;
-  for (int i = 0; (m = next_near(c, &i));)
-    peer_pool(c->peer, m->peer, m->id, word);
+  for (int i = 0; (m = next_in_region(c, &i));)
+    peer_pool(c->peer, m->peer, m->id, report);
 }
 
-void cluster_away(Cluster *c, bool away) {
-  ledger_away(c->ledger, now_of(c), away);
-  act(c);
+void cluster_set_store_unavailable(Cluster *c, bool unavailable) {
+  ledger_away(c->ledger, current_time(c), unavailable);
+  run_ledger_actions(c);
 }
 
-void cluster_budgets(Cluster *c, const LedgerBudget *list, int n) {
-  ledger_budgets(c->ledger, now_of(c), list, n);
-  act(c);
+void cluster_set_budgets(Cluster *c, const LedgerBudget *list, int n) {
+  ledger_budgets(c->ledger, current_time(c), list, n);
+  run_ledger_actions(c);
 }
 
 uint64_t cluster_reserve(Cluster *c, const char *budget, int64_t tokens) {
   uint64_t handle = ++c->next_handle;
-  ledger_reserve(c->ledger, now_of(c), handle, budget, tokens);
+  ledger_reserve(c->ledger, current_time(c), handle, budget, tokens);
   return handle;
 }
 
 void cluster_settle(Cluster *c, uint64_t handle, int64_t used) {
-  ledger_settle(c->ledger, now_of(c), handle, used);
-  act(c);
+  ledger_settle(c->ledger, current_time(c), handle, used);
+  run_ledger_actions(c);
 }
 
-void cluster_act(Cluster *c) {
-  act(c);
+void cluster_run_actions(Cluster *c) {
+  run_ledger_actions(c);
 }
 
 void cluster_drain(Cluster *c) {
   c->leaving = true;
-  gossip_self(c->members, true, c->conf);
-  ledger_drain(c->ledger, now_of(c));
+  gossip_self(c->members, true, c->conf_version);
+  ledger_drain(c->ledger, current_time(c));
 }
 
-bool cluster_drained(const Cluster *c) {
+bool cluster_is_drained(const Cluster *c) {
   return ledger_drained(c->ledger);
 }
 
-bool cluster_settled(const Cluster *c) {
-  return c->settled;
+bool cluster_is_ready(const Cluster *c) {
+  return c->is_ready;
 }
 
-int cluster_settles_in(const Cluster *c) {
-  if (c->settled) return 0;
-  double left = c->started + SETTLE_USUAL_S - now_of(c);
-  return (int)(MAX(left, SETTLE_SOON_S) * 1000);
+int cluster_ready_in_ms(const Cluster *c) {
+  if (c->is_ready) return 0;
+  double left_s = c->started_at + DISCOVERY_USUAL_S - current_time(c);
+  return (int)(MAX(left_s, DISCOVERY_OVERTIME_S) * 1000);
 }
--- a/packages/fleet/cluster.h
+++ b/packages/fleet/cluster.h
@@ -1,5 +1,5 @@
-/* cluster.h: runs the pure cores of members and budgets on an event loop: the
-   counterpart of fleet.h for an instance that has no threads of its own. */
+/* cluster.h: runs the pure cores for membership and budgets on an event loop;
+   the counterpart of fleet.h for a single-threaded instance. */
 #ifndef FLEET_CLUSTER_H
 #define FLEET_CLUSTER_H
 
@@ -16,39 +16,46 @@
 
 typedef struct ClusterOptions {
   Member self;
-  const char *bind;       /* tcp://ip:port for the other instances */
-  const char *seeds;      /* their IPs, parted by commas; may be out of date */
-  uint32_t seed;          /* of what is random */
-  const Regions *regions; /* has to last */
+  const char *bind;  /* tcp://ip:port to bind for the other instances */
+  const char *seeds; /* their IPs, separated by commas; may be out of date */
+  uint32_t seed;     /* of the random number generators */
+  const Regions *regions; /* borrowed; must outlive the cluster */
 } ClusterOptions;
 
 typedef struct ClusterEvents {
-  /* A reservation is decided. */
-  void (*reserved)(void *ctx, uint64_t handle, ErrKind cause, int retry_ms);
-  /* Other instances came or went; `n` with ourselves, who are the `rank`-th by
-     id. */
-  void (*instances)(void *ctx, int rank, int n);
+  /* A reservation (tokens set aside from a customer's budget for one request)
+     was granted, or refused with `cause`. */
+  void (*reservation_decided)(void *ctx, uint64_t handle, ErrKind cause,
+                              int retry_ms);
+  /* Instances joined or left. `n` counts this instance too; `rank` is its
+     position in the order of ids. */
+  void (*instances_changed)(void *ctx, int rank, int n);
   /* Another instance sent its configuration. */
-  void (*conf)(void *ctx, const char *text);
-  /* The configuration that another instance is to get; NULL: none. */
+  void (*conf_received)(void *ctx, const char *text);
+  /* Returns the configuration to send to another instance; NULL: none. */
   const char *(*conf_text)(void *ctx);
-  /* Another instance read this in the store, or is a neighbour that asks or
-     answers (CODEC_FEED_ASK); it came by way of `from`. */
-  void (*feed)(void *ctx, const char *from, const CodecFeed *m);
-  /* Another instance (hash of its id) tells of its work at a target. */
-  void (*work)(void *ctx, uint64_t from, const TargetWork *m);
-  /* The same of parts of prompts that it had read there. */
-  void (*parts)(void *ctx, const TargetParts *m);
-  /* What all have at a target that we asked for. */
-  void (*tally)(void *ctx, const TallyWord *m);
-  /* Whether a request of ours may go to a bounded target. */
-  void (*permit)(void *ctx, const TallyPermit *m);
-  /* What a target takes, as who counts there tells all. */
-  void (*limit)(void *ctx, const TallyLimit *m);
-  /* What is said of a request under which targets ended. */
-  void (*suspect)(void *ctx, const SuspectsMsg *m);
-  /* The same of what it saw of a pool. */
-  void (*pool)(void *ctx, uint64_t from, const TargetsPoolWord *m);
+  /* An update that another instance read from the store, or a neighbour's
+     request for the target list or answer to one (CODEC_FEED_ASK,
+     CODEC_FEED_PART). `from` is the instance that sent or forwarded it. */
+  void (*feed_received)(void *ctx, const char *from, const CodecFeed *m);
+  /* Another instance (`from`: hash of its id) reported its work at a target. */
+  void (*work_reported)(void *ctx, uint64_t from, const TargetWork *m);
+  /* Another instance reported the prompt parts that a target has processed
+     for it. */
+  void (*parts_reported)(void *ctx, const TargetParts *m);
+  /* The total work of all instances at a target, in answer to
+     cluster_request_tally. */
+  void (*tally_received)(void *ctx, const TallyWord *m);
+  /* The answer to cluster_request_permit: whether a request may go to a target
+     with a limit. */
+  void (*permit_answered)(void *ctx, const TallyPermit *m);
+  /* A target's limit, as the instance that counts its work sent it to all. */
+  void (*limit_received)(void *ctx, const TallyLimit *m);
+  /* A message about a suspect: a request during which targets failed. */
+  void (*suspect_received)(void *ctx, const SuspectsMsg *m);
+  /* Another instance (`from`: hash of its id) reported its observations of a
+     pool. */
+  void (*pool_reported)(void *ctx, uint64_t from, const TargetsPoolWord *m);
 } ClusterEvents;
 
 Cluster *cluster_open(struct ev_loop *loop, Store *store,
@@ -56,57 +63,64 @@
                       void *ctx, Err *e);
 void cluster_close(Cluster *c);
 
-/* The configuration in force here, as the others hear of it. */
-void cluster_conf(Cluster *c, uint64_t version);
-/* Whether this instance reads the store, and for whom. */
-ReadersDuty cluster_duty(Cluster *c);
-/* How the store met a call of the one who reads it. */
-void cluster_met(Cluster *c, ReadersWord word);
-/* readers_knocks and readers_asks, of our readers. */
-bool cluster_knocks(Cluster *c);
-bool cluster_asks(Cluster *c);
-/* A word to one neighbour alone. */
-void cluster_feed_to(Cluster *c, const char *id, const CodecFeed *m);
-/* Tells the others of the region what was read. */
-void cluster_feed(Cluster *c, const CodecFeed *m);
-/* Tells the others of our work at a target, in a small fleet. */
-void cluster_work(Cluster *c, const TargetWork *m);
-/* The same of parts of prompts. */
-void cluster_parts(Cluster *c, const TargetParts *m);
-/* Too many to tell each other of everything. */
+/* Sets the version of the configuration in force here, which is sent to the
+   other instances. */
+void cluster_set_conf_version(Cluster *c, uint64_t version);
+/* Returns whether this instance reads the store, and for which instances. */
+ReadersDuty cluster_reader_duty(Cluster *c);
+/* Records the outcome of a call that this instance made to the store. */
+void cluster_note_store_outcome(Cluster *c, ReadersWord outcome);
+/* Whether to check now if the store accepts a connection, and, once it does,
+   whether to send a request on it (readers_knocks, readers_asks). */
+bool cluster_may_probe_store(Cluster *c);
+bool cluster_may_query_store(Cluster *c);
+/* Sends a message to one instance, which does not forward it. */
+void cluster_send_feed(Cluster *c, const char *id, const CodecFeed *m);
+/* Sends an update read from the store to the other instances of the region. */
+void cluster_broadcast_feed(Cluster *c, const CodecFeed *m);
+/* Reports the work of this instance at a target to the other instances of the
+   region; does nothing in a large fleet. */
+void cluster_broadcast_work(Cluster *c, const TargetWork *m);
+/* Reports prompt parts in the same way. */
+void cluster_broadcast_parts(Cluster *c, const TargetParts *m);
+/* Whether there are too many instances for each to report to all others. */
 bool cluster_is_large(const Cluster *c);
-/* Asks whoever counts it what all have at a target; the answer may come before
-   this returns, or never. */
-void cluster_tally_ask(Cluster *c, const TallyAsk *a);
-/* Tells whoever counts it of a request of ours at a target. */
-void cluster_tally_tell(Cluster *c, const TallyRun *r);
-/* Asks whoever counts there for a permit; the answer may come before this
+/* Requests the total work of all instances at a target from the instance that
+   counts it. The answer may arrive before this returns, or never. */
+void cluster_request_tally(Cluster *c, const TallyAsk *a);
+/* Reports a request of this instance at a target to the instance that counts
+   its work. */
+void cluster_report_run(Cluster *c, const TallyRun *r);
+/* Requests a permit (the right to send one request to a target with a limit)
+   from the instance that counts there. The answer may arrive before this
    returns, or never. */
-void cluster_permit_ask(Cluster *c, const TallyPermitAsk *a);
-/* Tells whoever counts there of a target's limit. */
-void cluster_limit(Cluster *c, const TallyLimit *m);
-/* This instance stood still. */
-void cluster_stood_still(Cluster *c);
-/* Tells the others of the region what we saw of a pool. */
-void cluster_pool(Cluster *c, const TargetsPoolWord *m);
-/* Tells the homes of a request, or all instances, by the kind of message. */
-void cluster_suspect(Cluster *c, const SuspectsMsg *m);
-/* Whether the store answers nobody, as far as is known. */
-void cluster_away(Cluster *c, bool away);
-void cluster_budgets(Cluster *c, const LedgerBudget *list, int n);
-/* The handle of the reservation, never 0; its decision comes with the next
-   cluster_act, or later. */
+void cluster_request_permit(Cluster *c, const TallyPermitAsk *a);
+/* Reports a target's limit to the instance that counts its work. */
+void cluster_report_limit(Cluster *c, const TallyLimit *m);
+/* This process was paused; other instances may have taken over its counts. */
+void cluster_note_pause(Cluster *c);
+/* Reports observations of a pool to the other instances of the region; does
+   nothing in a large fleet. */
+void cluster_broadcast_pool(Cluster *c, const TargetsPoolWord *m);
+/* Sends a mark to the homes of the request (the instances that its digest
+   selects), and any other kind of message to all instances. */
+void cluster_send_suspect(Cluster *c, const SuspectsMsg *m);
+/* Sets whether the store is known to answer no instance. */
+void cluster_set_store_unavailable(Cluster *c, bool unavailable);
+void cluster_set_budgets(Cluster *c, const LedgerBudget *list, int n);
+/* Returns the handle of the reservation, never 0. The decision is reported by
+   the next cluster_run_actions, or later. */
 uint64_t cluster_reserve(Cluster *c, const char *budget, int64_t tokens);
-void cluster_act(Cluster *c);
-/* Ends a reservation, or takes back one that still waits (`used` 0). */
+void cluster_run_actions(Cluster *c);
+/* Ends a reservation, or cancels one that is still undecided (`used` 0). */
 void cluster_settle(Cluster *c, uint64_t handle, int64_t used);
-/* Planned stop: everything free goes back. */
+/* Planned stop: returns all unused budget. */
 void cluster_drain(Cluster *c);
-bool cluster_drained(const Cluster *c);
-/* False for a second or two after the start, while the others are found:
-   until then no reservation is decided. */
-bool cluster_settled(const Cluster *c);
-/* Milliseconds until it most likely is; 0: now. */
-int cluster_settles_in(const Cluster *c);
+bool cluster_is_drained(const Cluster *c);
+/* False for a second or two after the start, while other instances are being
+   discovered; no reservation is decided until then. */
+bool cluster_is_ready(const Cluster *c);
+/* Estimated milliseconds until cluster_is_ready; 0: it is. */
+int cluster_ready_in_ms(const Cluster *c);
 
 #endif
--- a/packages/fleet/fleet.c
+++ b/packages/fleet/fleet.c
@@ -1,5 +1,5 @@
-/* fleet.c: threads, members and messages around the cores. The ledger is split
-   into lanes by budget shard, the records have a lane of their own. */
+/* fleet.c: connects the cores with threads, membership and messages. The ledger
+   is split into lanes by budget shard; the request records have one lane. */
 #include "fleet/fleet.h"
 
 #include <glib.h>
@@ -14,13 +14,13 @@
 #include "kernel/log.h"
 #include "ledger/shard.h"
 
-#define LANES 8
-#define RECORDS LANES /* index of the lane of request records */
-#define ALL_LANES (LANES + 1)
-#define TICK_S 0.1
-#define VIEW_S 1.0 /* a view without news is made anew this often */
+#define LEDGER_LANES 8
+#define RECORDS_LANE LEDGER_LANES /* index of the lane of request records */
+#define ALL_LANES (LEDGER_LANES + 1)
+#define TICK_INTERVAL_S 0.1
+#define VIEW_REFRESH_INTERVAL_S 1.0 /* refresh of an unchanged view */
 #define STORE_THREADS 4
-#define STORE_WAIT_S 3
+#define STORE_TIMEOUT_S 3
 
 struct Fleet {
   FleetOptions options;
@@ -30,14 +30,14 @@
   pthread_t thread;
   atomic_bool stop;
   atomic_uint_fast64_t next_handle;
-  pthread_mutex_t lock; /* members and view */
+  pthread_mutex_t lock; /* guards members and view */
   MemberSet *members;
   View *view;
-  bool changed;    /* the view is to be made anew */
-  double viewed;   /* when it was */
-  GHashTable *ids; /* id hash -> id */
+  bool view_is_stale;  /* the view has to be rebuilt */
+  double view_made_at; /* when it was last rebuilt */
+  GHashTable *ids;     /* id hash -> id */
   bool leaving;
-  uint64_t table;
+  uint64_t table_version;
   void (*on_view)(void *ctx, const View *v);
   void *on_view_ctx;
   void (*on_load)(void *ctx, const LoadsMsg *m);
@@ -46,7 +46,8 @@
 
 /* == addresses == */
 
-static bool address_of(void *ctx, const char *id, char out[LIMIT_NAME]) {
+static bool find_member_address(void *ctx, const char *id,
+                                char out[LIMIT_NAME]) {
   Fleet *f = ctx;
   pthread_mutex_lock(&f->lock);
   const Member *m = view_find(f->view, id);
@@ -55,7 +56,7 @@
   return m != NULL;
 }
 
-static bool id_of(Fleet *f, uint64_t hash, char out[LIMIT_ID]) {
+static bool find_id(Fleet *f, uint64_t hash, char out[LIMIT_ID]) {
   pthread_mutex_lock(&f->lock);
   const char *id = g_hash_table_lookup(f->ids, &hash);
   if (id) g_strlcpy(out, id, LIMIT_ID);
@@ -66,19 +67,19 @@
 /* == the peer thread == */
 
 static Lane *lane_of_budget(Fleet *f, const char *budget) {
-  return &f->lanes[shard_index(budget) % LANES];
+  return &f->lanes[shard_index(budget) % LEDGER_LANES];
 }
 
-static Lane *records(Fleet *f) {
-  return &f->lanes[RECORDS];
+static Lane *records_lane(Fleet *f) {
+  return &f->lanes[RECORDS_LANE];
 }
 
-static void take_load(Fleet *f, const LoadsMsg *m) {
+static void receive_load(Fleet *f, const LoadsMsg *m) {
   pthread_mutex_lock(&f->lock);
-  void (*tell)(void *ctx, const LoadsMsg *m) = f->on_load;
+  void (*callback)(void *ctx, const LoadsMsg *m) = f->on_load;
   void *ctx = f->on_load_ctx;
   pthread_mutex_unlock(&f->lock);
-  if (tell) tell(ctx, m);
+  if (callback) callback(ctx, m);
 }
 
 static void on_message(void *ctx, uint64_t from, CodecMsg *m) {
@@ -86,32 +87,32 @@
   char id[LIMIT_ID];
   if (m->type == CODEC_BEAT) {
     pthread_mutex_lock(&f->lock);
-    f->changed |= member_heard(f->members, clock_now(), &m->beat);
+    f->view_is_stale |= member_heard(f->members, clock_now(), &m->beat);
     pthread_mutex_unlock(&f->lock);
     return;
   }
   if (m->type == CODEC_LOAD) {
-    take_load(f, &m->load);
+    receive_load(f, &m->load);
     return;
   }
-  if (!id_of(f, from, id)) {
+  if (!find_id(f, from, id)) {
     count_add(COUNT_PEER_DROPPED, 1);
     return;
   }
   Lane *l = m->type == CODEC_LEDGER ? lane_of_budget(f, m->ledger.budget)
-                                    : records(f);
+                                    : records_lane(f);
   pthread_mutex_lock(&l->lock);
   if (m->type == CODEC_LEDGER) {
     ledger_receive(l->ledger, clock_now(), id, &m->ledger);
-    lane_act(l);
+    lane_run_actions(l);
   } else {
     once_receive(l->once, clock_now(), id, &m->once);
-    lane_act(l);
+    lane_run_actions(l);
   }
   pthread_mutex_unlock(&l->lock);
 }
 
-static void remember_ids(Fleet *f, const View *v) {
+static void index_ids(Fleet *f, const View *v) {
   for (int i = 0; i < v->n; i++) {
     uint64_t h = text_hash(v->list[i].id);
     if (g_hash_table_contains(f->ids, &h)) continue;
@@ -120,7 +121,7 @@
   }
 }
 
-static void spread_view(Fleet *f, const View *v) {
+static void distribute_view(Fleet *f, const View *v) {
   log_info("view", "s:i", "members", v->n);
   jobs_share(f->host.jobs, v->n);
   for (int i = 0; i < ALL_LANES; i++) {
@@ -128,7 +129,7 @@
     pthread_mutex_lock(&l->lock);
     if (l->ledger) ledger_view(l->ledger, clock_now(), v);
     if (l->once) once_view(l->once, clock_now(), v);
-    lane_act(l);
+    lane_run_actions(l);
     pthread_mutex_unlock(&l->lock);
   }
 }
@@ -136,26 +137,27 @@
 static void refresh_view(Fleet *f) {
   pthread_mutex_lock(&f->lock);
   double now = clock_now();
-  f->changed |= member_self(f->members, f->leaving, f->table);
-  f->changed |= member_tick(f->members, now);
-  if (!f->changed && now - f->viewed < VIEW_S) {
+  f->view_is_stale |= member_self(f->members, f->leaving, f->table_version);
+  f->view_is_stale |= member_tick(f->members, now);
+  if (!f->view_is_stale && now - f->view_made_at < VIEW_REFRESH_INTERVAL_S) {
     pthread_mutex_unlock(&f->lock);
     return;
   }
-  f->changed = false;
-  f->viewed = now;
+  f->view_is_stale = false;
+  f->view_made_at = now;
   View *v = member_view(f->members, now);
-  /* Table versions change far more often than members; no core needs them. */
+  /* Table versions change far more often than members, and no core uses them.
+   */
   bool same = view_same(v, f->view);
   view_free(f->view);
   f->view = v;
-  if (!same) remember_ids(f, v);
+  if (!same) index_ids(f, v);
   View *copy = view_copy(v);
-  void (*tell)(void *ctx, const View *v) = f->on_view;
+  void (*callback)(void *ctx, const View *v) = f->on_view;
   void *ctx = f->on_view_ctx;
   pthread_mutex_unlock(&f->lock);
-  if (!same) spread_view(f, copy);
-  if (tell) tell(ctx, copy);
+  if (!same) distribute_view(f, copy);
+  if (callback) callback(ctx, copy);
   view_free(copy);
 }
 
@@ -180,12 +182,12 @@
     pthread_mutex_lock(&l->lock);
     if (l->ledger) ledger_tick(l->ledger, clock_now(), clock_unix());
     if (l->once) once_tick(l->once, clock_now(), clock_unix());
-    lane_act(l);
+    lane_run_actions(l);
     pthread_mutex_unlock(&l->lock);
   }
 }
 
-static void *run(void *arg) {
+static void *run_peer_thread(void *arg) {
   Fleet *f = arg;
   double next_tick = 0;
   while (!atomic_load(&f->stop)) {
@@ -193,7 +195,7 @@
     send_beats(f);
     if (now >= next_tick) {
       tick(f);
-      next_tick = now + TICK_S;
+      next_tick = now + TICK_INTERVAL_S;
     }
     int wait_ms = (int)((next_tick - clock_now()) * 1000) + 1;
     peer_poll(f->peer, MAX(wait_ms, 1), on_message, f);
@@ -206,12 +208,12 @@
 static void open_lane(Fleet *f, int i) {
   const Member *me = &f->options.self;
   uint32_t seed = f->options.seed + (uint32_t)i * 7919u;
-  if (i == RECORDS) {
+  if (i == RECORDS_LANE) {
     lane_open(&f->lanes[i], &f->host, NULL, once_new(me->id, me->region, seed));
     return;
   }
   Ledger *ledger = ledger_new(me->id, me->region, seed);
-  ledger_lanes(ledger, LANES);
+  ledger_lanes(ledger, LEDGER_LANES);
   lane_open(&f->lanes[i], &f->host, ledger, NULL);
 }
 
@@ -227,12 +229,12 @@
   pthread_mutex_init(&f->lock, NULL);
   f->host =
       (LaneHost){.peer = peer,
-                 .jobs = jobs_open(o->platform, STORE_THREADS, STORE_WAIT_S),
-                 .address = address_of,
+                 .jobs = jobs_open(o->platform, STORE_THREADS, STORE_TIMEOUT_S),
+                 .find_address = find_member_address,
                  .ctx = f};
   for (int i = 0; i < ALL_LANES; i++) open_lane(f, i);
   refresh_view(f);
-  pthread_create(&f->thread, NULL, run, f);
+  pthread_create(&f->thread, NULL, run_peer_thread, f);
   return f;
 }
 
@@ -249,7 +251,7 @@
   g_free(f);
 }
 
-/* == members and table == */
+/* == membership and table == */
 
 void fleet_on_view(Fleet *f, void (*fn)(void *ctx, const View *v), void *ctx) {
   pthread_mutex_lock(&f->lock);
@@ -266,7 +268,7 @@
   pthread_mutex_unlock(&f->lock);
 }
 
-void fleet_tell_load(Fleet *f, const LoadsMsg *m) {
+void fleet_send_load(Fleet *f, const LoadsMsg *m) {
   const Member *self = &f->options.self;
   pthread_mutex_lock(&f->lock);
   for (int i = 0; i < f->view->n; i++) {
@@ -278,8 +280,8 @@
   pthread_mutex_unlock(&f->lock);
 }
 
-void fleet_budgets(Fleet *f, const LedgerBudget *list, int n) {
-  for (int i = 0; i < LANES; i++) {
+void fleet_set_budgets(Fleet *f, const LedgerBudget *list, int n) {
+  for (int i = 0; i < LEDGER_LANES; i++) {
     Lane *l = &f->lanes[i];
     GArray *mine = g_array_new(FALSE, FALSE, sizeof *list);
     for (int k = 0; k < n; k++)
@@ -288,25 +290,25 @@
     pthread_mutex_lock(&l->lock);
     ledger_budgets(l->ledger, clock_now(), (LedgerBudget *)(void *)mine->data,
                    (int)mine->len);
-    lane_act(l);
+    lane_run_actions(l);
     pthread_mutex_unlock(&l->lock);
     g_array_free(mine, TRUE);
   }
 }
 
-void fleet_table(Fleet *f, uint64_t version) {
+void fleet_set_table_version(Fleet *f, uint64_t version) {
   pthread_mutex_lock(&f->lock);
-  f->table = version;
+  f->table_version = version;
   pthread_mutex_unlock(&f->lock);
 }
 
-void fleet_listed(Fleet *f, const MemberSeed *list, int n) {
+void fleet_set_listed_members(Fleet *f, const MemberSeed *list, int n) {
   pthread_mutex_lock(&f->lock);
-  f->changed |= member_listed(f->members, clock_now(), list, n);
+  f->view_is_stale |= member_listed(f->members, clock_now(), list, n);
   pthread_mutex_unlock(&f->lock);
 }
 
-View *fleet_view(Fleet *f) {
+View *fleet_copy_view(Fleet *f) {
   pthread_mutex_lock(&f->lock);
   View *v = view_copy(f->view);
   pthread_mutex_unlock(&f->lock);
@@ -324,9 +326,9 @@
   uint64_t handle = new_handle(f);
   LaneWait w;
   pthread_mutex_lock(&l->lock);
-  lane_wait_open(l, handle, &w);
+  lane_wait_prepare(l, handle, &w);
   ledger_reserve(l->ledger, clock_now(), handle, budget, tokens);
-  lane_act(l);
+  lane_run_actions(l);
   lane_wait(l, handle, &w);
   pthread_mutex_unlock(&l->lock);
   if (w.cause == ERR_NONE) return handle;
@@ -340,20 +342,20 @@
   Lane *l = lane_of_budget(f, budget);
   pthread_mutex_lock(&l->lock);
   ledger_settle(l->ledger, clock_now(), handle, used);
-  lane_act(l);
+  lane_run_actions(l);
   pthread_mutex_unlock(&l->lock);
 }
 
-OnceVerdict fleet_begin(Fleet *f, OnceKey key, uint64_t digest, bool ask,
+OnceVerdict fleet_begin(Fleet *f, OnceKey key, uint64_t digest, bool query,
                         bool repeat, FleetRun *run, OnceAnswer *answer) {
-  Lane *l = records(f);
+  Lane *l = records_lane(f);
   LaneWait w;
   run->key = key;
   run->handle = new_handle(f);
   pthread_mutex_lock(&l->lock);
-  lane_wait_open(l, run->handle, &w);
-  once_begin(l->once, clock_now(), run->handle, key, digest, ask, repeat);
-  lane_act(l);
+  lane_wait_prepare(l, run->handle, &w);
+  once_begin(l->once, clock_now(), run->handle, key, digest, query, repeat);
+  lane_run_actions(l);
   lane_wait(l, run->handle, &w);
   pthread_mutex_unlock(&l->lock);
   *answer = w.answer;
@@ -361,40 +363,40 @@
   return w.verdict;
 }
 
-void fleet_at(Fleet *f, FleetRun *run, const char *target) {
-  Lane *l = records(f);
+void fleet_note_dispatch(Fleet *f, FleetRun *run, const char *target) {
+  Lane *l = records_lane(f);
   pthread_mutex_lock(&l->lock);
   once_at(l->once, clock_now(), run->handle, target);
-  lane_act(l);
+  lane_run_actions(l);
   pthread_mutex_unlock(&l->lock);
 }
 
 bool fleet_finish(Fleet *f, FleetRun *run, const OnceBill *bill,
                   const OnceAnswer *answer) {
-  Lane *l = records(f);
+  Lane *l = records_lane(f);
   LaneWait w;
   pthread_mutex_lock(&l->lock);
-  lane_wait_open(l, run->handle, &w);
+  lane_wait_prepare(l, run->handle, &w);
   once_finish(l->once, clock_now(), run->handle, bill, answer);
-  lane_act(l);
+  lane_run_actions(l);
   lane_wait(l, run->handle, &w);
   pthread_mutex_unlock(&l->lock);
-  return w.doubled;
+  return w.billed_before;
 }
 
-void fleet_unknown(Fleet *f, FleetRun *run) {
-  Lane *l = records(f);
+void fleet_mark_unknown(Fleet *f, FleetRun *run) {
+  Lane *l = records_lane(f);
   pthread_mutex_lock(&l->lock);
   once_unknown(l->once, clock_now(), run->handle);
-  lane_act(l);
+  lane_run_actions(l);
   pthread_mutex_unlock(&l->lock);
 }
 
 void fleet_abort(Fleet *f, FleetRun *run) {
-  Lane *l = records(f);
+  Lane *l = records_lane(f);
   pthread_mutex_lock(&l->lock);
   once_abort(l->once, clock_now(), run->handle);
-  lane_act(l);
+  lane_run_actions(l);
   pthread_mutex_unlock(&l->lock);
 }
 
@@ -402,7 +404,7 @@
 
 LedgerSums fleet_sums(Fleet *f) {
   LedgerSums all = {0};
-  for (int i = 0; i < LANES; i++) {
+  for (int i = 0; i < LEDGER_LANES; i++) {
     Lane *l = &f->lanes[i];
     pthread_mutex_lock(&l->lock);
     LedgerSums s = ledger_sums(l->ledger);
@@ -435,7 +437,7 @@
   }
 }
 
-void fleet_waits(Fleet *f, int *budgets, int *records) {
+void fleet_count_undrained(Fleet *f, int *budgets, int *records) {
   *budgets = *records = 0;
   for (int i = 0; i < ALL_LANES; i++) {
     Lane *l = &f->lanes[i];
@@ -446,8 +448,8 @@
   }
 }
 
-bool fleet_drained(Fleet *f) {
+bool fleet_is_drained(Fleet *f) {
   int budgets, records;
-  fleet_waits(f, &budgets, &records);
+  fleet_count_undrained(f, &budgets, &records);
   return budgets + records == 0;
 }
--- a/packages/fleet/fleet.h
+++ b/packages/fleet/fleet.h
@@ -1,6 +1,6 @@
-/* fleet.h: runs the pure cores (members, ledger, records) of one instance: one
-   thread for peers and time, a few for the store, blocking calls for request
-   threads. */
+/* fleet.h: runs the pure cores (membership, ledger, request records) of one
+   instance with one thread for peer messages and timers and a few for the
+   store. Request threads use blocking calls. */
 #ifndef FLEET_FLEET_H
 #define FLEET_FLEET_H
 
@@ -22,51 +22,59 @@
 Fleet *fleet_open(const FleetOptions *o, Err *e);
 void fleet_close(Fleet *f);
 
-/* The view changed; called on the peer thread. */
+/* Sets the callback for a changed view; it is called on the peer thread. */
 void fleet_on_view(Fleet *f, void (*fn)(void *ctx, const View *v), void *ctx);
 
-/* Another instance's word on a target's load; called on the peer thread. */
+/* Sets the callback for another instance's report on a target's load; it is
+   called on the peer thread. */
 void fleet_on_load(Fleet *f, void (*fn)(void *ctx, const LoadsMsg *m),
                    void *ctx);
-/* Tells the others of our region. */
-void fleet_tell_load(Fleet *f, const LoadsMsg *m);
+/* Sends a load report to the other instances of the region. */
+void fleet_send_load(Fleet *f, const LoadsMsg *m);
 
-void fleet_budgets(Fleet *f, const LedgerBudget *list, int n);
-/* What our heartbeats say. */
-void fleet_table(Fleet *f, uint64_t version);
-void fleet_listed(Fleet *f, const MemberSeed *list, int n);
-/* A copy, for view_free. */
-View *fleet_view(Fleet *f);
+void fleet_set_budgets(Fleet *f, const LedgerBudget *list, int n);
+/* Sets the version of the configuration table in force here, which heartbeats
+   carry. */
+void fleet_set_table_version(Fleet *f, uint64_t version);
+void fleet_set_listed_members(Fleet *f, const MemberSeed *list, int n);
+/* Returns a copy; free it with view_free. */
+View *fleet_copy_view(Fleet *f);
 
-/* Reserves; 0 with a typed error when refused. Waits LEDGER_DRAW_WAIT at
-   most. */
+/* Reserves tokens of a budget and returns a handle; 0 with a typed error when
+   refused. Waits at most LEDGER_DRAW_WAIT. */
 uint64_t fleet_reserve(Fleet *f, const char *budget, int64_t tokens, Err *e);
 void fleet_settle(Fleet *f, const char *budget, uint64_t handle, int64_t used);
 
-/* A request's record. `answer` is filled for ONCE_REPLAY. */
+/* One run of a request that has a record, which keeps the request from being
+   billed twice. */
 typedef struct FleetRun {
   OnceKey key;
   uint64_t handle;
-  char target[LIMIT_NAME]; /* a lost run of it may go on there; "": none */
+  char target[LIMIT_NAME]; /* where a lost run may be resumed; "": none */
 } FleetRun;
 
-OnceVerdict fleet_begin(Fleet *f, OnceKey key, uint64_t digest, bool ask,
+/* Decides whether the request may run. `answer` is filled for ONCE_REPLAY. For
+   `query` and `repeat` see `ask` and `repeat` of once_begin. */
+OnceVerdict fleet_begin(Fleet *f, OnceKey key, uint64_t digest, bool query,
                         bool repeat, FleetRun *run, OnceAnswer *answer);
-/* It was dispatched to `target`. */
-void fleet_at(Fleet *f, FleetRun *run, const char *target);
-/* Waits until the keeper holds bill and answer, half a second at most. True
-   when the request was billed before by another run. */
+/* Records that the run was dispatched to `target`. */
+void fleet_note_dispatch(Fleet *f, FleetRun *run, const char *target);
+/* Waits at most half a second until the keeper (the instance that holds the
+   request's record) has bill and answer. True when another run of the request
+   was billed before. */
 bool fleet_finish(Fleet *f, FleetRun *run, const OnceBill *bill,
                   const OnceAnswer *answer);
-void fleet_unknown(Fleet *f, FleetRun *run);
+void fleet_mark_unknown(Fleet *f, FleetRun *run);
 void fleet_abort(Fleet *f, FleetRun *run);
 
 LedgerSums fleet_sums(Fleet *f);
 
-/* Planned stop: no longer a home, everything goes back. */
+/* Planned stop: this instance stops being a home and returns all unused
+   budget. */
 void fleet_drain(Fleet *f);
-bool fleet_drained(Fleet *f);
-/* What a stop still waits for: budget lanes, and the records' lane. */
-void fleet_waits(Fleet *f, int *budgets, int *records);
+bool fleet_is_drained(Fleet *f);
+/* Counts the lanes that a stop still waits for: ledger lanes in `budgets`, the
+   lane of request records in `records`. */
+void fleet_count_undrained(Fleet *f, int *budgets, int *records);
 
 #endif
--- a/packages/fleet/lane.c
+++ b/packages/fleet/lane.c
@@ -1,5 +1,5 @@
-/* lane.c: carries out what a core wants, and lets request threads wait for its
-   decisions. */
+/* lane.c: carries out the actions of a core and lets request threads wait for
+   its decisions. */
 #include "fleet/lane.h"
 
 #include <string.h>
@@ -8,13 +8,13 @@
 #include "kernel/count.h"
 #include "ledger/shard.h"
 
-/* == actions of a core, under the lane's lock == */
+/* == actions of a core; the caller holds the lane's lock == */
 
 static void on_ledger_stored(void *ctx, const Job *j, PlatformAnswer *a);
 static void on_once_stored(void *ctx, const Job *j, PlatformAnswer *a);
 static void on_billed(void *ctx, const Job *j, PlatformAnswer *a);
 
-static void wake_wait(Lane *l, uint64_t handle, LaneWait *filled) {
+static void complete_wait(Lane *l, uint64_t handle, LaneWait *filled) {
   LaneWait *w = g_hash_table_lookup(l->waits, &handle);
   if (!w) {
     g_free(filled->answer.body);
@@ -24,13 +24,13 @@
   w->retry_ms = filled->retry_ms;
   w->verdict = filled->verdict;
   w->answer = filled->answer;
-  w->doubled = filled->doubled;
+  w->billed_before = filled->billed_before;
   g_strlcpy(w->target, filled->target, sizeof w->target);
   w->done = true;
   pthread_cond_signal(&w->ready);
 }
 
-static void do_ledger(Lane *l) {
+static void run_ledger_actions(Lane *l) {
   LedgerAction a;
   char addr[LIMIT_NAME];
   while (ledger_next(l->ledger, &a)) {
@@ -42,7 +42,7 @@
              .text = a.text};
     switch (a.what) {
     case LEDGER_DO_SEND:
-      if (l->host->address(l->host->ctx, a.to, addr))
+      if (l->host->find_address(l->host->ctx, a.to, addr))
         peer_ledger(l->host->peer, addr, a.to, &a.msg);
       break;
     case LEDGER_DO_GET:
@@ -52,14 +52,14 @@
       jobs_add(l->host->jobs, &j);
       break;
     case LEDGER_DO_ANSWER:
-      wake_wait(l, a.handle,
-                &(LaneWait){.cause = a.cause, .retry_ms = a.retry_ms});
+      complete_wait(l, a.handle,
+                    &(LaneWait){.cause = a.cause, .retry_ms = a.retry_ms});
       break;
     }
   }
 }
 
-static void do_once(Lane *l) {
+static void run_record_actions(Lane *l) {
   OnceAction a;
   char addr[LIMIT_NAME];
   while (once_next(l->once, &a)) {
@@ -67,7 +67,7 @@
     g_strlcpy(j.name, a.name, sizeof j.name);
     switch (a.what) {
     case ONCE_DO_SEND:
-      if (l->host->address(l->host->ctx, a.to, addr))
+      if (l->host->find_address(l->host->ctx, a.to, addr))
         peer_once(l->host->peer, addr, a.to, &a.msg);
       break;
     case ONCE_DO_GET:
@@ -91,21 +91,21 @@
     case ONCE_DO_ANSWER: {
       LaneWait w = {.verdict = a.verdict, .answer = a.answer};
       g_strlcpy(w.target, a.target, sizeof w.target);
-      wake_wait(l, a.handle, &w);
+      complete_wait(l, a.handle, &w);
       a.answer.body = NULL;
       break;
     }
     case ONCE_DO_DONE:
-      wake_wait(l, a.handle, &(LaneWait){.doubled = a.doubled});
+      complete_wait(l, a.handle, &(LaneWait){.billed_before = a.doubled});
       break;
     }
     once_action_clear(&a);
   }
 }
 
-void lane_act(Lane *l) {
-  if (l->ledger) do_ledger(l);
-  if (l->once) do_once(l);
+void lane_run_actions(Lane *l) {
+  if (l->ledger) run_ledger_actions(l);
+  if (l->once) run_record_actions(l);
 }
 
 static void on_ledger_stored(void *ctx, const Job *j, PlatformAnswer *a) {
@@ -113,7 +113,7 @@
   pthread_mutex_lock(&l->lock);
   ledger_stored(l->ledger, clock_now(), j->shard, a->kind, a->version,
                 j->kind == JOB_GET ? a->text : NULL);
-  do_ledger(l);
+  run_ledger_actions(l);
   pthread_mutex_unlock(&l->lock);
   g_free(a->text);
 }
@@ -123,7 +123,7 @@
   pthread_mutex_lock(&l->lock);
   once_stored(l->once, clock_now(), j->shard, j->part, a->kind, a->version,
               j->kind == JOB_GET ? a->text : NULL);
-  do_once(l);
+  run_record_actions(l);
   pthread_mutex_unlock(&l->lock);
   g_free(a->text);
 }
@@ -133,7 +133,7 @@
   (void)j;
   pthread_mutex_lock(&l->lock);
   once_billed(l->once, clock_now(), a->kind);
-  do_once(l);
+  run_record_actions(l);
   pthread_mutex_unlock(&l->lock);
   if (a->kind == ERR_NONE) count_add(COUNT_BILLS, 1);
   g_free(a->text);
@@ -141,13 +141,14 @@
 
 /* == waits of request threads == */
 
-void lane_wait_open(Lane *l, uint64_t handle, LaneWait *w) {
+void lane_wait_prepare(Lane *l, uint64_t handle, LaneWait *w) {
   *w = (LaneWait){0};
   pthread_cond_init(&w->ready, NULL);
   g_hash_table_insert(l->waits, g_memdup2(&handle, sizeof handle), w);
 }
 
-/* The core always decides in bounded time, so this wait is bounded too. */
+/* The wait is bounded because the core decides each request within a bounded
+   time. */
 void lane_wait(Lane *l, uint64_t handle, LaneWait *w) {
   while (!w->done) pthread_cond_wait(&w->ready, &l->lock);
   g_hash_table_remove(l->waits, &handle);
--- a/packages/fleet/lane.h
+++ b/packages/fleet/lane.h
@@ -1,5 +1,6 @@
-/* lane.h: one core (a part of the ledger, or the records) with its lock. The
-   lock is held for the microseconds of one event and never across a call. */
+/* lane.h: one core (some shards of the ledger, or the request records) with its
+   lock. The lock is held for the microseconds of one event and never across a
+   network or store call. */
 #ifndef FLEET_LANE_H
 #define FLEET_LANE_H
 
@@ -11,24 +12,24 @@
 #include "peer/peer.h"
 #include "store/jobs.h"
 
-/* What a lane needs of its instance. */
+/* What a lane uses of its instance. */
 typedef struct LaneHost {
   Peer *peer;
   Jobs *jobs;
-  /* The peer address of an instance; false when it is not known. */
-  bool (*address)(void *ctx, const char *id, char out[LIMIT_NAME]);
+  /* Finds the peer address of an instance; false when it is unknown. */
+  bool (*find_address)(void *ctx, const char *id, char out[LIMIT_NAME]);
   void *ctx;
 } LaneHost;
 
 typedef struct Lane {
   const LaneHost *host;
   pthread_mutex_t lock;
-  Ledger *ledger;    /* one of these, */
+  Ledger *ledger;    /* one of `ledger` and `once` is set, */
   Once *once;        /* the other is NULL */
   GHashTable *waits; /* handle -> LaneWait */
 } Lane;
 
-/* A request thread waiting for a core's decision. */
+/* A request thread that waits for a core's decision. */
 typedef struct LaneWait {
   pthread_cond_t ready;
   bool done;
@@ -36,18 +37,19 @@
   int retry_ms;
   OnceVerdict verdict;
   OnceAnswer answer;
-  bool doubled;
+  bool billed_before;
   char target[LIMIT_NAME];
 } LaneWait;
 
-/* Takes over the core. */
+/* Takes ownership of the core. */
 void lane_open(Lane *l, const LaneHost *host, Ledger *ledger, Once *once);
 void lane_close(Lane *l);
 
-/* Under the lock: carries out what the core wants. */
-void lane_act(Lane *l);
-/* Under the lock, before the core is asked; then lane_wait for its answer. */
-void lane_wait_open(Lane *l, uint64_t handle, LaneWait *w);
+/* Carries out the core's queued actions. The caller holds the lock. */
+void lane_run_actions(Lane *l);
+/* Call lane_wait_prepare before the request goes to the core, then lane_wait
+   for the answer. The caller holds the lock for both. */
+void lane_wait_prepare(Lane *l, uint64_t handle, LaneWait *w);
 void lane_wait(Lane *l, uint64_t handle, LaneWait *w);
 
 #endif
--- a/packages/fleet/tallies.c
+++ b/packages/fleet/tallies.c
@@ -1,5 +1,5 @@
-/* tallies.c: targets are counted by the first choice of their group's name
-   among the members. */
+/* tallies.c: the counter of a group of targets is the member that view_home
+   selects first for the group's name. */
 #include "fleet/tallies.h"
 
 #include <string.h>
@@ -8,10 +8,10 @@
   Peer *peer;
   const Regions *regions;
   char self[LIMIT_ID];
-  uint64_t hash; /* of `self` */
+  uint64_t self_hash; /* text_hash of `self` */
   Tally *tally;
   const View *view;
-  GHashTable *counter; /* its name -> Member of `view`, as far as asked for */
+  GHashTable *counters; /* group name -> Member of `view`; a cache */
   TalliesEvents ev;
   void *ctx;
 };
@@ -21,9 +21,10 @@
   Tallies *t = g_new0(Tallies, 1);
   t->peer = peer;
   t->regions = regions;
-  t->hash = text_hash(self);
+  t->self_hash = text_hash(self);
   t->tally = tally_new();
-  t->counter = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+  t->counters =
+      g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
   t->ev = *ev;
   t->ctx = ctx;
   g_strlcpy(t->self, self, sizeof t->self);
@@ -32,18 +33,19 @@
 
 void tallies_free(Tallies *t) {
   tally_free(t->tally);
-  g_hash_table_destroy(t->counter);
+  g_hash_table_destroy(t->counters);
   g_free(t);
 }
 
-/* Who counts, by that name; NULL: nobody is known. */
+/* Returns the counter for a group name; NULL: no member is known. */
 static const Member *counter_of(Tallies *t, uint64_t name) {
   if (!t->view) return NULL;
-  const Member *m = g_hash_table_lookup(t->counter, &name);
+  const Member *m = g_hash_table_lookup(t->counters, &name);
   if (m) return m;
   m = view_home(t->view, NULL, name, 0);
   if (m)
-    g_hash_table_insert(t->counter, g_memdup2(&name, sizeof name), (gpointer)m);
+    g_hash_table_insert(t->counters, g_memdup2(&name, sizeof name),
+                        (gpointer)m);
   return m;
 }
 
@@ -51,106 +53,107 @@
   return strcmp(m->id, t->self) == 0;
 }
 
-static bool count_for(void *ctx, uint64_t name) {
+static bool counts_here(void *ctx, uint64_t name) {
   Tallies *t = ctx;
   const Member *m = counter_of(t, name);
   return m && is_self(t, m);
 }
 
-static bool count_for_nobody(void *ctx, uint64_t name) {
+static bool counts_nowhere(void *ctx, uint64_t name) {
   (void)ctx;
   (void)name;
   return false;
 }
 
-void tallies_view(Tallies *t, double now, const View *v) {
+void tallies_set_members(Tallies *t, double now, const View *v) {
   t->view = v;
-  g_hash_table_remove_all(t->counter);
-  tally_members(t->tally, now, v->n, count_for, t);
+  g_hash_table_remove_all(t->counters);
+  tally_members(t->tally, now, v->n, counts_here, t);
 }
 
-void tallies_stood_still(Tallies *t, double now) {
-  if (t->view) tally_members(t->tally, now, t->view->n, count_for_nobody, NULL);
+void tallies_note_pause(Tallies *t, double now) {
+  if (t->view) tally_members(t->tally, now, t->view->n, counts_nowhere, NULL);
 }
 
-static TallyParts parts_to(const Tallies *t, const Member *m,
-                           const TallyParts *parts, RegionSet allowed) {
+static TallyParts parts_allowed_at(const Tallies *t, const Member *m,
+                                   const TallyParts *parts, RegionSet allowed) {
   return tally_parts_to(parts, allowed, regions_named(t->regions, m->region));
 }
 
-void tallies_ask(Tallies *t, double now, const TallyAsk *a) {
+void tallies_request_count(Tallies *t, double now, const TallyAsk *a) {
   const Member *m = counter_of(t, a->counter);
   if (!m) return;
   if (!is_self(t, m)) {
     TallyAsk out = *a;
-    out.parts = parts_to(t, m, &a->parts, a->regions);
+    out.parts = parts_allowed_at(t, m, &a->parts, a->regions);
     peer_tally_ask(t->peer, m->peer, m->id, &out);
     return;
   }
   TallyWord w = tally_word(t->tally, now, a);
-  t->ev.word(t->ctx, &w);
+  t->ev.count_received(t->ctx, &w);
 }
 
-void tallies_tell(Tallies *t, double now, const TallyRun *r) {
+void tallies_report_run(Tallies *t, double now, const TallyRun *r) {
   const Member *m = counter_of(t, r->counter);
   if (!m) return;
   if (is_self(t, m)) {
-    tally_take(t->tally, now, t->hash, r);
+    tally_take(t->tally, now, t->self_hash, r);
     return;
   }
   TallyRun out = *r;
-  out.parts = parts_to(t, m, &r->parts, r->regions);
+  out.parts = parts_allowed_at(t, m, &r->parts, r->regions);
   peer_tally_run(t->peer, m->peer, m->id, &out);
 }
 
-void tallies_ask_permit(Tallies *t, double now, const TallyPermitAsk *a) {
+void tallies_request_permit(Tallies *t, double now, const TallyPermitAsk *a) {
   const Member *m = counter_of(t, a->counter);
   if (!m) return;
   if (!is_self(t, m)) {
     peer_permit_ask(t->peer, m->peer, m->id, a);
     return;
   }
-  TallyPermit p = tally_permit(t->tally, now, t->hash, a);
-  t->ev.permit(t->ctx, &p);
+  TallyPermit p = tally_permit(t->tally, now, t->self_hash, a);
+  t->ev.permit_answered(t->ctx, &p);
 }
 
-void tallies_limit(Tallies *t, double now, const TallyLimit *m) {
+void tallies_report_limit(Tallies *t, double now, const TallyLimit *m) {
   const Member *to = counter_of(t, m->counter);
   if (!to) return;
   if (is_self(t, to)) {
     tally_limit(t->tally, now, m);
     return;
   }
-  CodecLimit word = {.msg = *m};
-  peer_limit(t->peer, to->peer, to->id, &word);
+  CodecLimit packet = {.msg = *m};
+  peer_limit(t->peer, to->peer, to->id, &packet);
 }
 
-bool tallies_limit_news(Tallies *t, double now, double again_s, TallyLimit *m) {
-  return tally_limit_news(t->tally, now, again_s, m);
+bool tallies_next_limit(Tallies *t, double now, double resend_s,
+                        TallyLimit *m) {
+  return tally_limit_news(t->tally, now, resend_s, m);
 }
 
-/* Only who counts by its own view answers: of two that are asked in turn, while
-   their views differ, one gives nothing. */
-static void take_permit_ask(Tallies *t, double now, const Member *from,
-                            const TallyPermitAsk *a) {
-  if (!count_for(t, a->counter)) return;
+/* Only an instance that is the counter in its own view answers. If views differ
+   and two instances receive the request in turn, one of them grants nothing. */
+static void receive_permit_request(Tallies *t, double now, const Member *from,
+                                   const TallyPermitAsk *a) {
+  if (!counts_here(t, a->counter)) return;
   TallyPermit p = tally_permit(t->tally, now, text_hash(from->id), a);
   peer_permit(t->peer, from->peer, from->id, &p);
 }
 
-bool tallies_take(Tallies *t, double now, const Member *from,
-                  const CodecMsg *m) {
+bool tallies_receive(Tallies *t, double now, const Member *from,
+                     const CodecMsg *m) {
   if (m->type == CODEC_TALLY_ASK) {
     TallyWord w = tally_word(t->tally, now, &m->tally_ask);
     peer_tally_word(t->peer, from->peer, from->id, &w);
   } else if (m->type == CODEC_TALLY_WORD) {
-    t->ev.word(t->ctx, &m->tally_word);
+    t->ev.count_received(t->ctx, &m->tally_word);
   } else if (m->type == CODEC_PERMIT_ASK) {
-    take_permit_ask(t, now, from, &m->permit_ask);
+    receive_permit_request(t, now, from, &m->permit_ask);
   } else if (m->type == CODEC_PERMIT) {
-    t->ev.permit(t->ctx, &m->permit);
+    t->ev.permit_answered(t->ctx, &m->permit);
   } else if (m->type == CODEC_LIMIT && !m->limit.to_all) {
-    if (count_for(t, m->limit.msg.counter))
+    if (counts_here(t, m->limit.msg.counter))
       tally_limit(t->tally, now, &m->limit.msg);
   } else if (m->type == CODEC_TALLY_RUN) {
     tally_take(t->tally, now, text_hash(from->id), &m->tally_run);
@@ -160,6 +163,6 @@
   return true;
 }
 
-void tallies_sweep(Tallies *t, double now) {
+void tallies_remove_expired(Tallies *t, double now) {
   tally_sweep(t->tally, now);
 }
--- a/packages/flow/asking.c
+++ b/packages/flow/asking.c
@@ -29,7 +29,7 @@
   for (int i = 0; i < x->n_asked; i++) {
     a.target = targets[i];
     a.counter = targets_counter(r->targets, targets[i]);
-    cluster_tally_ask(r->cluster, &a);
+    cluster_request_tally(r->cluster, &a);
   }
   ev_timer_init(&x->told_timer, on_told_late, RUN_ANSWER_S, 0);
   x->told_timer.data = x;
@@ -60,7 +60,7 @@
                 .tokens = tokens,
                 .regions = x->regions};
   if (parts) m.parts.n = parts_names(&x->ask, m.parts.names, TALLY_NAMES);
-  cluster_tally_tell(x->relay->cluster, &m);
+  cluster_report_run(x->relay->cluster, &m);
 }
 
 void run_tell_sent(Run *x) {
--- a/packages/flow/breaks.c
+++ b/packages/flow/breaks.c
@@ -56,7 +56,7 @@
   SuspectsMsg m;
   while (suspects_next(r->suspects, &m)) {
     if (m.kind != SUSPECTS_MARK) log_suspect(&m, "ours");
-    cluster_suspect(r->cluster, &m);
+    cluster_send_suspect(r->cluster, &m);
   }
 }
 
--- a/packages/flow/permits.c
+++ b/packages/flow/permits.c
@@ -54,7 +54,7 @@
   ev_timer_init(&x->told_timer, on_no_answer, RUN_ANSWER_S, 0);
   x->told_timer.data = x;
   ev_timer_start(r->loop, &x->told_timer);
-  cluster_permit_ask(r->cluster, &a);
+  cluster_request_permit(r->cluster, &a);
 }
 
 /* == limits == */
@@ -70,7 +70,7 @@
 static void tell_limit(const Run *x, double limit) {
   TallyLimit word = {.target = target_hash(x->target), .limit = limit};
   word.counter = targets_counter(x->relay->targets, word.target);
-  cluster_limit(x->relay->cluster, &word);
+  cluster_report_limit(x->relay->cluster, &word);
 }
 
 void run_note_limit(Run *x, const Answer *a) {
--- a/packages/flow/relay.c
+++ b/packages/flow/relay.c
@@ -75,7 +75,7 @@
     run_dispatch(x);
     return;
   }
-  int settles_ms = cluster_settles_in(r->cluster);
+  int settles_ms = cluster_ready_in_ms(r->cluster);
   if (settles_ms > 0) {
     budget_refused(x, ERR_BUDGET_CUT, settles_ms);
     return;
@@ -85,7 +85,7 @@
   x->waits = true;
   x->handle = cluster_reserve(r->cluster, x->customer->name, x->reserved);
   g_hash_table_insert(r->reserved, &x->handle, x);
-  cluster_act(r->cluster);
+  cluster_run_actions(r->cluster);
 }
 
 /* == requests == */
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -132,8 +132,8 @@
     g_strlcpy(row.name, u->name, sizeof row.name);
     g_array_append_val(rows, row);
   }
-  cluster_budgets(n->cluster, (LedgerBudget *)(void *)rows->data,
-                  (int)rows->len);
+  cluster_set_budgets(n->cluster, (LedgerBudget *)(void *)rows->data,
+                      (int)rows->len);
   g_array_free(rows, TRUE);
 }
 
@@ -168,7 +168,7 @@
            (json_int_t)(old ? old->version : 0), "routes", (int)c->routes->len,
            "customers", (int)c->customers->len, "store_age", feed_age(n->feed));
   relay_conf(n->relay, c);
-  cluster_conf(n->cluster, c->version);
+  cluster_set_conf_version(n->cluster, c->version);
   set_budgets(n, c);
   check_bounds(n, c);
 }
@@ -284,22 +284,22 @@
 
 static ReadersDuty on_duty(void *ctx) {
   Node *n = ctx;
-  return cluster_duty(n->cluster);
+  return cluster_reader_duty(n->cluster);
 }
 
 static void on_tell(void *ctx, const CodecFeed *m) {
   Node *n = ctx;
-  cluster_feed(n->cluster, m);
+  cluster_broadcast_feed(n->cluster, m);
 }
 
 static bool on_settled(void *ctx) {
   Node *n = ctx;
-  return cluster_settled(n->cluster);
+  return cluster_is_ready(n->cluster);
 }
 
 static void on_tell_one(void *ctx, const char *id, const CodecFeed *m) {
   Node *n = ctx;
-  cluster_feed_to(n->cluster, id, m);
+  cluster_send_feed(n->cluster, id, m);
 }
 
 static char *on_part(void *ctx, RosterAt *at, bool *more) {
@@ -309,17 +309,17 @@
 
 static void on_met(void *ctx, ReadersWord word) {
   Node *n = ctx;
-  cluster_met(n->cluster, word);
+  cluster_note_store_outcome(n->cluster, word);
 }
 
 static bool on_knocks(void *ctx) {
   Node *n = ctx;
-  return cluster_knocks(n->cluster);
+  return cluster_may_probe_store(n->cluster);
 }
 
 static bool on_asks(void *ctx) {
   Node *n = ctx;
-  return cluster_asks(n->cluster);
+  return cluster_may_query_store(n->cluster);
 }
 
 static void on_work(void *ctx, uint64_t from, const TargetWork *m) {
@@ -372,7 +372,7 @@
   if (now < n->pools_at) return;
   n->pools_at = now + MAX(SWEEP_S, n->instances * POOLS_EACH_S);
   for (int i = 0; targets_pool_word(n->targets, now, i, &word); i++)
-    cluster_pool(n->cluster, &word);
+    cluster_broadcast_pool(n->cluster, &word);
 }
 
 /* Before the loop sleeps, and before the messages of this turn leave. */
@@ -382,9 +382,10 @@
   Node *n = w->data;
   TargetWork work;
   TargetParts parts;
-  while (targets_changed(n->targets, &work)) cluster_work(n->cluster, &work);
+  while (targets_changed(n->targets, &work))
+    cluster_broadcast_work(n->cluster, &work);
   while (targets_parts_news(n->targets, &parts))
-    cluster_parts(n->cluster, &parts);
+    cluster_broadcast_parts(n->cluster, &parts);
 }
 
 static void on_feed(void *ctx, const char *from, const CodecFeed *m) {
@@ -397,7 +398,7 @@
 static bool is_ready(const Node *n) {
   return n->stop_at == 0 && !n->full && n->still_at == 0 &&
          relay_get_conf(n->relay) != NULL && feed_complete(n->feed) &&
-         cluster_settled(n->cluster);
+         cluster_is_ready(n->cluster);
 }
 
 static void print_metrics(Node *n, GString *out) {
@@ -458,7 +459,7 @@
     n->returning = true;
     cluster_drain(n->cluster);
   }
-  bool done = n->returning && idle && cluster_drained(n->cluster);
+  bool done = n->returning && idle && cluster_is_drained(n->cluster);
   if (past > most || (done && past > REFUSE_AFTER_S + LINGER_S)) end(n, idle);
 }
 
@@ -471,7 +472,7 @@
   log_warn("stood-still", "s:f", "seconds", gap_s);
   n->still_at = loopclock_now(n->loop);
   relay_behind(n->relay, true);
-  cluster_stood_still(n->cluster);
+  cluster_note_pause(n->cluster);
   feed_stood_still(n->feed);
 }
 
@@ -503,7 +504,7 @@
   Node *n = w->data;
   watch_link(n);
   watch_still(n);
-  cluster_away(n->cluster, feed_away(n->feed));
+  cluster_set_store_unavailable(n->cluster, feed_away(n->feed));
   if (n->stop_at > 0) stop_step(n);
   if (is_ready(n) == n->was_ready) return;
   n->was_ready = !n->was_ready;
