--- a/packages/node/giving.c
+++ b/packages/node/giving.c
@@ -1,11 +1,12 @@
-/* giving.c: one list at a time, its parts and what came after it. */
+/* giving.c: keeps one list at a time: its parts and the updates after it. */
 #include "node/giving.h"
 
 #include <glib.h>
 #include <stdlib.h>
 
-/* Bytes of words that are kept with a list; beyond, it is made anew. */
-#define WORDS_MOST (256 << 10)
+/* Limit of the updates that are kept with a list; over it the list is discarded
+   and the next request begins a new one. */
+#define UPDATES_MAX_BYTES (256 << 10)
 
 typedef struct Part {
   Packed text;
@@ -13,90 +14,92 @@
 } Part;
 
 struct Giving {
-  GivingPart make;
+  GivingMakePart make_part;
   void *ctx;
-  double made;   /* when the list was begun */
-  uint64_t at;   /* its revision; 0: there is none */
-  RosterAt next; /* where its next part begins */
-  GArray *parts; /* Part */
-  GQueue words;  /* CodecFeed*, the oldest first */
-  size_t bytes;  /* of these */
+  double made_at;      /* when the list was begun */
+  uint64_t revision;   /* of the list; 0: there is none */
+  RosterAt next;       /* where the next part begins */
+  GArray *parts;       /* Part */
+  GQueue updates;      /* CodecFeed*, oldest first */
+  size_t update_bytes; /* total of `updates` */
 };
 
-static void forget(Giving *g) {
+static void discard_list(Giving *g) {
   for (guint i = 0; i < g->parts->len; i++)
     packed_free(&g_array_index(g->parts, Part, i).text);
   g_array_set_size(g->parts, 0);
-  g_queue_clear_full(&g->words, codec_feed_free);
+  g_queue_clear_full(&g->updates, codec_feed_free);
   g->next = (RosterAt){0};
-  g->at = g->bytes = 0;
+  g->revision = g->update_bytes = 0;
 }
 
-Giving *giving_new(GivingPart part, void *ctx) {
+Giving *giving_new(GivingMakePart part, void *ctx) {
   Giving *g = g_new0(Giving, 1);
-  g->make = part;
+  g->make_part = part;
   g->ctx = ctx;
   g->parts = g_array_new(FALSE, FALSE, sizeof(Part));
-  g_queue_init(&g->words);
+  g_queue_init(&g->updates);
   return g;
 }
 
 void giving_free(Giving *g) {
-  forget(g);
+  discard_list(g);
   g_array_free(g->parts, TRUE);
   g_free(g);
 }
 
-/* A list that is about to be too old is kept for those who have begun. */
-static bool begins_anew(const Giving *g, double now, const HandoverAsk *ask) {
-  if (g->at == 0) return true;
-  return ask->part == 0 && now - g->made > HANDOVER_KEEP_S;
+/* A list that is older than HANDOVER_KEEP_S still serves neighbours that have
+   received a part of it. */
+static bool needs_new_list(const Giving *g, double now,
+                           const HandoverAsk *ask) {
+  if (g->revision == 0) return true;
+  return ask->part == 0 && now - g->made_at > HANDOVER_KEEP_S;
 }
 
-static void make_part(Giving *g) {
+static void add_part(Giving *g) {
   Part part;
-  char *text = g->make(g->ctx, &g->next, &part.more);
+  char *text = g->make_part(g->ctx, &g->next, &part.more);
   part.text = packed_new(text);
   free(text);
   g_array_append_val(g->parts, part);
 }
 
-bool giving_part(Giving *g, double now, uint64_t known, const HandoverAsk *ask,
-                 CodecFeed *m) {
+bool giving_get_part(Giving *g, double now, uint64_t known,
+                     const HandoverAsk *ask, CodecFeed *m) {
   HandoverAsk wanted = *ask;
-  if (begins_anew(g, now, ask)) {
-    forget(g);
-    g->made = now;
-    g->at = known;
+  if (needs_new_list(g, now, ask)) {
+    discard_list(g);
+    g->made_at = now;
+    g->revision = known;
   }
-  if (wanted.part > 0 && wanted.at != g->at) wanted.part = 0;
+  if (wanted.part > 0 && wanted.at != g->revision) wanted.part = 0;
   if (wanted.part > g->parts->len) return false;
   if (wanted.part == g->parts->len) {
-    bool ended =
+    bool list_ended =
         wanted.part > 0 && !g_array_index(g->parts, Part, wanted.part - 1).more;
-    if (ended) return false;
-    make_part(g);
+    if (list_ended) return false;
+    add_part(g);
   }
   const Part *part = &g_array_index(g->parts, Part, wanted.part);
   *m = (CodecFeed){.kind = CODEC_FEED_PART,
                    .from = wanted.part,
-                   .at = g->at,
+                   .at = g->revision,
                    .lapsed = part->more,
                    .changes = part->text};
   return true;
 }
 
-void giving_note(Giving *g, const CodecFeed *m) {
-  if (g->at == 0 || m->at <= m->from) return;
-  if (g->bytes + m->changes.n > WORDS_MOST) {
-    forget(g);
+void giving_add_update(Giving *g, const CodecFeed *m) {
+  if (g->revision == 0 || m->at <= m->from) return;
+  if (g->update_bytes + m->changes.n > UPDATES_MAX_BYTES) {
+    discard_list(g);
     return;
   }
-  g->bytes += m->changes.n;
-  g_queue_push_tail(&g->words, codec_feed_copy(m));
+  g->update_bytes += m->changes.n;
+  g_queue_push_tail(&g->updates, codec_feed_copy(m));
 }
 
-void giving_words(const Giving *g, void (*fn)(void *ctx, const CodecFeed *m),
-                  void *ctx) {
-  for (GList *i = g->words.head; i; i = i->next) fn(ctx, i->data);
+void giving_each_update(const Giving *g,
+                        void (*fn)(void *ctx, const CodecFeed *m), void *ctx) {
+  for (GList *i = g->updates.head; i; i = i->next) fn(ctx, i->data);
 }
--- a/packages/node/giving.h
+++ b/packages/node/giving.h
@@ -1,6 +1,6 @@
-/* giving.h: the list of targets as this instance hands it out to neighbours
-   that have just started (handover.h): parts that are made once for all who
-   ask, and the readers' words since. */
+/* giving.h: the list of targets as this instance sends it to neighbours that
+   have just started (handover.h): parts that are made once and serve all
+   requests, and the readers' updates since the list was begun. */
 #ifndef NODE_GIVING_H
 #define NODE_GIVING_H
 
@@ -10,20 +10,21 @@
 
 typedef struct Giving Giving;
 
-/* Makes the next part, as FeedEvents.part. */
-typedef char *(*GivingPart)(void *ctx, RosterAt *at, bool *more);
+/* Makes the next part, as FeedEvents.next_part does. */
+typedef char *(*GivingMakePart)(void *ctx, RosterAt *at, bool *more);
 
-Giving *giving_new(GivingPart part, void *ctx);
+Giving *giving_new(GivingMakePart part, void *ctx);
 void giving_free(Giving *g);
-/* The part that is asked for, of the list as it is given out now; `known`: the
-   revision that is known here. False: there is no such part. `m` is borrowed.
- */
-bool giving_part(Giving *g, double now, uint64_t known, const HandoverAsk *ask,
-                 CodecFeed *m);
-/* A word that was heard, or told, from revision to revision. */
-void giving_note(Giving *g, const CodecFeed *m);
-/* Calls `fn` for each word since the list was made. */
-void giving_words(const Giving *g, void (*fn)(void *ctx, const CodecFeed *m),
-                  void *ctx);
+/* Sets `m` to the requested part of the current list. `known` is the store
+   revision that is known here. False: there is no such part. `m` borrows the
+   text. */
+bool giving_get_part(Giving *g, double now, uint64_t known,
+                     const HandoverAsk *ask, CodecFeed *m);
+/* Adds an update that was received or sent; it leads from revision `m->from` to
+   `m->at`. */
+void giving_add_update(Giving *g, const CodecFeed *m);
+/* Calls `fn` for each update since the list was begun, oldest first. */
+void giving_each_update(const Giving *g,
+                        void (*fn)(void *ctx, const CodecFeed *m), void *ctx);
 
 #endif
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -1,4 +1,4 @@
-/* node.c: settings, start, planned stop. */
+/* node.c: settings, start and planned stop of an instance. */
 #include "node/node.h"
 
 #include <ev.h>
@@ -16,30 +16,33 @@
 #include "kernel/settings.h"
 #include "node/feed.h"
 
-#define TICK_S 0.05       /* between looks at what waits */
-#define SWEEP_S 1.0       /* between looks for targets to forget */
-#define TARGET_LINES 20   /* on single targets, a second */
-#define CALLS_EVERY_S 5.0 /* between lines on calls to the store */
-/* Seconds for each instance between two words on pools: 40 bytes for each pool
-   and other instance, so 0.8 KB/s at any size. */
-#define POOLS_EACH_S 0.05
-/* Of a stop: the balancer asks each second and takes an instance out after two
-   misses. What comes later than 3 s might not end before the process has to. */
+#define TICK_INTERVAL_S 0.05 /* between checks of readiness, stop and link */
+#define SWEEP_INTERVAL_S 1.0 /* between removals of expired state */
+#define TARGET_LOG_LINES_PER_S 20 /* about single targets */
+#define CALLS_LOG_INTERVAL_S 5.0  /* between log lines on calls to the store */
+/* The interval between two reports on pools is this times the instances. A
+   report takes 40 bytes for each pool and other instance, so the traffic is
+   0.8 KB/s for any number of instances. */
+#define POOLS_INTERVAL_PER_INSTANCE_S 0.05
+/* In a planned stop: the balancer checks readiness each second and removes an
+   instance after two failures. A request that arrives later than 3 s after the
+   start of the stop might not finish before the process has to exit. */
 #define REFUSE_AFTER_S 2.9
-#define STOP_MARGIN_S 0.6 /* before the platform kills */
-/* Two turns are 50 ms apart, on the busiest of machines a tenth of a second.
-   After so long what is known may be out of date, whatever clock it is measured
-   by: a leaving target may get work for two seconds. */
-#define STILL_S 1.0
-/* The store answers in milliseconds; when it doesn't within so long it is away,
-   and what is known counts as in any outage. */
-#define STILL_MOST_S 1.0
-#define LINGER_S 0.3 /* for the last answers to leave */
-#define LOG_LINES                                                              \
-  500                /* a second; the busiest instance of the users' days      \
-                        serves 40 requests a second */
-#define BODY_SHARE 4 /* of the memory, one part for bodies and answers held */
-#define READY_ROOM (1 << 20) /* bytes of the same, of questions */
+#define STOP_MARGIN_S 0.6 /* before the platform kills the process */
+/* A longer gap between two iterations of the loop counts as a pause of the
+   process; normally they are 50 ms apart, on the busiest machines 100 ms. After
+   such a gap the known state may be out of date by any clock: a leaving target
+   may get requests for two seconds at most. */
+#define PAUSE_MIN_S 1.0
+/* Time for the store to answer after a pause. It normally answers within
+   milliseconds; after this it counts as unavailable, and the known state is
+   used as in any outage. */
+#define CATCH_UP_MAX_S 1.0
+#define LINGER_S 0.3 /* for the last answers to be sent */
+/* The busiest instance serves 40 requests a second. */
+#define LOG_LINES_PER_S 500
+#define BODY_MEMORY_DIVISOR 4 /* bodies and held answers may use this share */
+#define READY_BUFFER_BYTES (1 << 20) /* for readiness and metrics requests */
 
 static Setting settings[] = {
     {"name", "LOFTPATH_NAME", SETTING_TEXT, NULL, "Name of this instance", 0, 0,
@@ -99,27 +102,27 @@
   Relay *relay;
   Callers *ready;
   Intake intake;
-  bool full; /* callers send more than the link bears */
+  bool link_is_full; /* callers send more than the link carries */
   ev_timer tick, sweep;
   ev_prepare turn;
   ev_signal term, intr, hup;
-  bool listed;     /* all targets were, once */
-  int changes;     /* of targets, in this second */
-  double calls_at; /* when calls to the store were last logged */
-  double pools_at; /* when the others are told of our pools next */
-  int instances;   /* of the fleet, with ourselves */
-  int seeds;       /* that the settings name */
-  double stop_at;  /* loop time of SIGTERM; 0: none */
-  double still_at; /* it stood still, and has not caught up since; 0: it has */
+  bool targets_listed;    /* all targets were listed at least once */
+  int target_changes;     /* in the current second */
+  double calls_logged_at; /* last log line on calls to the store */
+  double next_pools_at;   /* when the next pool reports are due */
+  int instance_count;     /* in the fleet, including this one */
+  int seed_count;         /* addresses in the setting `seeds` */
+  double stop_began_at;   /* loop time of SIGTERM; 0: not stopping */
+  double paused_at;       /* last pause, if not caught up; else 0 */
   bool refusing, returning, was_ready;
   int status;
 } Node;
 
-static double number(const char *name) {
+static double setting_number(const char *name) {
   return atof(settings_text(settings, name));
 }
 
-/* == what the store says == */
+/* == updates from the store == */
 
 static void set_budgets(Node *n, const Conf *c) {
   GArray *rows = g_array_new(FALSE, TRUE, sizeof(LedgerBudget));
@@ -127,7 +130,7 @@
     const ConfCustomer *u = c->customers->pdata[i];
     LedgerBudget row = {.total = u->budget,
                         .version = c->version,
-                        .reserve_s = number("lay-up")};
+                        .reserve_s = setting_number("lay-up")};
     if (u->budget == CONF_UNLIMITED) continue;
     g_strlcpy(row.name, u->name, sizeof row.name);
     g_array_append_val(rows, row);
@@ -137,7 +140,8 @@
   g_array_free(rows, TRUE);
 }
 
-/* A list that names no region that there is would refuse all that it bounds. */
+/* Warns of an unknown region: a list with no existing region would refuse every
+   request that it restricts. */
 static void check_regions(const Node *n, const char *what, const char *name,
                           char *const *list) {
   const char *unknown;
@@ -148,7 +152,7 @@
            "remedy", "name a region of the setting datacentres");
 }
 
-static void check_bounds(const Node *n, const Conf *c) {
+static void check_conf_regions(const Node *n, const Conf *c) {
   for (guint i = 0; i < c->routes->len; i++) {
     const ConfRoute *r = c->routes->pdata[i];
     check_regions(n, "route", r->name, r->regions);
@@ -166,67 +170,69 @@
   log_info("configuration", "s:I,s:I,s:i,s:i,s:f", "version",
            (json_int_t)c->version, "before",
            (json_int_t)(old ? old->version : 0), "routes", (int)c->routes->len,
-           "customers", (int)c->customers->len, "store_age", feed_age(n->feed));
+           "customers", (int)c->customers->len, "store_age",
+           feed_age_s(n->feed));
   relay_conf(n->relay, c);
   cluster_set_conf_version(n->cluster, c->version);
   set_budgets(n, c);
-  check_bounds(n, c);
+  check_conf_regions(n, c);
 }
 
-/* Whether a line is due for a single target: of a first listing, and of more
-   changes at once than a reader of the log would read, only the number is. */
-static bool tells_of_target(Node *n) {
-  n->changes++;
-  return n->listed && n->changes <= TARGET_LINES;
+/* Whether to log a line for a single target. During the first listing, and for
+   changes over TARGET_LOG_LINES_PER_S, only their number is logged. */
+static bool target_line_is_due(Node *n) {
+  n->target_changes++;
+  return n->targets_listed && n->target_changes <= TARGET_LOG_LINES_PER_S;
 }
 
-/* The changes of the last second that had no line. */
-static void log_changes(Node *n) {
-  int more = n->listed ? n->changes - TARGET_LINES : n->changes;
+/* Logs the number of changes in the last second that got no line. */
+static void log_further_changes(Node *n) {
+  int more = n->targets_listed ? n->target_changes - TARGET_LOG_LINES_PER_S
+                               : n->target_changes;
   if (more > 0) log_info("targets-changed", "s:i", "more", more);
-  n->changes = 0;
+  n->target_changes = 0;
 }
 
-static bool on_target(void *ctx, const TargetInfo *t) {
+static bool on_target_read(void *ctx, const TargetInfo *t) {
   Node *n = ctx;
-  bool news = targets_is_news(n->targets, t);
+  bool is_new = targets_is_news(n->targets, t);
   uint64_t life = targets_life(n->targets, t->id);
-  bool again = targets_set(n->targets, loopclock_now(n->loop), t);
-  if (again) relay_restarted(n->relay, t->addr, life);
-  if (!news || !tells_of_target(n)) return news;
+  bool restarted = targets_set(n->targets, loopclock_now(n->loop), t);
+  if (restarted) relay_restarted(n->relay, t->addr, life);
+  if (!is_new || !target_line_is_due(n)) return is_new;
   log_info("target", "s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:b", "target", t->id,
            "service", t->service, "addr", t->addr, "datacentre", t->dc,
            "leaving", (int)t->leaving, "revision", (json_int_t)t->revision,
-           "born", (json_int_t)t->born, "again", (int)again);
+           "born", (json_int_t)t->born, "again", (int)restarted);
   return true;
 }
 
-static void on_gone(void *ctx, const char *id, bool lapsed) {
+static void on_target_gone(void *ctx, const char *id, bool after_outage) {
   Node *n = ctx;
-  targets_gone(n->targets, loopclock_now(n->loop), id, lapsed);
-  if (!tells_of_target(n)) return;
-  log_info("target-gone", "s:s,s:b", "target", id, "lapsed", (int)lapsed);
+  targets_gone(n->targets, loopclock_now(n->loop), id, after_outage);
+  if (!target_line_is_due(n)) return;
+  log_info("target-gone", "s:s,s:b", "target", id, "lapsed", (int)after_outage);
 }
 
-static void on_listed(void *ctx, GHashTable *ids, bool lapsed) {
+static void on_targets_listed(void *ctx, GHashTable *ids, bool after_outage) {
   Node *n = ctx;
-  targets_only(n->targets, loopclock_now(n->loop), ids, lapsed);
-  n->listed = true;
+  targets_only(n->targets, loopclock_now(n->loop), ids, after_outage);
+  n->targets_listed = true;
   log_info("targets-listed", "s:i,s:b", "targets", (int)g_hash_table_size(ids),
-           "lapsed", (int)lapsed);
+           "lapsed", (int)after_outage);
 }
 
-static void on_evacuation(void *ctx, const char *dc, bool on,
-                          uint64_t revision) {
+static void on_evacuation_changed(void *ctx, const char *dc, bool on,
+                                  uint64_t revision) {
   Node *n = ctx;
   if (!targets_evacuate(n->targets, dc, on)) return;
   count_add(COUNT_EVACUATIONS, 1);
   log_info("evacuation", "s:s,s:b,s:i,s:I,s:f", "datacentre", dc, "in_force",
            (int)on, "targets", targets_in(n->targets, dc), "revision",
-           (json_int_t)revision, "store_age", feed_age(n->feed));
+           (json_int_t)revision, "store_age", feed_age_s(n->feed));
 }
 
-static void on_evacuations(void *ctx, GHashTable *dcs) {
+static void on_evacuations_listed(void *ctx, GHashTable *dcs) {
   Node *n = ctx;
   if (!targets_evacuate_only(n->targets, dcs)) return;
   count_add(COUNT_EVACUATIONS, 1);
@@ -234,31 +240,32 @@
            (int)g_hash_table_size(dcs));
 }
 
-static void on_trial(void *ctx, const char *name, const json_t *content,
-                     uint64_t revision) {
+static void on_trial_changed(void *ctx, const char *name, const json_t *content,
+                             uint64_t revision) {
   Node *n = ctx;
   relay_trial(n->relay, name, content, revision);
 }
 
-static void on_trials(void *ctx, GHashTable *names) {
+static void on_trials_listed(void *ctx, GHashTable *names) {
   Node *n = ctx;
   relay_trials(n->relay, names);
 }
 
-/* == what other instances say == */
+/* == messages from other instances == */
 
-static void on_reserved(void *ctx, uint64_t handle, ErrKind cause,
-                        int retry_ms) {
+static void on_reservation_decided(void *ctx, uint64_t handle, ErrKind cause,
+                                   int retry_ms) {
   Node *n = ctx;
   relay_reserved(n->relay, handle, cause, retry_ms);
 }
 
-/* Seeds are there even when they can't be seen: an instance that starts in a
-   cut must not take all of a bound for itself. */
-static void on_instances(void *ctx, int rank, int count) {
+/* Seeds (instances named in the settings) count even while they are
+   unreachable: an instance that starts during a network partition must not use
+   a fleet-wide limit alone. */
+static void on_instances_changed(void *ctx, int rank, int count) {
   Node *n = ctx;
-  int of = MAX(count, n->seeds);
-  n->instances = count;
+  int of = MAX(count, n->seed_count);
+  n->instance_count = count;
   targets_place(n->targets, loopclock_now(n->loop), rank, of);
   targets_parts_are_told(n->targets, count < FLEET_SMALL);
   retries_instances(n->retries, loopclock_now(n->loop), count);
@@ -267,7 +274,7 @@
 static void on_peer_conf(void *ctx, const char *text) {
   Node *n = ctx;
   Err e = {0};
-  Conf *c = feed_parse(text, &e);
+  Conf *c = feed_parse_conf(text, &e);
   if (!c) {
     log_warn("configuration-damaged", "s:s", "error", e.text);
     return;
@@ -282,101 +289,106 @@
   return c ? c->text : NULL;
 }
 
-static ReadersDuty on_duty(void *ctx) {
+static ReadersDuty on_reader_duty(void *ctx) {
   Node *n = ctx;
   return cluster_reader_duty(n->cluster);
 }
 
-static void on_tell(void *ctx, const CodecFeed *m) {
+static void on_broadcast(void *ctx, const CodecFeed *m) {
   Node *n = ctx;
   cluster_broadcast_feed(n->cluster, m);
 }
 
-static bool on_settled(void *ctx) {
+static bool on_discovery_done(void *ctx) {
   Node *n = ctx;
   return cluster_is_ready(n->cluster);
 }
 
-static void on_tell_one(void *ctx, const char *id, const CodecFeed *m) {
+static void on_send_to(void *ctx, const char *id, const CodecFeed *m) {
   Node *n = ctx;
   cluster_send_feed(n->cluster, id, m);
 }
 
-static char *on_part(void *ctx, RosterAt *at, bool *more) {
+static char *on_next_part(void *ctx, RosterAt *at, bool *more) {
   Node *n = ctx;
   return roster_part(n->targets, loopclock_now(n->loop), at, more);
 }
 
-static void on_met(void *ctx, ReadersWord word) {
+static void on_store_outcome(void *ctx, ReadersWord outcome) {
   Node *n = ctx;
-  cluster_note_store_outcome(n->cluster, word);
+  cluster_note_store_outcome(n->cluster, outcome);
 }
 
-static bool on_knocks(void *ctx) {
+static bool on_may_probe_store(void *ctx) {
   Node *n = ctx;
   return cluster_may_probe_store(n->cluster);
 }
 
-static bool on_asks(void *ctx) {
+static bool on_may_query_store(void *ctx) {
   Node *n = ctx;
   return cluster_may_query_store(n->cluster);
 }
 
-static void on_work(void *ctx, uint64_t from, const TargetWork *m) {
+static void on_work_reported(void *ctx, uint64_t from, const TargetWork *m) {
   Node *n = ctx;
   targets_others(n->targets, loopclock_now(n->loop), from, m);
 }
 
-static void on_parts(void *ctx, const TargetParts *m) {
+static void on_parts_reported(void *ctx, const TargetParts *m) {
   Node *n = ctx;
   targets_parts_told(n->targets, loopclock_now(n->loop), m);
 }
 
-static void on_tally(void *ctx, const TallyWord *m) {
+static void on_tally_received(void *ctx, const TallyWord *m) {
   Node *n = ctx;
   relay_tally(n->relay, m);
 }
 
-static void on_permit(void *ctx, const TallyPermit *m) {
+static void on_permit_answered(void *ctx, const TallyPermit *m) {
   Node *n = ctx;
   relay_permit(n->relay, m);
 }
 
-static void on_limit(void *ctx, const TallyLimit *m) {
+static void on_limit_received(void *ctx, const TallyLimit *m) {
   Node *n = ctx;
   relay_limit(n->relay, m->target, m->limit);
 }
 
-static void on_suspect(void *ctx, const SuspectsMsg *m) {
+static void on_suspect_received(void *ctx, const SuspectsMsg *m) {
   Node *n = ctx;
   if (n->relay) relay_suspect(n->relay, m);
 }
 
-static void on_pool(void *ctx, uint64_t from, const TargetsPoolWord *m) {
+static void on_pool_reported(void *ctx, uint64_t from,
+                             const TargetsPoolWord *m) {
   Node *n = ctx;
   targets_pool_told(n->targets, loopclock_now(n->loop), from, m);
 }
 
-/* What the store was called for since the last such line. */
+/* Logs the calls to the store since the last such line. */
 static void log_calls(Node *n) {
-  n->calls_at = loopclock_now(n->loop);
-  json_t *news = calls_news(store_calls(n->store));
-  if (news) log_info("store-calls", "s:O", "calls", news);
-  json_decref(news);
+  n->calls_logged_at = loopclock_now(n->loop);
+  json_t *summary = calls_news(store_calls(n->store));
+  if (summary) log_info("store-calls", "s:O", "calls", summary);
+  json_decref(summary);
 }
 
-/* Each instance hears of all, so they tell more seldom the more there are. */
-static void tell_pools(Node *n) {
+/* Each instance receives the reports of all others, so the interval grows with
+   the number of instances. */
+static void broadcast_pools(Node *n) {
   double now = loopclock_now(n->loop);
-  TargetsPoolWord word;
-  if (now < n->pools_at) return;
-  n->pools_at = now + MAX(SWEEP_S, n->instances * POOLS_EACH_S);
-  for (int i = 0; targets_pool_word(n->targets, now, i, &word); i++)
-    cluster_broadcast_pool(n->cluster, &word);
-}
-
-/* Before the loop sleeps, and before the messages of this turn leave. */
-static void on_turn(struct ev_loop *loop, ev_prepare *w, int revents) {
+  TargetsPoolWord report;
+  if (now < n->next_pools_at) return;
+  n->next_pools_at =
+      now +
+      MAX(SWEEP_INTERVAL_S, n->instance_count * POOLS_INTERVAL_PER_INSTANCE_S);
+  for (int i = 0; targets_pool_word(n->targets, now, i, &report); i++)
+    cluster_broadcast_pool(n->cluster, &report);
+}
+
+/* Runs before the loop sleeps and before the messages of this iteration are
+   sent. */
+static void on_before_sleep(struct ev_loop *loop, ev_prepare *w, int revents) {
   (void)loop;
   (void)revents;
   Node *n = w->data;
@@ -388,16 +400,16 @@
     cluster_broadcast_parts(n->cluster, &parts);
 }
 
-static void on_feed(void *ctx, const char *from, const CodecFeed *m) {
+static void on_feed_received(void *ctx, const char *from, const CodecFeed *m) {
   Node *n = ctx;
-  if (n->feed) feed_told(n->feed, from, m);
+  if (n->feed) feed_receive(n->feed, from, m);
 }
 
 /* == readiness and metrics == */
 
 static bool is_ready(const Node *n) {
-  return n->stop_at == 0 && !n->full && n->still_at == 0 &&
-         relay_get_conf(n->relay) != NULL && feed_complete(n->feed) &&
+  return n->stop_began_at == 0 && !n->link_is_full && n->paused_at == 0 &&
+         relay_get_conf(n->relay) != NULL && feed_is_complete(n->feed) &&
          cluster_is_ready(n->cluster);
 }
 
@@ -406,8 +418,8 @@
   calls_print(store_calls(n->store), out);
 }
 
-static void on_question(void *ctx, Caller *c, const CallerReq *r,
-                        const Err *bad) {
+static void on_status_request(void *ctx, Caller *c, const CallerReq *r,
+                              const Err *bad) {
   Node *n = ctx;
   GString *text = g_string_new(NULL);
   int status = 200;
@@ -421,7 +433,7 @@
   g_string_free(text, TRUE);
 }
 
-static void on_questioner_gone(void *ctx, Caller *c) {
+static void on_status_caller_gone(void *ctx, Caller *c) {
   (void)ctx;
   (void)c;
 }
@@ -431,13 +443,13 @@
 static void on_stop_signal(struct ev_loop *loop, ev_signal *w, int revents) {
   (void)revents;
   Node *n = w->data;
-  if (n->stop_at > 0) return;
-  n->stop_at = loopclock_now(loop);
+  if (n->stop_began_at > 0) return;
+  n->stop_began_at = loopclock_now(loop);
   log_info("draining", "s:i", "open", relay_open_requests(n->relay));
   relay_drain(n->relay);
 }
 
-static void end(Node *n, bool clean) {
+static void finish_stop(Node *n, bool clean) {
   log_calls(n);
   log_info("stopped", "s:b,s:i", "clean", (int)clean, "open",
            relay_open_requests(n->relay));
@@ -445,54 +457,57 @@
   ev_break(n->loop, EVBREAK_ALL);
 }
 
-/* New callers still come until the balancer has heard; then open requests
-   end, budgets go back, and the process exits. */
-static void stop_step(Node *n) {
-  double past = loopclock_now(n->loop) - n->stop_at;
-  double most = number("stop") - STOP_MARGIN_S;
-  if (past > REFUSE_AFTER_S && !n->refusing) {
+/* New requests still arrive until the balancer has removed this instance. Then
+   open requests finish, budgets are returned, and the process exits. */
+static void advance_stop(Node *n) {
+  double past_s = loopclock_now(n->loop) - n->stop_began_at;
+  double max_s = setting_number("stop") - STOP_MARGIN_S;
+  if (past_s > REFUSE_AFTER_S && !n->refusing) {
     n->refusing = true;
     relay_refuse(n->relay);
   }
   bool idle = relay_open_requests(n->relay) == 0;
-  if (n->refusing && (idle || past > most - LINGER_S) && !n->returning) {
+  if (n->refusing && (idle || past_s > max_s - LINGER_S) && !n->returning) {
     n->returning = true;
     cluster_drain(n->cluster);
   }
   bool done = n->returning && idle && cluster_is_drained(n->cluster);
-  if (past > most || (done && past > REFUSE_AFTER_S + LINGER_S)) end(n, idle);
+  if (past_s > max_s || (done && past_s > REFUSE_AFTER_S + LINGER_S))
+    finish_stop(n, idle);
 }
 
 /* == time == */
 
-/* Timers of before may fire late, and bytes of before be read first; so nothing
-   is decided by what was known until the store has told what is new. */
-static void on_still(void *ctx, double gap_s) {
+/* After a pause, earlier timers may fire late and earlier bytes may be read
+   first. So no decision uses the old state until the store has sent what
+   changed. */
+static void on_pause(void *ctx, double gap_s) {
   Node *n = ctx;
   log_warn("stood-still", "s:f", "seconds", gap_s);
-  n->still_at = loopclock_now(n->loop);
+  n->paused_at = loopclock_now(n->loop);
   relay_behind(n->relay, true);
   cluster_note_pause(n->cluster);
-  feed_stood_still(n->feed);
+  feed_note_pause(n->feed);
 }
 
-static void watch_still(Node *n) {
-  double past = loopclock_now(n->loop) - n->still_at;
-  if (n->still_at == 0) return;
-  bool knows = feed_knows_since(n->feed, n->still_at);
-  if (!knows && past < STILL_MOST_S) return;
-  log_info("caught-up", "s:b,s:f", "by_store", (int)knows, "after", past);
-  n->still_at = 0;
+static void check_pause(Node *n) {
+  double past_s = loopclock_now(n->loop) - n->paused_at;
+  if (n->paused_at == 0) return;
+  bool is_current = feed_is_current_since(n->feed, n->paused_at);
+  if (!is_current && past_s < CATCH_UP_MAX_S) return;
+  log_info("caught-up", "s:b,s:f", "by_store", (int)is_current, "after",
+           past_s);
+  n->paused_at = 0;
   relay_behind(n->relay, false);
 }
 
-/* An instance that gets more than its link bears lets the balancer place its
-   callers elsewhere for a while. */
-static void watch_link(Node *n) {
+/* An instance that receives more than its link carries reports that it is not
+   ready, so that the balancer sends callers elsewhere for a while. */
+static void check_link(Node *n) {
   bool full = intake_full(&n->intake, loopclock_now(n->loop),
-                          relay_taken(n->relay), n->instances);
-  if (full == n->full) return;
-  n->full = full;
+                          relay_taken(n->relay), n->instance_count);
+  if (full == n->link_is_full) return;
+  n->link_is_full = full;
   relay_leave(n->relay, full);
   count_add(COUNT_LINK_FULL, full);
   log_info("link", "s:b,s:f", "full", (int)full, "room", n->intake.room);
@@ -502,10 +517,10 @@
   (void)loop;
   (void)revents;
   Node *n = w->data;
-  watch_link(n);
-  watch_still(n);
-  cluster_set_store_unavailable(n->cluster, feed_away(n->feed));
-  if (n->stop_at > 0) stop_step(n);
+  check_link(n);
+  check_pause(n);
+  cluster_set_store_unavailable(n->cluster, feed_store_is_unavailable(n->feed));
+  if (n->stop_began_at > 0) advance_stop(n);
   if (is_ready(n) == n->was_ready) return;
   n->was_ready = !n->was_ready;
   log_info("ready", "s:b", "ready", (int)n->was_ready);
@@ -516,9 +531,10 @@
   Node *n = w->data;
   targets_sweep(n->targets, loopclock_now(loop));
   relay_sweep(n->relay);
-  log_changes(n);
-  tell_pools(n);
-  if (loopclock_now(loop) - n->calls_at >= CALLS_EVERY_S) log_calls(n);
+  log_further_changes(n);
+  broadcast_pools(n);
+  if (loopclock_now(loop) - n->calls_logged_at >= CALLS_LOG_INTERVAL_S)
+    log_calls(n);
 }
 
 static void on_hup(struct ev_loop *loop, ev_signal *w, int revents) {
@@ -538,8 +554,12 @@
 
 static Cluster *open_cluster(Node *n, Err *e) {
   static const ClusterEvents events = {
-      on_reserved, on_instances, on_peer_conf, conf_text, on_feed,    on_work,
-      on_parts,    on_tally,     on_permit,    on_limit,  on_suspect, on_pool};
+      on_reservation_decided, on_instances_changed,
+      on_peer_conf,           conf_text,
+      on_feed_received,       on_work_reported,
+      on_parts_reported,      on_tally_received,
+      on_permit_answered,     on_limit_received,
+      on_suspect_received,    on_pool_reported};
   ClusterOptions o = {.seeds = settings_text(settings, "seeds"),
                       .seed = random_number(),
                       .regions = n->regions};
@@ -561,27 +581,32 @@
   return n;
 }
 
-static bool open_parts(Node *n, Err *e) {
+static bool open_modules(Node *n, Err *e) {
   static const FeedEvents feed_events = {
-      on_conf,  on_target, on_gone,   on_listed, on_evacuation, on_evacuations,
-      on_trial, on_trials, on_duty,   on_tell,   on_settled,    on_tell_one,
-      on_part,  on_met,    on_knocks, on_asks};
-  static const CallerEvents ready_events = {on_question, on_questioner_gone,
-                                            on_questioner_gone};
-  RetriesOptions retries = {.ratio = number("retry-ratio"),
-                            .window_s = number("retry-window"),
-                            .extra = number("retry-extra")};
-  RelayOptions relay = {
-      .listen = settings_text(settings, "listen"),
-      .body_room = (settings_number(settings, "memory") << 20) / BODY_SHARE};
-  n->seeds = count_seeds(settings_text(settings, "seeds"));
+      on_conf,           on_target_read,        on_target_gone,
+      on_targets_listed, on_evacuation_changed, on_evacuations_listed,
+      on_trial_changed,  on_trials_listed,      on_reader_duty,
+      on_broadcast,      on_discovery_done,     on_send_to,
+      on_next_part,      on_store_outcome,      on_may_probe_store,
+      on_may_query_store};
+  static const CallerEvents ready_events = {
+      on_status_request, on_status_caller_gone, on_status_caller_gone};
+  RetriesOptions retries = {.ratio = setting_number("retry-ratio"),
+                            .window_s = setting_number("retry-window"),
+                            .extra = setting_number("retry-extra")};
+  RelayOptions relay = {.listen = settings_text(settings, "listen"),
+                        .body_room =
+                            (settings_number(settings, "memory") << 20) /
+                            BODY_MEMORY_DIVISOR};
+  n->seed_count = count_seeds(settings_text(settings, "seeds"));
   n->regions = regions_new(settings_text(settings, "datacentre"),
                            settings_text(settings, "region"),
                            settings_text(settings, "datacentres"));
   n->targets =
       targets_new(settings_text(settings, "datacentre"), random_number());
   targets_regions(n->targets, n->regions);
-  targets_cold_bound(n->targets, number("cold-overrun"), number("cold-extra"));
+  targets_cold_bound(n->targets, setting_number("cold-overrun"),
+                     setting_number("cold-extra"));
   n->retries = retries_new(&retries);
   n->store = store_open(n->loop, settings_text(settings, "platform"));
   n->cluster = open_cluster(n, e);
@@ -594,20 +619,20 @@
   n->ready = callers_open(n->loop, settings_text(settings, "ready"),
                           &ready_events, n, e);
   if (!n->ready) return false;
-  callers_room(n->ready, READY_ROOM);
+  callers_room(n->ready, READY_BUFFER_BYTES);
   n->feed = feed_open(n->loop, n->store, &feed_events, n);
   return true;
 }
 
 static void start_timers(Node *n) {
-  loopclock_on_gap(n->loop, STILL_S, on_still, n);
-  intake_start(&n->intake, loopclock_now(n->loop), number("link"));
-  ev_timer_init(&n->tick, on_tick, TICK_S, TICK_S);
-  ev_timer_init(&n->sweep, on_sweep, SWEEP_S, SWEEP_S);
+  loopclock_on_gap(n->loop, PAUSE_MIN_S, on_pause, n);
+  intake_start(&n->intake, loopclock_now(n->loop), setting_number("link"));
+  ev_timer_init(&n->tick, on_tick, TICK_INTERVAL_S, TICK_INTERVAL_S);
+  ev_timer_init(&n->sweep, on_sweep, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S);
   ev_signal_init(&n->term, on_stop_signal, SIGTERM);
   ev_signal_init(&n->intr, on_stop_signal, SIGINT);
   ev_signal_init(&n->hup, on_hup, SIGHUP);
-  ev_prepare_init(&n->turn, on_turn);
+  ev_prepare_init(&n->turn, on_before_sleep);
   ev_set_priority(&n->turn, EV_MAXPRI);
   n->tick.data = n->sweep.data = n->turn.data = n;
   n->term.data = n->intr.data = n->hup.data = n;
@@ -619,9 +644,9 @@
   ev_signal_start(n->loop, &n->hup);
 }
 
-/* The last words to the other instances leave as their links close; requests
-   that are still open are broken off with their connections. */
-static void close_parts(Node *n) {
+/* The last messages to other instances are sent as their links close. Requests
+   that are still open are aborted with their connections. */
+static void close_modules(Node *n) {
   feed_close(n->feed);
   callers_close(n->ready);
   relay_close(n->relay);
@@ -648,11 +673,11 @@
   snprintf(n->id, sizeof n->id, "%.36s.%08x", settings_text(settings, "name"),
            random_number());
   log_open(n->id, false);
-  log_bound(LOG_LINES);
+  log_bound(LOG_LINES_PER_S);
   signal(SIGPIPE, SIG_IGN);
   n->loop = ev_default_loop(EVFLAG_AUTO);
   if (n->loop) loopclock_start(n->loop);
-  if (!n->loop || !open_parts(n, &e)) {
+  if (!n->loop || !open_modules(n, &e)) {
     log_warn("start-failed", "s:s,s:s", "error", e.text, "remedy",
              err_info(e.kind)->remedy);
     return 1;
@@ -661,6 +686,6 @@
   log_info("started", "s:s,s:s", "listen", settings_text(settings, "listen"),
            "datacentre", settings_text(settings, "datacentre"));
   ev_run(n->loop, 0);
-  close_parts(n);
+  close_modules(n);
   return n->status;
 }
--- a/packages/node/node.h
+++ b/packages/node/node.h
@@ -1,9 +1,9 @@
-/* node.h: one instance on the users' machines: the event loop, and everything
-   that runs on it. */
+/* node.h: one production instance: the event loop and everything that runs on
+   it. */
 #ifndef NODE_NODE_H
 #define NODE_NODE_H
 
-/* Runs until a planned stop is over; the exit status of the process. */
+/* Runs until a planned stop is complete; returns the process's exit status. */
 int node_run(int argc, char **argv);
 
 #endif
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -177,12 +177,12 @@
     HandoverAsk ask = {0};
     bool more = true;
     while (more) {
-      cr_assert(giving_part(x, NOW + child * 0.1, 700, &ask, &m));
+      cr_assert(giving_get_part(x, NOW + child * 0.1, 700, &ask, &m));
       cr_assert(m.from == ask.part && m.at == 700);
       more = m.lapsed;
       ask = (HandoverAsk){.part = ask.part + 1, .at = 700};
     }
-    cr_assert_not(giving_part(x, NOW, 700, &ask, &m), "there are no more");
+    cr_assert_not(giving_get_part(x, NOW, 700, &ask, &m), "there are no more");
   }
   cr_assert_leq(g.made, 5);
   giving_free(x);
@@ -195,19 +195,19 @@
   CodecFeed m, word = {.kind = 1, .from = 700, .at = 705};
   HandoverAsk first = {0}, stale = {.part = 1, .at = 600};
   int words = 0;
-  giving_note(x, &word); /* nobody asked yet */
-  cr_assert(giving_part(x, NOW, 700, &first, &m));
-  giving_note(x, &word);
+  giving_add_update(x, &word); /* nobody asked yet */
+  cr_assert(giving_get_part(x, NOW, 700, &first, &m));
+  giving_add_update(x, &word);
   word.from = word.at; /* nothing new */
-  giving_note(x, &word);
-  giving_words(x, count, &words);
+  giving_add_update(x, &word);
+  giving_each_update(x, count, &words);
   cr_assert_eq(words, 1);
-  cr_assert(giving_part(x, NOW + 1, 710, &stale, &m));
+  cr_assert(giving_get_part(x, NOW + 1, 710, &stale, &m));
   cr_assert(m.from == 0 && m.at == 700, "from its beginning");
-  cr_assert(giving_part(x, NOW + HANDOVER_KEEP_S + 1, 720, &first, &m));
+  cr_assert(giving_get_part(x, NOW + HANDOVER_KEEP_S + 1, 720, &first, &m));
   cr_assert_eq(m.at, 720);
   words = 0;
-  giving_words(x, count, &words);
+  giving_each_update(x, count, &words);
   cr_assert_eq(words, 0);
   giving_free(x);
   targets_free(g.targets);
