--- a/tests/test_conf.c
+++ b/tests/test_conf.c
@@ -23,7 +23,7 @@
 static Conf *conf(void) {
   Err e = {0};
   json_t *o = json_loads(text, 0, NULL);
-  Conf *c = document_conf(o, &e);
+  Conf *c = document_parse_conf(o, &e);
   json_decref(o);
   return c;
 }
@@ -73,7 +73,7 @@
 Test(conf, a_damaged_one_is_refused) {
   Err e = {0};
   json_t *o = json_loads("{\"version\":1}", 0, NULL);
-  cr_assert_null(document_conf(o, &e));
+  cr_assert_null(document_parse_conf(o, &e));
   cr_assert_eq(e.kind, ERR_TABLE);
   json_decref(o);
 }
@@ -88,7 +88,7 @@
   Document d;
   TargetInfo t;
   cr_assert(document_read(o, &d));
-  cr_assert(document_target(&d, &t));
+  cr_assert(document_parse_target(&d, &t));
   cr_assert_str_eq(t.id, "i-1");
   cr_assert(t.leaving);
   cr_assert_eq(t.revision, 5);
--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -1,5 +1,5 @@
-/* test_document.c: entries of targets as they stand in the store, also damaged
-   ones of other writers. */
+/* test_document.c: parsing targets' entries from the store, including invalid
+   ones that another program wrote, and recovering damaged answers. */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -7,11 +7,11 @@
 #include "platform/document.h"
 #include "platform/salvage.h"
 
-#define GOOD                                                                   \
+#define VALID_FIELDS                                                           \
   "\"service\":\"desk\",\"addr\":\"10.0.0.1:80\",\"zone\":\"a\","              \
   "\"state\":\"ready\",\"slots\":4"
 
-/* Reads an entry with these fields. */
+/* Parses an entry with these fields. */
 static bool read_entry(const char *fields, TargetInfo *t) {
   char text[1024];
   Document d;
@@ -21,24 +21,24 @@
   json_t *o = json_loads(text, 0, NULL);
   cr_assert_not_null(o, "%s", text);
   cr_assert(document_read(o, &d));
-  bool ok = document_target(&d, t);
+  bool ok = document_parse_target(&d, t);
   json_decref(o);
   return ok;
 }
 
-Test(document, a_sound_entry_is_read) {
+Test(document, a_valid_entry_is_parsed) {
   TargetInfo t;
-  cr_assert(read_entry(GOOD, &t));
+  cr_assert(read_entry(VALID_FIELDS, &t));
   cr_assert(strcmp(t.id, "i-1") == 0 && strcmp(t.service, "desk") == 0);
   cr_assert(strcmp(t.addr, "10.0.0.1:80") == 0 && strcmp(t.dc, "a") == 0);
   cr_assert(t.slots == 4 && t.revision == 7 && t.born == 0 && !t.leaving);
-  cr_assert(read_entry(GOOD ",\"born\":1796253698643,\"seq\":3,"
-                            "\"cold_left_ms\":1500,\"phase\":\"both\"",
+  cr_assert(read_entry(VALID_FIELDS ",\"born\":1796253698643,\"seq\":3,"
+                                    "\"cold_left_ms\":1500,\"phase\":\"both\"",
                        &t));
   cr_assert(t.born == 1796253698643 && t.cold_s == 1.5);
 }
 
-Test(document, one_that_drains_leaves) {
+Test(document, a_draining_target_is_leaving) {
   TargetInfo t;
   cr_assert(read_entry("\"service\":\"desk\",\"addr\":\"10.0.0.1:80\","
                        "\"zone\":\"a\",\"state\":\"draining\",\"slots\":4",
@@ -46,7 +46,7 @@
   cr_assert(t.leaving);
 }
 
-Test(document, a_damaged_entry_names_no_target) {
+Test(document, an_invalid_entry_is_refused) {
   static const char *const bad[] = {
       "",
       /* a field is missing */
@@ -57,47 +57,47 @@
       "\"service\":\"d\",\"addr\":\"1.1.1.1:1\",\"zone\":\"a\",\"slots\":4",
       "\"service\":\"d\",\"addr\":\"1.1.1.1:1\",\"zone\":\"a\","
       "\"state\":\"ready\"",
-      /* it is of another type, or nonsense */
-      GOOD ",\"slots\":\"4\"",
-      GOOD ",\"slots\":-1",
-      GOOD ",\"slots\":99999999999",
-      GOOD ",\"service\":7",
-      GOOD ",\"service\":\"\"",
-      GOOD ",\"addr\":\"somewhere\"",
-      GOOD ",\"addr\":\"10.0.0.1\"",
-      GOOD ",\"addr\":[1]",
-      GOOD ",\"zone\":null",
-      GOOD ",\"state\":\"asleep\"",
-      GOOD ",\"state\":true",
-      GOOD ",\"born\":\"today\"",
-      GOOD ",\"born\":1.5",
-      GOOD ",\"seq\":{}",
-      GOOD ",\"cold_left_ms\":\"\"",
+      /* a field has a wrong type or an invalid value */
+      VALID_FIELDS ",\"slots\":\"4\"",
+      VALID_FIELDS ",\"slots\":-1",
+      VALID_FIELDS ",\"slots\":99999999999",
+      VALID_FIELDS ",\"service\":7",
+      VALID_FIELDS ",\"service\":\"\"",
+      VALID_FIELDS ",\"addr\":\"somewhere\"",
+      VALID_FIELDS ",\"addr\":\"10.0.0.1\"",
+      VALID_FIELDS ",\"addr\":[1]",
+      VALID_FIELDS ",\"zone\":null",
+      VALID_FIELDS ",\"state\":\"asleep\"",
+      VALID_FIELDS ",\"state\":true",
+      VALID_FIELDS ",\"born\":\"today\"",
+      VALID_FIELDS ",\"born\":1.5",
+      VALID_FIELDS ",\"seq\":{}",
+      VALID_FIELDS ",\"cold_left_ms\":\"\"",
   };
   TargetInfo t;
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
     cr_assert(!read_entry(bad[i], &t), "%s", bad[i]);
 }
 
-Test(document, content_that_is_no_object_names_no_target) {
+Test(document, content_that_is_not_an_object_is_refused) {
   static const char *const bad[] = {"null", "7", "\"x\"", "[]"};
   TargetInfo t;
   for (int i = 0; i < 4; i++) {
     Document d = {.name = "i-1",
                   .content = json_loads(bad[i], JSON_DECODE_ANY, NULL)};
-    cr_assert(!document_target(&d, &t), "%s", bad[i]);
+    cr_assert(!document_parse_target(&d, &t), "%s", bad[i]);
     json_decref(d.content);
   }
   Document none = {.name = "i-1"};
-  cr_assert(!document_target(&none, &t));
+  cr_assert(!document_parse_target(&none, &t));
 }
 
-/* == answers that are no JSON == */
+/* == answers that are not valid JSON == */
 
 #define ENTRY(name, spec) "{\"meta\":{\"name\":\"" name "\"},\"spec\":" spec "}"
 
-static json_t *salvage(const char *text, int *lost) {
-  cr_assert_null(json_loads(text, 0, NULL), "it is sound: %s", text);
+static json_t *salvage_invalid(const char *text, int *lost) {
+  cr_assert_null(json_loads(text, 0, NULL), "it is valid JSON: %s", text);
   return salvage_list(text, strlen(text), lost);
 }
 
@@ -107,7 +107,7 @@
   return json_string_value(json_object_get(json_object_get(e, "meta"), "name"));
 }
 
-Test(document, one_entry_that_cannot_be_read_costs_no_other) {
+Test(document, an_unreadable_entry_does_not_affect_others) {
   static const char *const specs[] = {"{\"addr\":\"\xff\xfe]}\"}",
                                       "{\"slots\":1e999}", "{\"slots\":,}",
                                       "{\"a\":\"\x01\"}", "\"\\ud800\""};
@@ -118,7 +118,7 @@
              "{\"at\":9,\"entries\":[" ENTRY("a", "{}") "," ENTRY(
                  "b", "%s") "," ENTRY("c", "{\"x\":[{}]}") "],\"more\":false}",
              specs[i]);
-    json_t *o = salvage(text, &lost);
+    json_t *o = salvage_invalid(text, &lost);
     cr_assert_not_null(o, "%s", text);
     cr_assert_eq(lost, 1, "%d", lost);
     cr_assert_eq(json_array_size(json_object_get(o, "entries")), 2);
@@ -129,15 +129,15 @@
   }
 }
 
-Test(document, events_are_salvaged_alike) {
+Test(document, an_unreadable_event_does_not_affect_others) {
   int lost;
-  json_t *o =
-      salvage("{\"events\":[{\"object\":" ENTRY(
-                  "a", "{\"n\":\"\xc0\"}") ",\"gone\":false},"
-                                           "{\"object\":" ENTRY(
-                                               "b", "{}") ",\"gone\":true}],"
-                                                          "\"at\":12}",
-              &lost);
+  json_t *o = salvage_invalid(
+      "{\"events\":[{\"object\":" ENTRY(
+          "a", "{\"n\":\"\xc0\"}") ",\"gone\":false},"
+                                   "{\"object\":" ENTRY(
+                                       "b", "{}") ",\"gone\":true}],"
+                                                  "\"at\":12}",
+      &lost);
   cr_assert_not_null(o);
   cr_assert_eq(lost, 1);
   cr_assert_str_eq(name_at(o, "events", 0), "b");
@@ -155,31 +155,32 @@
                                     "{\"entries\":[{\"a\":\"\xff"};
   int lost;
   for (int i = 0; i < 7; i++)
-    cr_assert_null(salvage(bad[i], &lost), "%s", bad[i]);
+    cr_assert_null(salvage_invalid(bad[i], &lost), "%s", bad[i]);
 }
 
-/* Any cut and any changed byte: read or refused, never beyond the text. */
-Test(document, damage_anywhere_is_borne) {
-  const char *sound = "{\"entries\":[" ENTRY("a", "{\"x\":\"\\\"\"}") "," ENTRY(
+/* Truncated and altered text is parsed or refused; the parser never reads past
+   its end. */
+Test(document, damage_anywhere_is_tolerated) {
+  const char *valid = "{\"entries\":[" ENTRY("a", "{\"x\":\"\\\"\"}") "," ENTRY(
       "b", "{}") "],\"at\":3}";
-  size_t n = strlen(sound);
+  size_t n = strlen(valid);
   for (size_t cut = 0; cut <= n; cut++)
     for (int byte = 0; byte < 256; byte += 5) {
       char *text = malloc(cut + 1);
       int lost;
-      memcpy(text, sound, cut);
+      memcpy(text, valid, cut);
       if (cut > 0) text[cut / 2] = (char)byte;
       json_decref(salvage_list(text, cut, &lost));
       free(text);
     }
 }
 
-/* Readers tell thousands of entries to all: what nobody reads is left out, and
-   what is told is read as the entry itself. */
-Test(document, a_brief_entry_is_read_as_the_whole) {
+/* Readers send thousands of entries to all instances, without the fields that
+   nobody reads. A trimmed entry must parse like the whole one. */
+Test(document, a_trimmed_entry_parses_like_the_whole) {
   static const char *const texts[] = {
       "{\"meta\":{\"name\":\"i-1\",\"revision\":7,\"made\":5,"
-      "\"finalizers\":[],\"deleting\":false},\"spec\":{" GOOD
+      "\"finalizers\":[],\"deleting\":false},\"spec\":{" VALID_FIELDS
       ",\"born\":9,\"seq\":3,\"version\":\"v1\",\"phase\":\"both\","
       "\"models\":[{\"name\":\"m\",\"version\":1,\"adapters\":[]}]},"
       "\"status\":null}",
@@ -188,23 +189,24 @@
       "{\"meta\":{\"name\":\"i-1\",\"revision\":7}}"};
   for (size_t i = 0; i < sizeof texts / sizeof *texts; i++) {
     json_t *whole = json_loads(texts[i], 0, NULL);
-    json_t *brief = document_brief(whole);
+    json_t *trimmed = document_trim(whole);
     Document a, b;
     TargetInfo x, y;
     memset(&x, 0, sizeof x);
     memset(&y, 0, sizeof y);
-    cr_assert_eq(document_read(whole, &a), document_read(brief, &b));
-    cr_assert_eq(document_target(&a, &x), document_target(&b, &y), "%zu", i);
+    cr_assert_eq(document_read(whole, &a), document_read(trimmed, &b));
+    cr_assert_eq(document_parse_target(&a, &x), document_parse_target(&b, &y),
+                 "%zu", i);
     cr_assert(a.revision == b.revision && strcmp(a.name, b.name) == 0);
     cr_assert_eq(memcmp(&x, &y, sizeof x), 0, "%zu", i);
     if (i == 0) cr_assert_null(json_object_get(b.content, "models"));
     json_decref(whole);
-    json_decref(brief);
+    json_decref(trimmed);
   }
 }
 
-/* The load that this answers: a reader's first watch brings all entries of ten
-   thousand targets at once. */
+/* A reader's first watch can return the entries of ten thousand targets at
+   once; such an answer is trimmed member by member. */
 Test(document, a_long_answer_is_read_member_by_member) {
   enum { N = 1000 };
   GString *text = g_string_new("{\"events\":[");
@@ -213,11 +215,12 @@
     g_string_append_printf(
         text,
         "%s{\"gone\":%s,\"object\":{\"meta\":{\"name\":\"i-%d\",\"revision\":"
-        "%d,\"made\":1,\"finalizers\":[]},\"spec\":{" GOOD
+        "%d,\"made\":1,\"finalizers\":[]},\"spec\":{" VALID_FIELDS
         ",\"phase\":\"]}\\\"both\",\"models\":[{\"name\":\"m\"}],\"seq\":%d}}}",
         i ? "," : "", i % 10 ? "false" : "true", i, i + 1, i);
   g_string_append(text, "],\"at\":4711}");
-  json_t *o = salvage_brief(text->str, text->len, &lost, document_brief_member);
+  json_t *o =
+      salvage_filtered_list(text->str, text->len, &lost, document_trim_member);
   json_t *events = json_object_get(o, "events"), *e;
   size_t i;
   cr_assert(lost == 0 && json_array_size(events) == N);
@@ -226,7 +229,7 @@
     Document d;
     TargetInfo t;
     cr_assert(document_read(json_object_get(e, "object"), &d));
-    cr_assert(document_target(&d, &t) && t.revision == i + 1);
+    cr_assert(document_parse_target(&d, &t) && t.revision == i + 1);
     cr_assert_null(json_object_get(d.content, "models"));
     cr_assert_eq(json_is_true(json_object_get(e, "gone")), i % 10 == 0);
   }
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -107,7 +107,7 @@
              "\"tenants\":[{\"name\":\"acme\",\"allowed_regions\":%s}]}",
              rows[i].json, rows[i].json);
     json_t *o = json_loads(text, 0, NULL);
-    Conf *c = document_conf(o, &e);
+    Conf *c = document_parse_conf(o, &e);
     char **lists[] = {conf_route(c, "h", "/")->regions,
                       ((ConfCustomer *)c->customers->pdata[0])->regions};
     for (size_t k = 0; k < G_N_ELEMENTS(lists); k++) {
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -1,5 +1,5 @@
-/* test_wire.c: header fields of callers and targets, taken apart and put
-   together. */
+/* test_wire.c: decoding and encoding the header fields of callers and targets.
+ */
 #include <criterion/criterion.h>
 #include <limits.h>
 #include <string.h>
@@ -14,35 +14,36 @@
   }
 }
 
-static const char *const asked[] = {"Host",
-                                    "Front.Example:8080",
-                                    "X-Loftpath-Attempt-Id",
-                                    "a1",
-                                    "X-Loftpath-Token-Count",
-                                    "1460,80",
-                                    "X-Loftpath-Prefix-Hash",
-                                    "5c1e07a2:800,91bd3f06:410,e4402b7d:250",
-                                    "X-Loftpath-Deadline-Ms",
-                                    "12000",
-                                    "Authorization",
-                                    "Bearer secret",
-                                    "X-Loftpath-Tenant",
-                                    "forged",
-                                    "X-Loftpath-Expect-Instance",
-                                    "forged",
-                                    "Connection",
-                                    "keep-alive, X-Own",
-                                    "X-Own",
-                                    "hop",
-                                    "X-Other",
-                                    "kept",
-                                    NULL};
+static const char *const request_fields[] = {
+    "Host",
+    "Front.Example:8080",
+    "X-Loftpath-Attempt-Id",
+    "a1",
+    "X-Loftpath-Token-Count",
+    "1460,80",
+    "X-Loftpath-Prefix-Hash",
+    "5c1e07a2:800,91bd3f06:410,e4402b7d:250",
+    "X-Loftpath-Deadline-Ms",
+    "12000",
+    "Authorization",
+    "Bearer secret",
+    "X-Loftpath-Tenant",
+    "forged",
+    "X-Loftpath-Expect-Instance",
+    "forged",
+    "Connection",
+    "keep-alive, X-Own",
+    "X-Own",
+    "hop",
+    "X-Other",
+    "kept",
+    NULL};
 
 Test(wire, a_request_is_read) {
   Headers h;
   Ask a;
   Err e = {0};
-  fill(&h, asked);
+  fill(&h, request_fields);
   cr_assert(wire_ask(&h, &a, &e));
   cr_assert_str_eq(a.id, "a1");
   cr_assert_str_eq(a.host, "front.example");
@@ -72,7 +73,7 @@
   }
 }
 
-Test(wire, a_target_gets_our_word_and_never_the_key) {
+Test(wire, a_target_gets_router_fields_and_never_the_key) {
   Headers h;
   GString *body = g_string_new("abc"), *out = g_string_new(NULL);
   AskSend send = {.target = "i-1",
@@ -81,7 +82,7 @@
                   .left_s = 1.5,
                   .priority = 2,
                   .last_event = ASK_NO_EVENT};
-  fill(&h, asked);
+  fill(&h, request_fields);
   wire_request(out, "POST", "/a/b?c=d", &h, body, &send);
   cr_assert(g_str_has_prefix(out->str, "POST /a/b?c=d HTTP/1.1\r\n"));
   cr_assert(strstr(out->str, "X-Loftpath-Attempt-Id: a1\r\n"));
@@ -101,7 +102,7 @@
   headers_free(&h);
 }
 
-Test(wire, a_stream_goes_on_after_what_was_passed) {
+Test(wire, a_stream_resumes_after_the_last_passed_event) {
   static const char *const resumed[] = {"X-Loftpath-Attempt-Id", "a",
                                         "Last-Event-Id", "3", NULL};
   Headers h;
@@ -117,7 +118,7 @@
   headers_free(&h);
 }
 
-Test(wire, an_answer_is_ours_by_its_id) {
+Test(wire, an_answer_is_matched_by_its_id) {
   static const char *const list[] = {"X-Loftpath-Attempt-Id",
                                      "a1",
                                      "X-Loftpath-Server-Stamp",
@@ -140,7 +141,7 @@
   headers_free(&h);
 }
 
-Test(wire, a_refusal_says_when_to_come_back) {
+Test(wire, a_refusal_has_a_retry_time) {
   GString *out = g_string_new(NULL);
   Err e = {.retry_ms = 200};
   wire_refusal(out, "a1", &e);
@@ -149,8 +150,8 @@
   g_string_free(out, TRUE);
 }
 
-/* What an answer with that one field says. */
-static void answer_of(const char *field, const char *text, Answer *a) {
+/* Decodes an answer with this one field. */
+static void read_answer(const char *field, const char *text, Answer *a) {
   const char *const list[] = {field, text, NULL};
   Headers h;
   fill(&h, list);
@@ -175,7 +176,7 @@
   };
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++) {
     Answer a;
-    answer_of("Server-Limit", rows[i].text, &a);
+    read_answer("Server-Limit", rows[i].text, &a);
     cr_assert_eq(a.limits, rows[i].limits, "%s", rows[i].text);
     cr_assert_float_eq(a.limit, rows[i].limit, 1e-9, "%s", rows[i].text);
   }
@@ -187,12 +188,12 @@
   headers_free(&none);
 }
 
-Test(wire, what_a_target_says_of_its_load_is_read) {
+Test(wire, a_reported_load_is_read) {
   static const struct {
     const char *text;
-    bool told;
+    bool reported;
     int running, waiting;
-    double pace; /* 0: not told */
+    double pace; /* 0: not reported */
   } rows[] = {
       {"3,0,8", true, 3, 0, 0},
       {"3,1,8,100", true, 3, 1, 1},
@@ -211,8 +212,8 @@
   };
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++) {
     Answer a;
-    answer_of("X-Loftpath-Server-Load", rows[i].text, &a);
-    cr_assert_eq(a.load_told, rows[i].told, "%s", rows[i].text);
+    read_answer("X-Loftpath-Server-Load", rows[i].text, &a);
+    cr_assert_eq(a.load_told, rows[i].reported, "%s", rows[i].text);
     cr_assert_eq(a.running, rows[i].running, "%s", rows[i].text);
     cr_assert_eq(a.waiting, rows[i].waiting, "%s", rows[i].text);
     cr_assert_float_eq(a.pace, rows[i].pace, 1e-6, "%s", rows[i].text);
