--- a/packages/flow/asking.c
+++ b/packages/flow/asking.c
@@ -31,7 +31,7 @@
   for (int i = 0; i < x->n_queried; i++) {
     a.target = targets[i];
     a.counter = targets_counter(r->targets, targets[i]);
-    cluster_tally_ask(r->cluster, &a);
+    cluster_request_tally(r->cluster, &a);
   }
   ev_timer_init(&x->query_timer, on_query_timeout, RUN_ANSWER_TIMEOUT_S, 0);
   x->query_timer.data = x;
@@ -63,7 +63,7 @@
                 .regions = x->regions};
   if (parts)
     m.parts.n = parts_names(&x->request, m.parts.names, TALLY_MAX_PARTS);
-  cluster_tally_tell(x->relay->cluster, &m);
+  cluster_report_run(x->relay->cluster, &m);
 }
 
 void run_report_sent(Run *x) {
--- a/packages/flow/breaks.c
+++ b/packages/flow/breaks.c
@@ -57,7 +57,7 @@
   SuspectsMsg m;
   while (suspects_next_message(r->suspects, &m)) {
     if (m.kind != SUSPECTS_MARK) log_suspect(&m, "ours");
-    cluster_suspect(r->cluster, &m);
+    cluster_send_suspect(r->cluster, &m);
   }
 }
 
--- a/packages/flow/permits.c
+++ b/packages/flow/permits.c
@@ -54,7 +54,7 @@
   ev_timer_init(&x->query_timer, on_no_answer, RUN_ANSWER_TIMEOUT_S, 0);
   x->query_timer.data = x;
   ev_timer_start(r->loop, &x->query_timer);
-  cluster_permit_ask(r->cluster, &a);
+  cluster_request_permit(r->cluster, &a);
 }
 
 /* == limits == */
@@ -71,7 +71,7 @@
 static void send_limit(const Run *x, double limit) {
   TallyLimit message = {.target = target_hash(x->target), .limit = limit};
   message.counter = targets_counter(x->relay->targets, message.target);
-  cluster_limit(x->relay->cluster, &message);
+  cluster_report_limit(x->relay->cluster, &message);
 }
 
 void run_record_limit(Run *x, const AnswerInfo *a) {
--- a/packages/flow/relay.c
+++ b/packages/flow/relay.c
@@ -76,7 +76,7 @@
     run_dispatch(x);
     return;
   }
-  int settles_ms = cluster_settles_in(r->cluster);
+  int settles_ms = cluster_ready_in_ms(r->cluster);
   if (settles_ms > 0) {
     refuse_budget(x, ERR_BUDGET_CUT, settles_ms);
     return;
@@ -88,7 +88,7 @@
   x->reservation =
       cluster_reserve(r->cluster, x->customer->name, x->reserved_tokens);
   g_hash_table_insert(r->runs_by_reservation, &x->reservation, x);
-  cluster_act(r->cluster);
+  cluster_run_actions(r->cluster);
 }
 
 /* == requests == */
