--- a/bench/load.c
+++ b/bench/load.c
@@ -27,7 +27,7 @@
   double last = 0;
   long n;
   bool done = false;
-  while ((n = http_read(s, buf, sizeof buf - 1)) > 0) {
+  while ((n = http_stream_read(s, buf, sizeof buf - 1)) > 0) {
     double now = clock_now(), gap = now - (last > 0 ? last : sent);
     buf[n] = '\0';
     g_array_append_val(last > 0 ? c->gaps : c->first, gap);
@@ -49,20 +49,20 @@
            model, tokens);
   const char *headers[] = {"Authorization", auth, "Content-Type",
                            "application/json", NULL};
-  HttpClient *http = http_client(addr, 10, 60);
-  HttpAnswer a;
-  HttpCall call = {.method = "POST",
-                   .path = "/v1/chat/completions",
-                   .headers = headers,
-                   .body = body,
-                   .len = strlen(body)};
+  HttpClient *http = http_client_new(addr, 10, 60);
+  HttpResponse a;
+  HttpClientRequest call = {.method = "POST",
+                            .path = "/v1/chat/completions",
+                            .headers = headers,
+                            .body = body,
+                            .body_bytes = strlen(body)};
   double sent = clock_now();
-  HttpStream *s = http_open(http, &call, false, &a);
+  HttpStream *s = http_stream_open(http, &call, false, &a);
   if (s && a.status == 200)
     read_stream(c, s, sent);
   else
     c->failed++;
-  http_close(s);
+  http_stream_close(s);
   http_client_free(http);
 }
 
--- a/bin/loftpath.c
+++ b/bin/loftpath.c
@@ -83,29 +83,30 @@
 /* == calls == */
 
 static bool call_at(const Args *a, const char *address, const char *method,
-                    const char *path, const char *body, HttpAnswer *out) {
+                    const char *path, const char *body, HttpResponse *out) {
   char auth[512];
   snprintf(auth, sizeof auth, "Bearer %s", a->key);
   const char *headers[] = {"Authorization", auth, NULL};
-  HttpClient *c = http_client(address, 5, CALL_S);
+  HttpClient *c = http_client_new(address, 5, CALL_S);
   if (!c) {
     fprintf(stderr, "loftpath: '%s' is not ip:port\n", address);
     memset(out, 0, sizeof *out);
     return false;
   }
-  http_call(c,
-            &(HttpCall){.method = method,
-                        .path = path,
-                        .headers = headers,
-                        .body = body,
-                        .len = body ? strlen(body) : 0},
-            ANSWER_MAX, out);
+  http_client_request(
+      c,
+      &(HttpClientRequest){.method = method,
+                           .path = path,
+                           .headers = headers,
+                           .body = body,
+                           .body_bytes = body ? strlen(body) : 0},
+      ANSWER_MAX, out);
   http_client_free(c);
-  return out->status == 200 && out->whole;
+  return out->status == 200 && out->complete;
 }
 
 /* Prints why a call failed; the exit code. */
-static int failed(const Args *a, HttpAnswer *out) {
+static int failed(const Args *a, HttpResponse *out) {
   int code = out->status ? EXIT_REFUSED : EXIT_FAILED;
   json_t *o = out->body && out->body->len
                   ? json_loadb(out->body->str, out->body->len, 0, NULL)
@@ -123,19 +124,19 @@
       fprintf(stderr, "  %s\n", json_string_value(line));
   if (remedy) fprintf(stderr, "  remedy: %s\n", remedy);
   json_decref(o);
-  http_answer_free(out);
+  http_response_free(out);
   return code;
 }
 
 static json_t *get_json(const Args *a, const char *path, int *code) {
-  HttpAnswer out;
+  HttpResponse out;
   *code = EXIT_FINE;
   if (!call_at(a, a->address, "GET", path, NULL, &out)) {
     *code = failed(a, &out);
     return NULL;
   }
   json_t *o = json_loadb(out.body->str, out.body->len, 0, NULL);
-  http_answer_free(&out);
+  http_response_free(&out);
   return o;
 }
 
@@ -356,17 +357,17 @@
 }
 
 static int cmd_show(const Args *a) {
-  HttpAnswer out;
+  HttpResponse out;
   if (!call_at(a, a->address, "GET", "/admin/table", NULL, &out))
     return failed(a, &out);
   fwrite(out.body->str, 1, out.body->len, stdout);
-  http_answer_free(&out);
+  http_response_free(&out);
   return EXIT_FINE;
 }
 
 /* Prints the changes; their number, -1 when the fleet did not answer. */
 static int print_diff(const Args *a, const Table *mine) {
-  HttpAnswer out;
+  HttpResponse out;
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
   if (!call_at(a, a->address, "GET", "/admin/table", NULL, &out)) {
     failed(a, &out);
@@ -384,7 +385,7 @@
   g_ptr_array_unref(changes);
   g_ptr_array_free(errors, TRUE);
   table_free(now);
-  http_answer_free(&out);
+  http_response_free(&out);
   return n;
 }
 
@@ -447,10 +448,10 @@
                       (unsigned long long)id[0], (unsigned long long)id[1], who,
                       a->base ? "&base=" : "", a->base ? a->base : "");
   /* The id makes it safe to send again when the answer is lost. */
-  HttpAnswer out;
+  HttpResponse out;
   bool ok = false;
   for (int i = 0; i < 3 && !ok; i++) {
-    if (i > 0) http_answer_free(&out);
+    if (i > 0) http_response_free(&out);
     ok = call_at(a, a->address, "POST", path, csv, &out);
     if (out.status && out.status != 503) break;
   }
@@ -460,16 +461,16 @@
   json_t *o = json_loadb(out.body->str, out.body->len, 0, NULL);
   json_int_t version = json_integer_value(json_object_get(o, "version"));
   json_decref(o);
-  http_answer_free(&out);
+  http_response_free(&out);
   return wait_in_force(a, version);
 }
 
 static int cmd_drain(const Args *a) {
-  HttpAnswer out;
+  HttpResponse out;
   if (!call_at(a, a->address, "POST", "/admin/drain", NULL, &out))
     return failed(a, &out);
   printf("%s\n", out.body->str);
-  http_answer_free(&out);
+  http_response_free(&out);
   return EXIT_FINE;
 }
 
--- a/bin/loftpathd.c
+++ b/bin/loftpathd.c
@@ -237,7 +237,7 @@
   log_info("started", "s:s", "listen", settings_text(settings, "listen"));
   wait_for_stop(&set);
   bool clean = drain(&set);
-  if (clean) http_finish(entry.server, STOP_LAST_S);
+  if (clean) http_server_drain(entry.server, STOP_LAST_S);
   if (!clean)
     log_warn("stop-cut", "s:i,s:I", "requests", atomic_load(&entry.open),
              "tokens",
--- a/fakes/booking.c
+++ b/fakes/booking.c
@@ -16,7 +16,7 @@
 static int bays;
 static char mode[16] = "none";
 
-static struct MHD_Response *book(const HttpReq *r, int *status) {
+static struct MHD_Response *book(const HttpRequest *r, int *status) {
   if (strcmp(mode, "slow") == 0) g_usleep(1500000);
   pthread_mutex_lock(&lock);
   char *key = g_strndup(r->body->str, r->body->len);
@@ -43,7 +43,7 @@
   return fake_reply(status, 200, o);
 }
 
-static struct MHD_Response *handle(void *ctx, HttpReq *r, int *status) {
+static struct MHD_Response *handle(void *ctx, HttpRequest *r, int *status) {
   (void)ctx;
   if (strcmp(r->path, "/book") == 0) return book(r, status);
   if (strcmp(r->path, "/stats") == 0) return stats(status);
@@ -52,7 +52,7 @@
         status, 200,
         json_pack("{s:i,s:i,s:i}", "running", 0, "waiting", 0, "slots", 32));
   if (strcmp(r->path, "/fault") == 0) {
-    const char *m = http_arg(r, "mode");
+    const char *m = http_request_argument(r, "mode");
     g_strlcpy(mode, m ? m : "none", sizeof mode);
     return fake_reply(status, 200, json_object());
   }
--- a/fakes/engine.c
+++ b/fakes/engine.c
@@ -240,8 +240,9 @@
   return m;
 }
 
-static struct MHD_Response *resume(const HttpReq *q, int *status) {
-  const char *id = http_arg(q, "id"), *from = http_arg(q, "from");
+static struct MHD_Response *resume(const HttpRequest *q, int *status) {
+  const char *id = http_request_argument(q, "id"),
+             *from = http_request_argument(q, "from");
   Run *r = id ? take_parked(id) : NULL;
   if (!r) return fake_reply(status, 404, json_object());
   r->trace->leave = r->drop = false;
@@ -273,10 +274,10 @@
   return fake_reply(status, 200, o);
 }
 
-static Run *new_run(const HttpReq *q, json_t *body) {
+static Run *new_run(const HttpRequest *q, json_t *body) {
   json_t *messages = json_object_get(body, "messages");
   json_t *max = json_object_get(body, "max_tokens");
-  const char *id = http_header(q, "X-Request-Id");
+  const char *id = http_request_header(q, "X-Request-Id");
   Run *r = g_new0(Run, 1);
   g_strlcpy(r->id, id ? id : "none", sizeof r->id);
   r->prompt = count_prompt(messages);
@@ -301,7 +302,7 @@
   return r;
 }
 
-static struct MHD_Response *complete(const HttpReq *q, int *status) {
+static struct MHD_Response *complete(const HttpRequest *q, int *status) {
   if (strcmp(mode, "error") == 0)
     return fake_reply(status, 500, json_pack("{s:s}", "error", "told to fail"));
   while (strcmp(mode, "hang") == 0) g_usleep(20000);
@@ -310,7 +311,7 @@
     json_decref(body);
     return fake_reply(status, 400, json_pack("{s:s}", "error", "no messages"));
   }
-  const char *p = http_header(q, "X-Priority");
+  const char *p = http_request_header(q, "X-Priority");
   take_slot(p ? CLAMP(atoi(p), 0, 9) : 5);
   Run *r = new_run(q, body);
   json_decref(body);
@@ -324,8 +325,8 @@
 }
 
 /* Stops a run and tells what it counted; 404 for a run it does not know. */
-static struct MHD_Response *cancel(const HttpReq *q, int *status) {
-  const char *id = http_arg(q, "id");
+static struct MHD_Response *cancel(const HttpRequest *q, int *status) {
+  const char *id = http_request_argument(q, "id");
   pthread_mutex_lock(&lock);
   Trace *t = id ? g_hash_table_lookup(by_id, id) : NULL;
   if (t) t->cancel = true;
@@ -345,8 +346,8 @@
   return fake_reply(status, 200, o);
 }
 
-static struct MHD_Response *order(const HttpReq *q, int *status) {
-  const char *f = http_arg(q, "fence");
+static struct MHD_Response *order(const HttpRequest *q, int *status) {
+  const char *f = http_request_argument(q, "fence");
   uint64_t n = f ? strtoull(f, NULL, 10) : 0;
   json_t *body = json_loadb(q->body->str, q->body->len, 0, NULL);
   json_t *list = json_object_get(body, "adapters");
@@ -372,7 +373,7 @@
   return fake_reply(status, 200, json_pack("{s:b}", "loading", (int)loading));
 }
 
-static struct MHD_Response *handle(void *ctx, HttpReq *r, int *status) {
+static struct MHD_Response *handle(void *ctx, HttpRequest *r, int *status) {
   (void)ctx;
   if (strcmp(r->path, "/v1/chat/completions") == 0) return complete(r, status);
   if (strcmp(r->path, "/resume") == 0) return resume(r, status);
@@ -380,7 +381,7 @@
   if (strcmp(r->path, "/load") == 0) return load(status);
   if (strcmp(r->path, "/adapters") == 0) return order(r, status);
   if (strcmp(r->path, "/fault") == 0) {
-    const char *m = http_arg(r, "mode");
+    const char *m = http_request_argument(r, "mode");
     g_strlcpy(mode, m ? m : "none", sizeof mode);
     return fake_reply(status, 200, json_object());
   }
--- a/fakes/fake.c
+++ b/fakes/fake.c
@@ -14,20 +14,20 @@
 struct MHD_Response *fake_reply(int *status, int code, json_t *o) {
   char *s = json_dumps(o, JSON_COMPACT);
   *status = code;
-  struct MHD_Response *m = http_text("application/json", s, strlen(s));
+  struct MHD_Response *m = http_text_response("application/json", s, strlen(s));
   free(s);
   json_decref(o);
   return m;
 }
 
 int fake_run(const char *addr, HttpHandler handler, int max_connections) {
-  HttpOptions o = {.max_body = MAX_BODY,
-                   .max_header = MAX_HEADER,
+  HttpOptions o = {.max_body_bytes = MAX_BODY,
+                   .max_header_bytes = MAX_HEADER,
                    .max_connections = max_connections,
-                   .idle_s = IDLE_S,
-                   .stack = STACK};
+                   .idle_timeout_s = IDLE_S,
+                   .stack_bytes = STACK};
   Err e;
-  if (!http_serve(addr, &o, handler, NULL, NULL, &e)) {
+  if (!http_server_start(addr, &o, handler, NULL, NULL, &e)) {
     fprintf(stderr, "%s\n", e.text);
     return 1;
   }
--- a/fakes/platform.c
+++ b/fakes/platform.c
@@ -26,7 +26,7 @@
 
 static struct MHD_Response *reply(int *status, int code, const char *text) {
   *status = code;
-  return http_text("application/json", text, strlen(text));
+  return http_text_response("application/json", text, strlen(text));
 }
 
 static void etag(struct MHD_Response *m, uint64_t version) {
@@ -46,15 +46,15 @@
   return m;
 }
 
-static bool matches(const HttpReq *r, const Object *o) {
-  const char *match = http_header(r, "If-Match");
-  const char *none = http_header(r, "If-None-Match");
+static bool matches(const HttpRequest *r, const Object *o) {
+  const char *match = http_request_header(r, "If-Match");
+  const char *none = http_request_header(r, "If-None-Match");
   if (none) return o == NULL;
   if (!match) return true;
   return o && strtoull(match + (match[0] == '"'), NULL, 10) == o->version;
 }
 
-static struct MHD_Response *put(const HttpReq *r, const char *name,
+static struct MHD_Response *put(const HttpRequest *r, const char *name,
                                 int *status) {
   Object *o = g_hash_table_lookup(objects, name);
   if (r->too_large) return reply(status, 413, "{}");
@@ -97,9 +97,10 @@
   return a;
 }
 
-static struct MHD_Response *watch(const HttpReq *r, int *status) {
-  const char *prefix = http_arg(r, "prefix"), *since = http_arg(r, "since");
-  const char *wait = http_arg(r, "wait");
+static struct MHD_Response *watch(const HttpRequest *r, int *status) {
+  const char *prefix = http_request_argument(r, "prefix"),
+             *since = http_request_argument(r, "since");
+  const char *wait = http_request_argument(r, "wait");
   uint64_t from = since ? strtoull(since, NULL, 10) : 0;
   struct timespec until;
   clock_gettime(CLOCK_REALTIME, &until);
@@ -118,7 +119,7 @@
 
 /* == instances == */
 
-static struct MHD_Response *member(const HttpReq *r, const char *name,
+static struct MHD_Response *member(const HttpRequest *r, const char *name,
                                    int *status) {
   if (strcmp(r->method, "DELETE") == 0) {
     g_hash_table_remove(members, name);
@@ -142,8 +143,9 @@
 
 /* == faults == */
 
-static struct MHD_Response *fault(const HttpReq *r, int *status) {
-  const char *m = http_arg(r, "mode"), *ms = http_arg(r, "ms");
+static struct MHD_Response *fault(const HttpRequest *r, int *status) {
+  const char *m = http_request_argument(r, "mode"),
+             *ms = http_request_argument(r, "ms");
   g_strlcpy(mode, m ? m : "none", sizeof mode);
   fault_ms = ms ? atoi(ms) : 0;
   return reply(status, 200, "{}");
@@ -157,7 +159,7 @@
                               (json_int_t)g_hash_table_size(objects)));
 }
 
-static struct MHD_Response *platform(const HttpReq *r, int *status) {
+static struct MHD_Response *platform(const HttpRequest *r, int *status) {
   bool is_get = strcmp(r->method, "GET") == 0;
   bool is_put = strcmp(r->method, "PUT") == 0;
   bool is_delete = strcmp(r->method, "DELETE") == 0;
@@ -167,7 +169,7 @@
   if (strcmp(r->path, "/watch") == 0) return watch(r, status);
   if (strcmp(r->path, "/instances") == 0) return member_list(status);
   if (strcmp(r->path, "/objects") == 0) {
-    const char *prefix = http_arg(r, "prefix");
+    const char *prefix = http_request_argument(r, "prefix");
     return fake_reply(status, 200, list(prefix ? prefix : "", 0));
   }
   if (!g_str_has_prefix(r->path, "/objects/")) return reply(status, 404, "{}");
@@ -182,7 +184,7 @@
   return m;
 }
 
-static struct MHD_Response *handle(void *ctx, HttpReq *r, int *status) {
+static struct MHD_Response *handle(void *ctx, HttpRequest *r, int *status) {
   (void)ctx;
   struct MHD_Response *m;
   pthread_mutex_lock(&lock);
--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -38,7 +38,7 @@
   *(char **)ctx = table_csv(t);
 }
 
-static struct MHD_Response *show(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *show(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   char *csv = NULL;
   snapshots_read(e->snapshots, copy_csv, &csv);
@@ -61,7 +61,7 @@
   return m;
 }
 
-static struct MHD_Response *apply(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *apply(Entry *e, HttpRequest *r, int *status) {
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
   uint64_t base;
   Table *t = r->too_large ? NULL : table_parse(r->body->str, errors, &base);
@@ -74,8 +74,9 @@
   g_ptr_array_free(errors, TRUE);
   Err err = {0};
   RolloutEdit edit = {.base = base};
-  const char *id = http_arg(r, "id"), *who = http_arg(r, "who");
-  const char *on = http_arg(r, "base");
+  const char *id = http_request_argument(r, "id"),
+             *who = http_request_argument(r, "who");
+  const char *on = http_request_argument(r, "base");
   g_strlcpy(edit.id, id ? id : "", sizeof edit.id);
   g_strlcpy(edit.who, who ? who : "unknown", sizeof edit.who);
   if (on) edit.base = strtoull(on, NULL, 10);
@@ -96,12 +97,12 @@
   return m;
 }
 
-static struct MHD_Response *table(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *table(Entry *e, HttpRequest *r, int *status) {
   bool post = strcmp(r->method, "POST") == 0;
   return post ? apply(e, r, status) : show(e, r, status);
 }
 
-static struct MHD_Response *history(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *history(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   Err err = {0};
   Platform *p = platform_open(e->options.platform, STORE_WAIT_S);
@@ -173,7 +174,7 @@
   return true;
 }
 
-static struct MHD_Response *budgets(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *budgets(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   Names n = {.names = g_ptr_array_new_with_free_func(g_free)};
   Err err = {0};
@@ -208,7 +209,7 @@
   json_object_set_new(b->sums, x->budget, json_integer(sum + x->tokens));
 }
 
-static struct MHD_Response *bills(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *bills(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   Platform *p = platform_open(e->options.platform, STORE_WAIT_S);
   PlatformAnswer all = platform_list(p, "bills/");
@@ -251,7 +252,7 @@
                "failures", (json_int_t)s->failures));
 }
 
-static struct MHD_Response *targets(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *targets(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   json_t *list = json_array();
   pools_each(e->pools, add_target, list);
@@ -273,12 +274,12 @@
   return list;
 }
 
-static struct MHD_Response *instances(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *instances(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   return reply(instances_json(e), status);
 }
 
-static struct MHD_Response *state(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *state(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   json_t *list = json_array();
   pools_each(e->pools, add_target, list);
@@ -296,7 +297,7 @@
       status);
 }
 
-static struct MHD_Response *drain(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *drain(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   entry_drain(e);
   return reply(json_pack("{s:s}", "instance", e->options.instance), status);
@@ -304,7 +305,7 @@
 
 static const struct {
   const char *path;
-  struct MHD_Response *(*handle)(Entry *e, HttpReq *r, int *status);
+  struct MHD_Response *(*handle)(Entry *e, HttpRequest *r, int *status);
 } calls[] = {
     {"/admin/table", table},     {"/admin/history", history},
     {"/admin/budgets", budgets}, {"/admin/bills", bills},
@@ -312,8 +313,8 @@
     {"/admin/status", state},    {"/admin/drain", drain},
 };
 
-static bool allowed(const Entry *e, const HttpReq *r) {
-  const char *auth = http_header(r, "Authorization");
+static bool allowed(const Entry *e, const HttpRequest *r) {
+  const char *auth = http_request_header(r, "Authorization");
   const char *key = auth && g_str_has_prefix(auth, "Bearer ") ? auth + 7 : "";
   char mine[65], theirs[65];
   snapshots_hash(e->options.admin_key, mine);
@@ -323,7 +324,7 @@
   return e->options.admin_key[0] && diff == 0;
 }
 
-struct MHD_Response *admin_handle(Entry *e, HttpReq *r, int *status) {
+struct MHD_Response *admin_handle(Entry *e, HttpRequest *r, int *status) {
   Err err = {0};
   if (!allowed(e, r)) {
     err_set(&err, ERR_UNAUTHORISED, "this is for operators");
--- a/packages/entry/chat.c
+++ b/packages/entry/chat.c
@@ -21,7 +21,7 @@
 
 /* Every token covers at least one byte of what is sent, so the bytes of the
    body and a margin for the template are never below the engine's count. */
-static int64_t prompt_bound(const HttpReq *r, json_t *messages) {
+static int64_t prompt_bound(const HttpRequest *r, json_t *messages) {
   return (int64_t)r->body->len +
          (int64_t)json_array_size(messages) * MESSAGE_TOKENS + REQUEST_TOKENS;
 }
@@ -40,7 +40,7 @@
   return true;
 }
 
-static json_t *parse(const HttpReq *r, Err *err) {
+static json_t *parse(const HttpRequest *r, Err *err) {
   json_error_t bad;
   json_t *o =
       json_loadb(r->body->str, r->body->len, JSON_REJECT_DUPLICATES, &bad);
@@ -81,7 +81,7 @@
 } Chat;
 
 static void chat_free(Chat *c) {
-  http_close(c->upstream);
+  http_stream_close(c->upstream);
   http_client_free(c->client);
   json_decref(c->request);
   free(c->body);
@@ -92,7 +92,7 @@
 }
 
 static void close_upstream(Chat *c) {
-  http_close(c->upstream);
+  http_stream_close(c->upstream);
   http_client_free(c->client);
   c->upstream = NULL;
   c->client = NULL;
@@ -108,23 +108,23 @@
 
 /* == dispatch == */
 
-static HttpStream *open_once(Chat *c, HttpAnswer *a) {
+static HttpStream *open_once(Chat *c, HttpResponse *a) {
   EngineCall call = {.id = c->x.id,
                      .priority = c->x.service.priority,
                      .body = c->body,
                      .len = strlen(c->body)};
-  c->client = http_client(c->x.ticket.choice.url, CONNECT_S, READ_S);
+  c->client = http_client_new(c->x.ticket.choice.url, CONNECT_S, READ_S);
   c->upstream = engine_open(c->client, &call, a);
   return c->upstream;
 }
 
 /* Takes the run up again where it is, after the events we have. */
 static bool resume(Chat *c) {
-  HttpAnswer a;
+  HttpResponse a;
   if (!c->stream || c->resumes >= RESUMES) return false;
   c->resumes++;
   close_upstream(c);
-  c->client = http_client(c->x.ticket.choice.url, CONNECT_S, READ_S);
+  c->client = http_client_new(c->x.ticket.choice.url, CONNECT_S, READ_S);
   c->upstream = engine_resume(c->client, c->x.id, c->events, &a);
   bool ok = c->upstream && a.status == 200;
   log_info("resume", "s:s,s:s,s:i,s:b", "request", c->x.id, "target",
@@ -145,7 +145,7 @@
 static bool dispatch(Chat *c, Err *err) {
   if (resume_lost(c)) return true;
   for (;;) {
-    HttpAnswer a;
+    HttpResponse a;
     if (open_once(c, &a) && a.status == 200) return true;
     Ran ran = a.sent ? RAN_MAYBE : RAN_NOT;
     bool bad_request = a.status >= 400 && a.status < 500 && a.status != 429;
@@ -179,7 +179,7 @@
   GString *all = g_string_new(NULL);
   char buf[16384];
   long n;
-  while ((n = http_read(c->upstream, buf, sizeof buf)) > 0) {
+  while ((n = http_stream_read(c->upstream, buf, sizeof buf)) > 0) {
     if (all->len == 0) exchange_first(&c->x);
     if (all->len + (size_t)n > WHOLE_MAX) {
       n = -1;
@@ -203,7 +203,7 @@
     g_strlcpy(a.type, "application/json", sizeof a.type);
     exchange_ran(&c->x, used >= 0 ? used : c->x.reserved, &a);
     *status = 200;
-    m = http_text("application/json", all->str, all->len);
+    m = http_text_response("application/json", all->str, all->len);
     entry_headers(m, c->x.id, RAN_YES);
   }
   json_decref(o);
@@ -293,7 +293,7 @@
 
 static void fill(Chat *c) {
   char buf[8192];
-  long n = http_read(c->upstream, buf, sizeof buf);
+  long n = http_stream_read(c->upstream, buf, sizeof buf);
   if (n > 0) {
     if (c->x.first == 0) exchange_first(&c->x);
     take_bytes(c, buf, (size_t)n);
@@ -358,7 +358,7 @@
     err.ran = RAN_YES;
     return entry_error(&err, x->id, status);
   }
-  struct MHD_Response *m = http_text(a->type, a->body, a->len);
+  struct MHD_Response *m = http_text_response(a->type, a->body, a->len);
   entry_headers(m, x->id, RAN_YES);
   MHD_add_response_header(m, "Loftpath-Replayed", "true");
   *status = a->status;
@@ -366,7 +366,7 @@
   return m;
 }
 
-static void prepare(Chat *c, const HttpReq *r) {
+static void prepare(Chat *c, const HttpRequest *r) {
   json_t *request = c->request;
   int64_t max = c->x.service.output, asked = engine_asked(request);
   if (asked > 0 && asked < max) max = asked;
@@ -388,7 +388,7 @@
   c->x.reserved = c->prompt + max;
 }
 
-struct MHD_Response *chat_handle(Entry *e, HttpReq *r, int *status) {
+struct MHD_Response *chat_handle(Entry *e, HttpRequest *r, int *status) {
   Err err = {0};
   Exchange x = {0};
   json_t *request = r->too_large ? NULL : parse(r, &err);
@@ -435,7 +435,7 @@
   }
 }
 
-struct MHD_Response *chat_models(Entry *e, HttpReq *r, int *status) {
+struct MHD_Response *chat_models(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   json_t *list = json_array();
   snapshots_read(e->snapshots, add_models, list);
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -19,7 +19,7 @@
 }
 
 struct MHD_Response *entry_text(const char *type, const char *text) {
-  return http_text(type, text, strlen(text));
+  return http_text_response(type, text, strlen(text));
 }
 
 static Count refusal(ErrKind kind) {
@@ -60,21 +60,21 @@
 
 /* == paths without a service == */
 
-static struct MHD_Response *health(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *health(Entry *e, HttpRequest *r, int *status) {
   (void)e;
   (void)r;
   *status = 200;
   return entry_text("text/plain", "ok\n");
 }
 
-static struct MHD_Response *ready(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *ready(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   bool up = !atomic_load(&e->draining) && snapshots_version(e->snapshots) > 0;
   *status = up ? 200 : 503;
   return entry_text("text/plain", up ? "ready\n" : "not ready\n");
 }
 
-static struct MHD_Response *metrics(Entry *e, HttpReq *r, int *status) {
+static struct MHD_Response *metrics(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   GString *s = g_string_new(NULL);
   count_print(s);
@@ -98,7 +98,7 @@
 
 static const struct {
   const char *method, *path; /* a path that ends in / is a prefix */
-  struct MHD_Response *(*handle)(Entry *e, HttpReq *r, int *status);
+  struct MHD_Response *(*handle)(Entry *e, HttpRequest *r, int *status);
   bool work; /* a planned stop waits for it */
 } routes[] = {
     {"POST", "/v1/chat/completions", chat_handle, true},
@@ -117,19 +117,19 @@
 }
 
 /* Open from here until the last byte of the answer has left. */
-static void begin_work(Entry *e, HttpReq *r) {
+static void begin_work(Entry *e, HttpRequest *r) {
   count_add(COUNT_REQUESTS, 1);
   atomic_fetch_add(&e->open, 1);
   r->state = e;
 }
 
-static void end_work(void *ctx, HttpReq *r, bool whole) {
+static void end_work(void *ctx, HttpRequest *r, bool whole) {
   (void)whole;
   Entry *e = ctx;
   if (r->state) atomic_fetch_sub(&e->open, 1);
 }
 
-static struct MHD_Response *handle(void *ctx, HttpReq *r, int *status) {
+static struct MHD_Response *handle(void *ctx, HttpRequest *r, int *status) {
   Entry *e = ctx;
   for (size_t i = 0; i < G_N_ELEMENTS(routes); i++) {
     if (!on_path(r->path, routes[i].path)) continue;
@@ -146,12 +146,13 @@
 }
 
 bool entry_open(Entry *e, Err *err) {
-  HttpOptions o = {.max_body = e->options.max_body,
-                   .max_header = e->options.max_header,
+  HttpOptions o = {.max_body_bytes = e->options.max_body,
+                   .max_header_bytes = e->options.max_header,
                    .max_connections = e->options.max_connections,
-                   .idle_s = e->options.idle_s,
-                   .stack = STACK};
-  e->server = http_serve(e->options.listen, &o, handle, end_work, e, err);
+                   .idle_timeout_s = e->options.idle_s,
+                   .stack_bytes = STACK};
+  e->server =
+      http_server_start(e->options.listen, &o, handle, end_work, e, err);
   return e->server != NULL;
 }
 
@@ -160,6 +161,6 @@
 }
 
 void entry_close(Entry *e) {
-  http_stop(e->server);
+  http_server_stop(e->server);
   e->server = NULL;
 }
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -42,11 +42,11 @@
 void entry_headers(struct MHD_Response *m, const char *id, Ran ran);
 
 /* POST /v1/chat/completions and GET /v1/models */
-struct MHD_Response *chat_handle(Entry *e, HttpReq *r, int *status);
-struct MHD_Response *chat_models(Entry *e, HttpReq *r, int *status);
+struct MHD_Response *chat_handle(Entry *e, HttpRequest *r, int *status);
+struct MHD_Response *chat_models(Entry *e, HttpRequest *r, int *status);
 /* /services/NAME/... */
-struct MHD_Response *plain_handle(Entry *e, HttpReq *r, int *status);
+struct MHD_Response *plain_handle(Entry *e, HttpRequest *r, int *status);
 /* /admin/... */
-struct MHD_Response *admin_handle(Entry *e, HttpReq *r, int *status);
+struct MHD_Response *admin_handle(Entry *e, HttpRequest *r, int *status);
 
 #endif
--- a/packages/entry/exchange.c
+++ b/packages/entry/exchange.c
@@ -15,8 +15,8 @@
 /* == who == */
 
 /* The caller's key names the request, else we issue a name. */
-static void name_request(Exchange *x, const HttpReq *r) {
-  const char *key = http_header(r, "Idempotency-Key");
+static void name_request(Exchange *x, const HttpRequest *r) {
+  const char *key = http_request_header(r, "Idempotency-Key");
   if (key && key[0] && strlen(key) <= 256) {
     OnceKey k = once_key(x->customer.name, key);
     snprintf(x->id, sizeof x->id, "key-%016" PRIx64 "%016" PRIx64, k.hi, k.lo);
@@ -29,12 +29,12 @@
   x->run.key = once_key(x->customer.name, x->id);
 }
 
-bool exchange_who(Exchange *x, Entry *e, HttpReq *r, const char *service,
+bool exchange_who(Exchange *x, Entry *e, HttpRequest *r, const char *service,
                   Err *err) {
   memset(x, 0, sizeof *x);
   x->entry = e;
   x->started = clock_now();
-  const char *auth = http_header(r, "Authorization");
+  const char *auth = http_request_header(r, "Authorization");
   const char *key = auth && g_str_has_prefix(auth, "Bearer ") ? auth + 7 : "";
   if (!snapshots_customer(e->snapshots, key, &x->customer))
     return err_set(err, ERR_UNAUTHORISED, "no customer has this key");
@@ -144,7 +144,7 @@
     fleet_at(x->entry->fleet, &x->run, x->ticket.choice.name);
 }
 
-ExchangeStart exchange_start(Exchange *x, HttpReq *r, int64_t tokens,
+ExchangeStart exchange_start(Exchange *x, HttpRequest *r, int64_t tokens,
                              OnceAnswer *replay, Err *err) {
   Entry *e = x->entry;
   if (atomic_load(&e->draining)) {
--- a/packages/entry/exchange.h
+++ b/packages/entry/exchange.h
@@ -24,11 +24,11 @@
 typedef enum { EXCHANGE_GO, EXCHANGE_REFUSED, EXCHANGE_REPLAY } ExchangeStart;
 
 /* Who asks, and for what. False with a typed error. */
-bool exchange_who(Exchange *x, Entry *e, HttpReq *r, const char *service,
+bool exchange_who(Exchange *x, Entry *e, HttpRequest *r, const char *service,
                   Err *err);
 /* Record, reservation of `tokens`, turn and target. On EXCHANGE_REPLAY
    `replay` is the kept answer (body may be NULL: not kept). */
-ExchangeStart exchange_start(Exchange *x, HttpReq *r, int64_t tokens,
+ExchangeStart exchange_start(Exchange *x, HttpRequest *r, int64_t tokens,
                              OnceAnswer *replay, Err *err);
 /* After a dispatch that failed: settles what it may have consumed and looks
    for another target. `ran`: RAN_NOT when no byte was sent. */
--- a/packages/entry/plain.c
+++ b/packages/entry/plain.c
@@ -13,9 +13,9 @@
 
 typedef struct Plain {
   Exchange x;
-  HttpReq *r;
+  HttpRequest *r;
   char path[512];
-  HttpAnswer answer;
+  HttpResponse answer;
   char type[64];
 } Plain;
 
@@ -46,7 +46,8 @@
 
 static bool add_query(Plain *p) {
   GString *s = g_string_new(p->path);
-  MHD_get_connection_values(p->r->c, MHD_GET_ARGUMENT_KIND, add_arg, s);
+  MHD_get_connection_values(p->r->connection, MHD_GET_ARGUMENT_KIND, add_arg,
+                            s);
   bool fits = g_strlcpy(p->path, s->str, sizeof p->path) < sizeof p->path;
   g_string_free(s, TRUE);
   return fits;
@@ -54,28 +55,29 @@
 
 /* One call on a connection of its own, read whole. */
 static void call(Plain *p) {
-  const char *type = http_header(p->r, "Content-Type");
+  const char *type = http_request_header(p->r, "Content-Type");
   const char *headers[] = {"X-Request-Id", p->x.id, "Content-Type",
                            type ? type : "application/octet-stream", NULL};
-  HttpCall c = {.method = p->r->method,
-                .path = p->path,
-                .headers = headers,
-                .body = p->r->body->str,
-                .len = p->r->body->len};
-  HttpClient *client = http_client(p->x.ticket.choice.url, CONNECT_S, READ_S);
-  HttpStream *s = http_open(client, &c, false, &p->answer);
+  HttpClientRequest c = {.method = p->r->method,
+                         .path = p->path,
+                         .headers = headers,
+                         .body = p->r->body->str,
+                         .body_bytes = p->r->body->len};
+  HttpClient *client =
+      http_client_new(p->x.ticket.choice.url, CONNECT_S, READ_S);
+  HttpStream *s = http_stream_open(client, &c, false, &p->answer);
   p->answer.body = g_string_new(NULL);
   char buf[8192];
   long n = -1;
   if (s) {
     const char *t = http_stream_header(s, "Content-Type");
     g_strlcpy(p->type, t ? t : "application/octet-stream", sizeof p->type);
-    while ((n = http_read(s, buf, sizeof buf)) > 0 &&
+    while ((n = http_stream_read(s, buf, sizeof buf)) > 0 &&
            p->answer.body->len + (size_t)n <= ANSWER_MAX)
       g_string_append_len(p->answer.body, buf, n);
   }
-  p->answer.whole = n == 0;
-  http_close(s);
+  p->answer.complete = n == 0;
+  http_stream_close(s);
   http_client_free(client);
 }
 
@@ -83,7 +85,7 @@
 static bool dispatch(Plain *p, Err *err) {
   for (;;) {
     call(p);
-    if (p->answer.whole) {
+    if (p->answer.complete) {
       exchange_first(&p->x);
       return true;
     }
@@ -92,7 +94,7 @@
              p->x.ticket.choice.name, "sent", (int)p->answer.sent, "error",
              p->answer.error);
     bool last = ran == RAN_MAYBE && !p->x.service.repeat;
-    http_answer_free(&p->answer);
+    http_response_free(&p->answer);
     if (!last && exchange_again(&p->x, ran, p->x.reserved, err)) continue;
     if (ran == RAN_MAYBE) {
       if (last) pool_done(p->x.pool, &p->x.ticket, ROUTE_FAILED, 0, 0);
@@ -111,7 +113,7 @@
 
 static struct MHD_Response *give(const char *id, int code, const char *type,
                                  const char *body, size_t len, int *status) {
-  struct MHD_Response *m = http_text(type, body ? body : "", len);
+  struct MHD_Response *m = http_text_response(type, body ? body : "", len);
   entry_headers(m, id, RAN_YES);
   *status = code;
   return m;
@@ -125,7 +127,7 @@
   exchange_ran(&p->x, p->x.reserved, &a);
   struct MHD_Response *m =
       give(p->x.id, a.status, a.type, a.body, a.len, status);
-  http_answer_free(&p->answer);
+  http_response_free(&p->answer);
   return m;
 }
 
@@ -155,7 +157,7 @@
   return entry_error(&err, p->x.id, status);
 }
 
-struct MHD_Response *plain_handle(Entry *e, HttpReq *r, int *status) {
+struct MHD_Response *plain_handle(Entry *e, HttpRequest *r, int *status) {
   Err err = {0};
   char name[LIMIT_NAME];
   Plain p = {.r = r};
--- a/packages/http/client.c
+++ b/packages/http/client.c
@@ -1,4 +1,4 @@
-/* client.c: neon behind client.h. */
+/* client.c: the HTTP client, implemented with neon. */
 #include "http/client.h"
 
 #include <ne_request.h>
@@ -10,31 +10,31 @@
 
 struct HttpClient {
   ne_session *session;
-  bool connected; /* a connection stood during this call */
-  bool used;      /* the connection has carried an answer before */
+  bool connected; /* a connection was established for the current request */
+  bool reusable;  /* the open connection has carried a response before */
 };
 
 struct HttpStream {
   HttpClient *client;
   ne_request *req;
-  bool ended;
+  bool complete;
 };
 
 static pthread_once_t once = PTHREAD_ONCE_INIT;
 
-static void init(void) {
+static void initialize_sockets(void) {
   ne_sock_init();
 }
 
-static void on_status(void *data, ne_session_status status,
-                      const ne_session_status_info *info) {
+static void record_connection_status(void *data, ne_session_status status,
+                                     const ne_session_status_info *info) {
   (void)info;
   HttpClient *c = data;
   if (status == ne_status_connected) c->connected = true;
 }
 
-HttpClient *http_client(const char *addr, int connect_s, int read_s) {
-  pthread_once(&once, init);
+HttpClient *http_client_new(const char *addr, int connect_s, int read_s) {
+  pthread_once(&once, initialize_sockets);
   char host[64];
   const char *colon = strrchr(addr, ':');
   if (!colon || (size_t)(colon - addr) >= sizeof host) return NULL;
@@ -43,7 +43,7 @@
   c->session = ne_session_create("http", host, (unsigned)atoi(colon + 1));
   ne_set_connect_timeout(c->session, connect_s);
   ne_set_read_timeout(c->session, read_s);
-  ne_set_notifier(c->session, on_status, c);
+  ne_set_notifier(c->session, record_connection_status, c);
   return c;
 }
 
@@ -53,36 +53,41 @@
   g_free(c);
 }
 
-static ne_request *prepare(HttpClient *c, const HttpCall *call) {
-  ne_request *req = ne_request_create(c->session, call->method, call->path);
-  for (int i = 0; call->headers && call->headers[i]; i += 2)
-    ne_add_request_header(req, call->headers[i], call->headers[i + 1]);
-  if (call->len > 0) ne_set_request_body_buffer(req, call->body, call->len);
-  /* neon would send again on a dead kept connection by itself; what may not
-     be repeated goes on a connection of its own. */
+static ne_request *create_request(HttpClient *c,
+                                  const HttpClientRequest *request) {
+  ne_request *req =
+      ne_request_create(c->session, request->method, request->path);
+  for (int i = 0; request->headers && request->headers[i]; i += 2)
+    ne_add_request_header(req, request->headers[i], request->headers[i + 1]);
+  if (request->body_bytes > 0)
+    ne_set_request_body_buffer(req, request->body, request->body_bytes);
+  /* neon resends a request by itself if the persistent connection is closed.
+     http_stream_open uses a new connection for requests that must not be
+     repeated. */
   return req;
 }
 
-HttpStream *http_open(HttpClient *c, const HttpCall *call, bool retry_safe,
-                      HttpAnswer *a) {
-  memset(a, 0, sizeof *a);
+HttpStream *http_stream_open(HttpClient *c, const HttpClientRequest *request,
+                             bool retry_safe, HttpResponse *response) {
+  memset(response, 0, sizeof *response);
   if (!retry_safe) ne_close_connection(c->session);
-  bool kept = c->used && retry_safe;
+  bool reused = c->reusable && retry_safe;
   c->connected = false;
-  ne_request *req = prepare(c, call);
+  ne_request *req = create_request(c, request);
   if (!retry_safe) ne_set_request_flag(req, NE_REQFLAG_IDEMPOTENT, 0);
   int rc = ne_begin_request(req);
   if (rc != NE_OK) {
-    a->sent = c->connected || kept;
-    g_strlcpy(a->error, ne_get_error(c->session), sizeof a->error);
+    response->sent = c->connected || reused;
+    g_strlcpy(response->error, ne_get_error(c->session),
+              sizeof response->error);
     ne_request_destroy(req);
     ne_close_connection(c->session);
-    c->used = false;
+    c->reusable = false;
     return NULL;
   }
-  a->sent = true;
-  a->status = ne_get_status(req)->code;
-  c->used = true;
+  response->sent = true;
+  response->status = ne_get_status(req)->code;
+  c->reusable = true;
   HttpStream *s = g_new0(HttpStream, 1);
   s->client = c;
   s->req = req;
@@ -93,44 +98,45 @@
   return ne_get_response_header(s->req, name);
 }
 
-long http_read(HttpStream *s, char *buf, size_t n) {
-  if (s->ended) return 0;
-  ssize_t got = ne_read_response_block(s->req, buf, n);
-  if (got > 0) return got;
-  if (got == 0 && ne_end_request(s->req) == NE_OK) {
-    s->ended = true;
+long http_stream_read(HttpStream *s, char *buf, size_t n) {
+  if (s->complete) return 0;
+  ssize_t received = ne_read_response_block(s->req, buf, n);
+  if (received > 0) return received;
+  if (received == 0 && ne_end_request(s->req) == NE_OK) {
+    s->complete = true;
     return 0;
   }
   return -1;
 }
 
-void http_close(HttpStream *s) {
+void http_stream_close(HttpStream *s) {
   if (!s) return;
-  if (!s->ended) {
+  if (!s->complete) {
     ne_close_connection(s->client->session);
-    s->client->used = false;
+    s->client->reusable = false;
   }
   ne_request_destroy(s->req);
   g_free(s);
 }
 
-void http_call(HttpClient *c, const HttpCall *call, size_t max, HttpAnswer *a) {
-  HttpStream *s = http_open(c, call, true, a);
-  a->body = g_string_new(NULL);
+void http_client_request(HttpClient *c, const HttpClientRequest *request,
+                         size_t max_bytes, HttpResponse *response) {
+  HttpStream *s = http_stream_open(c, request, true, response);
+  response->body = g_string_new(NULL);
   if (!s) return;
   const char *etag = http_stream_header(s, "ETag");
-  if (etag) g_strlcpy(a->etag, etag, sizeof a->etag);
+  if (etag) g_strlcpy(response->etag, etag, sizeof response->etag);
   char buf[8192];
   long n;
-  while ((n = http_read(s, buf, sizeof buf)) > 0) {
-    if (a->body->len + (size_t)n > max) break;
-    g_string_append_len(a->body, buf, n);
+  while ((n = http_stream_read(s, buf, sizeof buf)) > 0) {
+    if (response->body->len + (size_t)n > max_bytes) break;
+    g_string_append_len(response->body, buf, n);
   }
-  a->whole = n == 0;
-  http_close(s);
+  response->complete = n == 0;
+  http_stream_close(s);
 }
 
-void http_answer_free(HttpAnswer *a) {
-  if (a->body) g_string_free(a->body, TRUE);
-  a->body = NULL;
+void http_response_free(HttpResponse *response) {
+  if (response->body) g_string_free(response->body, TRUE);
+  response->body = NULL;
 }
--- a/packages/http/client.h
+++ b/packages/http/client.h
@@ -1,4 +1,5 @@
-/* client.h: blocking HTTP calls on neon, a connection kept per address. */
+/* client.h: a blocking HTTP client, built on neon. Each client keeps one
+   persistent connection to its address. */
 #ifndef HTTP_CLIENT_H
 #define HTTP_CLIENT_H
 
@@ -7,44 +8,50 @@
 
 typedef struct HttpClient HttpClient;
 
-typedef struct HttpCall {
+typedef struct HttpClientRequest {
   const char *method, *path;
-  const char *const *headers; /* name, value, ..., NULL; may be NULL */
+  /* alternating names and values, ends with NULL; may be NULL */
+  const char *const *headers;
   const char *body;
-  size_t len;
-} HttpCall;
+  size_t body_bytes;
+} HttpClientRequest;
 
-typedef struct HttpAnswer {
-  int status; /* 0: no answer */
-  bool sent;  /* false: no byte of the request left, so it did not run */
-  bool whole; /* the body is complete */
+typedef struct HttpResponse {
+  int status;    /* 0: no response was received */
+  bool sent;     /* false: no byte of the request was sent, so it did not run */
+  bool complete; /* the whole body was received */
   char etag[32];
-  GString *body; /* released by http_answer_free */
+  GString *body; /* released by http_response_free */
   char error[160];
-} HttpAnswer;
+} HttpResponse;
 
-/* `addr` is "ip:port". One client serves one thread at a time. */
-HttpClient *http_client(const char *addr, int connect_s, int read_s);
+/* `addr` is "ip:port"; returns NULL if it is not. Timeouts are in seconds. A
+   client may be used by one thread at a time. */
+HttpClient *http_client_new(const char *addr, int connect_s, int read_s);
 void http_client_free(HttpClient *c);
-/* Reads at most `max` bytes of the answer. */
-void http_call(HttpClient *c, const HttpCall *call, size_t max, HttpAnswer *a);
-void http_answer_free(HttpAnswer *a);
+/* Sends a request and reads up to `max_bytes` of the response body. The request
+   may be sent twice, so it must be safe to repeat. */
+void http_client_request(HttpClient *c, const HttpClientRequest *request,
+                         size_t max_bytes, HttpResponse *response);
+void http_response_free(HttpResponse *response);
 
 /* == streams == */
 
 typedef struct HttpStream HttpStream;
 
-/* Starts a call whose answer is read piece by piece. `retry_safe`: the call
-   may be sent again when a kept connection proves dead. NULL on failure, with
-   a->sent and a->error set; else a->status is set. */
-HttpStream *http_open(HttpClient *c, const HttpCall *call, bool retry_safe,
-                      HttpAnswer *a);
-/* Header of the answer, NULL when absent. */
+/* Sends a request and reads the response headers; http_stream_read reads the
+   body. `retry_safe`: the request may be sent again if the persistent
+   connection turns out to be closed. Returns NULL on failure, with
+   response->sent and response->error set; otherwise sets response->status. */
+HttpStream *http_stream_open(HttpClient *c, const HttpClientRequest *request,
+                             bool retry_safe, HttpResponse *response);
+/* Returns a response header, or NULL if it is absent. */
 const char *http_stream_header(const HttpStream *s, const char *name);
-/* Bytes read; 0: the answer is whole; -1: it was cut. */
-long http_read(HttpStream *s, char *buf, size_t n);
-/* Ends it; an answer not read to its end closes the connection, which the
-   target sees as a cancel. */
-void http_close(HttpStream *s);
+/* Returns the number of bytes read, 0 at the end of a complete body, or -1 if
+   the body was truncated. */
+long http_stream_read(HttpStream *s, char *buf, size_t n);
+/* Frees the stream. If the body was not read to its end, closes the connection;
+   the target treats that as a cancellation. */
+void http_stream_close(HttpStream *s);
 
 #endif
--- a/packages/http/server.c
+++ b/packages/http/server.c
@@ -1,4 +1,4 @@
-/* server.c: libmicrohttpd behind server.h. */
+/* server.c: the HTTP server, implemented with libmicrohttpd. */
 #include "http/server.h"
 
 #include "flow/sock.h"
@@ -12,36 +12,37 @@
 #include <string.h>
 #include <unistd.h>
 
-#define LAST_STEP_US 1000 /* connections not yet taken are looked for */
-#define LAST_STEPS 1000
+#define ACCEPT_POLL_US 1000 /* interval of checks of the backlog */
+#define ACCEPT_POLLS_MAX 1000
 
 struct HttpServer {
   struct MHD_Daemon *daemon;
   HttpOptions options;
   HttpHandler handler;
-  HttpDone done;
+  HttpCompletion on_completion;
   void *ctx;
 };
 
-static enum MHD_Result answer(HttpServer *s, HttpReq *r) {
+static enum MHD_Result send_response(HttpServer *s, HttpRequest *r) {
   int status = 500;
-  struct MHD_Response *resp = s->handler(s->ctx, r, &status);
-  if (!resp) return MHD_NO;
-  enum MHD_Result ok = MHD_queue_response(r->c, (unsigned)status, resp);
-  MHD_destroy_response(resp);
-  return ok;
+  struct MHD_Response *response = s->handler(s->ctx, r, &status);
+  if (!response) return MHD_NO;
+  enum MHD_Result result =
+      MHD_queue_response(r->connection, (unsigned)status, response);
+  MHD_destroy_response(response);
+  return result;
 }
 
-static enum MHD_Result on_request(void *ctx, struct MHD_Connection *c,
-                                  const char *url, const char *method,
-                                  const char *version, const char *data,
-                                  size_t *size, void **state) {
+static enum MHD_Result receive_request(void *ctx, struct MHD_Connection *c,
+                                       const char *url, const char *method,
+                                       const char *version, const char *data,
+                                       size_t *size, void **state) {
   (void)version;
   HttpServer *s = ctx;
-  HttpReq *r = *state;
-  if (!r) { /* headers only so far */
-    r = g_new0(HttpReq, 1);
-    r->c = c;
+  HttpRequest *r = *state;
+  if (!r) { /* only the headers have been received */
+    r = g_new0(HttpRequest, 1);
+    r->connection = c;
     r->method = method;
     r->path = url;
     r->body = g_string_new(NULL);
@@ -49,30 +50,33 @@
     return MHD_YES;
   }
   if (*size > 0) {
-    r->too_large = r->too_large || r->body->len + *size > s->options.max_body;
+    r->too_large =
+        r->too_large || r->body->len + *size > s->options.max_body_bytes;
     if (!r->too_large) g_string_append_len(r->body, data, (gssize)*size);
     *size = 0;
     return MHD_YES;
   }
   r->path = url;
-  return answer(s, r);
+  return send_response(s, r);
 }
 
-static void on_done(void *ctx, struct MHD_Connection *c, void **state,
-                    enum MHD_RequestTerminationCode code) {
+static void finish_request(void *ctx, struct MHD_Connection *c, void **state,
+                           enum MHD_RequestTerminationCode code) {
   (void)c;
   HttpServer *s = ctx;
-  HttpReq *r = *state;
+  HttpRequest *r = *state;
   if (!r) return;
-  if (s->done) s->done(s->ctx, r, code == MHD_REQUEST_TERMINATED_COMPLETED_OK);
+  if (s->on_completion)
+    s->on_completion(s->ctx, r, code == MHD_REQUEST_TERMINATED_COMPLETED_OK);
   g_string_free(r->body, TRUE);
   g_free(r);
   *state = NULL;
 }
 
-/* Pieces of a stream must leave at once. */
-static void on_connect(void *ctx, struct MHD_Connection *c, void **state,
-                       enum MHD_ConnectionNotificationCode code) {
+/* Disables Nagle's algorithm, so that chunks of a stream are sent at once. */
+static void disable_send_delay(void *ctx, struct MHD_Connection *c,
+                               void **state,
+                               enum MHD_ConnectionNotificationCode code) {
   (void)ctx;
   (void)state;
   if (code != MHD_CONNECTION_NOTIFY_STARTED) return;
@@ -83,27 +87,29 @@
     setsockopt(info->connect_fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-HttpServer *http_serve(const char *addr, const HttpOptions *o,
-                       HttpHandler handler, HttpDone done, void *ctx, Err *e) {
-  struct sockaddr_in in;
-  if (!sock_address(addr, &in)) {
+HttpServer *http_server_start(const char *addr, const HttpOptions *o,
+                              HttpHandler handler, HttpCompletion on_completion,
+                              void *ctx, Err *e) {
+  struct sockaddr_in address;
+  if (!sock_address(addr, &address)) {
     err_set(e, ERR_SETTING, "'%s' is not an address of the form ip:port", addr);
     return NULL;
   }
   HttpServer *s = g_new0(HttpServer, 1);
   s->options = *o;
   s->handler = handler;
-  s->done = done;
+  s->on_completion = on_completion;
   s->ctx = ctx;
   s->daemon = MHD_start_daemon(
       MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD |
           MHD_USE_POLL | MHD_USE_ITC,
-      0, NULL, NULL, on_request, s, MHD_OPTION_SOCK_ADDR, &in,
-      MHD_OPTION_NOTIFY_COMPLETED, on_done, s, MHD_OPTION_NOTIFY_CONNECTION,
-      on_connect, s, MHD_OPTION_CONNECTION_LIMIT, (unsigned)o->max_connections,
-      MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)o->idle_s,
-      MHD_OPTION_THREAD_STACK_SIZE, o->stack,
-      MHD_OPTION_CONNECTION_MEMORY_LIMIT, o->max_header,
+      0, NULL, NULL, receive_request, s, MHD_OPTION_SOCK_ADDR, &address,
+      MHD_OPTION_NOTIFY_COMPLETED, finish_request, s,
+      MHD_OPTION_NOTIFY_CONNECTION, disable_send_delay, s,
+      MHD_OPTION_CONNECTION_LIMIT, (unsigned)o->max_connections,
+      MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)o->idle_timeout_s,
+      MHD_OPTION_THREAD_STACK_SIZE, o->stack_bytes,
+      MHD_OPTION_CONNECTION_MEMORY_LIMIT, o->max_header_bytes,
       MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_LISTEN_BACKLOG_SIZE,
       1024u, MHD_OPTION_END);
   if (s->daemon) return s;
@@ -112,51 +118,54 @@
   return NULL;
 }
 
-void http_stop(HttpServer *s) {
+void http_server_stop(HttpServer *s) {
   if (!s) return;
   MHD_stop_daemon(s->daemon);
   g_free(s);
 }
 
-/* A listener that is closed resets the connections that nobody took yet. So
-   the kernel first drops attempts to connect (the caller tries again, and is
-   refused then), and those that it has are taken. */
-static void let_in_the_last(HttpServer *s) {
+/* Closing a listening socket resets the connections in its backlog. To avoid
+   that, first attaches a filter that makes the kernel drop new connection
+   attempts (the caller's retry is refused once the socket is closed), then
+   waits until the daemon has accepted those in the backlog. */
+static void accept_pending_connections(HttpServer *s) {
   const union MHD_DaemonInfo *i =
       MHD_get_daemon_info(s->daemon, MHD_DAEMON_INFO_LISTEN_FD);
   if (!i) return;
-  struct sock_filter drop = BPF_STMT(BPF_RET | BPF_K, 0);
-  struct sock_fprog program = {1, &drop};
-  struct pollfd waiting = {i->listen_fd, POLLIN, 0};
-  setsockopt(i->listen_fd, SOL_SOCKET, SO_ATTACH_FILTER, &program,
-             sizeof program);
-  for (int k = 0; k < LAST_STEPS && poll(&waiting, 1, 0) > 0; k++)
-    g_usleep(LAST_STEP_US);
+  struct sock_filter drop_all = BPF_STMT(BPF_RET | BPF_K, 0);
+  struct sock_fprog filter_program = {1, &drop_all};
+  struct pollfd listener = {i->listen_fd, POLLIN, 0};
+  setsockopt(i->listen_fd, SOL_SOCKET, SO_ATTACH_FILTER, &filter_program,
+             sizeof filter_program);
+  for (int k = 0; k < ACCEPT_POLLS_MAX && poll(&listener, 1, 0) > 0; k++)
+    g_usleep(ACCEPT_POLL_US);
 }
 
-void http_finish(HttpServer *s, double wait_s) {
-  let_in_the_last(s);
+void http_server_drain(HttpServer *s, double wait_s) {
+  accept_pending_connections(s);
   MHD_socket listener = MHD_quiesce_daemon(s->daemon);
   if (listener != MHD_INVALID_SOCKET) close(listener);
-  for (double t = 0; t < wait_s && http_connections(s) > 0; t += 0.01)
+  for (double t = 0; t < wait_s && http_server_connections(s) > 0; t += 0.01)
     g_usleep(10000);
 }
 
-int http_connections(const HttpServer *s) {
+int http_server_connections(const HttpServer *s) {
   const union MHD_DaemonInfo *i =
       MHD_get_daemon_info(s->daemon, MHD_DAEMON_INFO_CURRENT_CONNECTIONS);
   return i ? (int)i->num_connections : 0;
 }
 
-const char *http_header(const HttpReq *r, const char *name) {
-  return MHD_lookup_connection_value(r->c, MHD_HEADER_KIND, name);
+const char *http_request_header(const HttpRequest *r, const char *name) {
+  return MHD_lookup_connection_value(r->connection, MHD_HEADER_KIND, name);
 }
 
-const char *http_arg(const HttpReq *r, const char *name) {
-  return MHD_lookup_connection_value(r->c, MHD_GET_ARGUMENT_KIND, name);
+const char *http_request_argument(const HttpRequest *r, const char *name) {
+  return MHD_lookup_connection_value(r->connection, MHD_GET_ARGUMENT_KIND,
+                                     name);
 }
 
-struct MHD_Response *http_text(const char *type, const char *text, size_t len) {
+struct MHD_Response *http_text_response(const char *type, const char *text,
+                                        size_t len) {
   struct MHD_Response *m =
       MHD_create_response_from_buffer(len, (void *)text, MHD_RESPMEM_MUST_COPY);
   MHD_add_response_header(m, "Content-Type", type);
--- a/packages/http/server.h
+++ b/packages/http/server.h
@@ -1,4 +1,5 @@
-/* server.h: an HTTP server on libmicrohttpd, one thread a connection. */
+/* server.h: an HTTP server built on libmicrohttpd, with one thread per
+   connection. */
 #ifndef HTTP_SERVER_H
 #define HTTP_SERVER_H
 
@@ -9,43 +10,51 @@
 
 #include "kernel/err.h"
 
-typedef struct HttpReq {
-  struct MHD_Connection *c;
+typedef struct HttpRequest {
+  struct MHD_Connection *connection;
   const char *method, *path;
   GString *body;
   bool too_large;
-  void *state; /* the handler's; released by `done` */
-} HttpReq;
+  void *state; /* owned by the handler; released by the HttpCompletion */
+} HttpRequest;
 
 typedef struct HttpOptions {
-  size_t max_body;   /* bytes */
-  size_t max_header; /* bytes of all headers of a request */
+  size_t max_body_bytes;
+  size_t max_header_bytes; /* of all headers of one request */
   int max_connections;
-  int idle_s; /* a connection without progress is closed */
-  size_t stack;
+  int idle_timeout_s; /* a connection without progress is closed after this */
+  size_t stack_bytes; /* of the thread of a connection */
 } HttpOptions;
 
-/* Called once the body is whole (or too large). Returns the response, which
-   the server releases, and its status. */
-typedef struct MHD_Response *(*HttpHandler)(void *ctx, HttpReq *r, int *status);
-/* The exchange is over; `whole` is false when the caller went away. */
-typedef void (*HttpDone)(void *ctx, HttpReq *r, bool whole);
+/* Called when the body is complete or exceeds max_body_bytes. Returns the
+   response, which the server releases, and sets its status. NULL closes the
+   connection. */
+typedef struct MHD_Response *(*HttpHandler)(void *ctx, HttpRequest *r,
+                                            int *status);
+/* Called when the exchange has ended; `complete` is false if the caller
+   disconnected. */
+typedef void (*HttpCompletion)(void *ctx, HttpRequest *r, bool complete);
 
 typedef struct HttpServer HttpServer;
 
-/* `addr` is "ip:port". */
-HttpServer *http_serve(const char *addr, const HttpOptions *o,
-                       HttpHandler handler, HttpDone done, void *ctx, Err *e);
-void http_stop(HttpServer *s);
-int http_connections(const HttpServer *s);
-/* The last steps of a stop: no new connections, and those there are get
-   `wait_s` seconds to end. */
-void http_finish(HttpServer *s, double wait_s);
-
-const char *http_header(const HttpReq *r, const char *name);
-/* Query argument, NULL when absent. */
-const char *http_arg(const HttpReq *r, const char *name);
-/* A response that copies `text`. */
-struct MHD_Response *http_text(const char *type, const char *text, size_t len);
+/* Starts a server on `addr`, which is "ip:port". Returns NULL on failure, with
+   `e` set. */
+HttpServer *http_server_start(const char *addr, const HttpOptions *o,
+                              HttpHandler handler, HttpCompletion on_completion,
+                              void *ctx, Err *e);
+void http_server_stop(HttpServer *s);
+/* Returns the number of open connections. */
+int http_server_connections(const HttpServer *s);
+/* Last step of a planned stop: refuses new connections and waits up to `wait_s`
+   seconds until the open ones end. */
+void http_server_drain(HttpServer *s, double wait_s);
+
+/* Returns a request header, or NULL if it is absent. */
+const char *http_request_header(const HttpRequest *r, const char *name);
+/* Returns a query argument, or NULL if it is absent. */
+const char *http_request_argument(const HttpRequest *r, const char *name);
+/* Creates a response that holds a copy of `text`; `type` is its media type. */
+struct MHD_Response *http_text_response(const char *type, const char *text,
+                                        size_t len);
 
 #endif
--- a/packages/store/platform.c
+++ b/packages/store/platform.c
@@ -16,7 +16,7 @@
 };
 
 Platform *platform_open(const char *addr, int wait_s) {
-  HttpClient *c = http_client(addr, wait_s, wait_s);
+  HttpClient *c = http_client_new(addr, wait_s, wait_s);
   if (!c) return NULL;
   Platform *p = g_new0(Platform, 1);
   p->http = c;
@@ -29,8 +29,8 @@
   g_free(p);
 }
 
-static ErrKind kind_of(const HttpAnswer *a) {
-  if (a->status == 200 && a->whole) return ERR_NONE;
+static ErrKind kind_of(const HttpResponse *a) {
+  if (a->status == 200 && a->complete) return ERR_NONE;
   if (a->status == 200) return ERR_STORE_UNKNOWN;
   if (a->status == 404) return ERR_STORE_ABSENT;
   if (a->status == 412) return ERR_STORE_CONFLICT;
@@ -40,9 +40,9 @@
   return ERR_STORE_UNKNOWN;
 }
 
-static PlatformAnswer call(Platform *p, const HttpCall *c) {
-  HttpAnswer a;
-  http_call(p->http, c, LIMIT_VALUE * 2, &a);
+static PlatformAnswer call(Platform *p, const HttpClientRequest *c) {
+  HttpResponse a;
+  http_client_request(p->http, c, LIMIT_VALUE * 2, &a);
   PlatformAnswer r = {.kind = kind_of(&a)};
   if (r.kind == ERR_STORE_CONFLICT) count_add(COUNT_STORE_CONFLICTS, 1);
   if (r.kind >= ERR_STORE_DOWN && r.kind <= ERR_STORE_UNKNOWN)
@@ -53,13 +53,13 @@
     r.text = g_string_free(a.body, FALSE);
     a.body = NULL;
   }
-  http_answer_free(&a);
+  http_response_free(&a);
   return r;
 }
 
 static PlatformAnswer read_path(Platform *p, const char *path) {
   count_add(COUNT_STORE_READS, 1);
-  return call(p, &(HttpCall){.method = "GET", .path = path});
+  return call(p, &(HttpClientRequest){.method = "GET", .path = path});
 }
 
 PlatformAnswer platform_get(Platform *p, const char *name) {
@@ -77,18 +77,18 @@
                            version ? match : "*", "Content-Type",
                            "application/json", NULL};
   count_add(COUNT_STORE_WRITES, 1);
-  return call(p, &(HttpCall){.method = "PUT",
-                             .path = path,
-                             .headers = headers,
-                             .body = text,
-                             .len = strlen(text)});
+  return call(p, &(HttpClientRequest){.method = "PUT",
+                                      .path = path,
+                                      .headers = headers,
+                                      .body = text,
+                                      .body_bytes = strlen(text)});
 }
 
 PlatformAnswer platform_delete(Platform *p, const char *name) {
   char path[256];
   snprintf(path, sizeof path, "/objects/%s", name);
   count_add(COUNT_STORE_WRITES, 1);
-  return call(p, &(HttpCall){.method = "DELETE", .path = path});
+  return call(p, &(HttpClientRequest){.method = "DELETE", .path = path});
 }
 
 PlatformAnswer platform_list(Platform *p, const char *prefix) {
--- a/packages/target/engine.c
+++ b/packages/target/engine.c
@@ -13,7 +13,8 @@
 #define READ_S 60
 #define CONTROL_S 1 /* load and cancel answer within this, or not at all */
 
-HttpStream *engine_open(HttpClient *c, const EngineCall *call, HttpAnswer *a) {
+HttpStream *engine_open(HttpClient *c, const EngineCall *call,
+                        HttpResponse *a) {
   char priority[16];
   snprintf(priority, sizeof priority, "%d", call->priority);
   const char *headers[] = {"Content-Type",
@@ -23,40 +24,43 @@
                            "X-Priority",
                            priority,
                            NULL};
-  HttpCall http = {.method = "POST",
-                   .path = "/v1/chat/completions",
-                   .headers = headers,
-                   .body = call->body,
-                   .len = call->len};
-  return http_open(c, &http, false, a);
+  HttpClientRequest http = {.method = "POST",
+                            .path = "/v1/chat/completions",
+                            .headers = headers,
+                            .body = call->body,
+                            .body_bytes = call->len};
+  return http_stream_open(c, &http, false, a);
 }
 
 HttpStream *engine_resume(HttpClient *c, const char *id, int seen,
-                          HttpAnswer *a) {
+                          HttpResponse *a) {
   char path[192];
   snprintf(path, sizeof path, "/resume?id=%s&from=%d", id, seen);
-  return http_open(c, &(HttpCall){.method = "GET", .path = path}, false, a);
+  return http_stream_open(
+      c, &(HttpClientRequest){.method = "GET", .path = path}, false, a);
 }
 
 /* A short call; the answer's JSON if its status is 200. */
-static json_t *control(const char *url, const HttpCall *call, int *status) {
-  HttpClient *c = http_client(url, CONTROL_S, CONTROL_S);
-  HttpAnswer a;
+static json_t *control(const char *url, const HttpClientRequest *call,
+                       int *status) {
+  HttpClient *c = http_client_new(url, CONTROL_S, CONTROL_S);
+  HttpResponse a;
   *status = 0;
   if (!c) return NULL;
-  http_call(c, call, 1 << 16, &a);
+  http_client_request(c, call, 1 << 16, &a);
   json_t *o = NULL;
   *status = a.status;
-  if (a.status == 200 && a.whole)
+  if (a.status == 200 && a.complete)
     o = json_loadb(a.body->str, a.body->len, 0, NULL);
-  http_answer_free(&a);
+  http_response_free(&a);
   http_client_free(c);
   return o;
 }
 
 static json_t *ask(const char *url, const char *method, const char *path) {
   int status;
-  return control(url, &(HttpCall){.method = method, .path = path}, &status);
+  return control(url, &(HttpClientRequest){.method = method, .path = path},
+                 &status);
 }
 
 PlaceAnswer engine_adapters(const char *url, uint64_t fence, const char *list) {
@@ -70,8 +74,8 @@
   json_t *body = json_pack("{s:o}", "adapters", names);
   char *text = json_dumps(body, JSON_COMPACT);
   snprintf(path, sizeof path, "/adapters?fence=%" PRIu64, fence);
-  HttpCall call = {
-      .method = "POST", .path = path, .body = text, .len = strlen(text)};
+  HttpClientRequest call = {
+      .method = "POST", .path = path, .body = text, .body_bytes = strlen(text)};
   json_t *o = control(url, &call, &status);
   bool ok = o && json_unpack(o, "{s:b}", "loading", &busy) == 0;
   free(text);
--- a/packages/target/engine.h
+++ b/packages/target/engine.h
@@ -21,11 +21,11 @@
 } EngineCall;
 
 /* Starts a completion on a connection of its own: never sent twice. */
-HttpStream *engine_open(HttpClient *c, const EngineCall *call, HttpAnswer *a);
+HttpStream *engine_open(HttpClient *c, const EngineCall *call, HttpResponse *a);
 /* Goes on with the stream of a run whose connection broke, after `seen` events
    of it; status 404 when the engine no longer has it. */
 HttpStream *engine_resume(HttpClient *c, const char *id, int seen,
-                          HttpAnswer *a);
+                          HttpResponse *a);
 /* Stops a run; tokens it counted, -1 when the engine can't say. */
 int64_t engine_cancel(const char *url, const char *id);
 /* False when there was no answer. `path_s` gets the seconds it took. */
