--- a/bin/loftpath.c
+++ b/bin/loftpath.c
@@ -496,18 +496,18 @@
 static int cmd_account(const Args *a) {
   FILE *in = open_log(a->file);
   if (!in) return EXIT_FAILED;
-  Account *account = report_account_new();
-  long passed = 0;
+  ReportLosses *account = report_losses_new();
+  long skipped = 0;
   json_t *line;
-  while ((line = lines_next(in, &passed))) {
-    report_account_add(account, line);
+  while ((line = report_read_event(in, &skipped))) {
+    report_losses_add(account, line);
     json_decref(line);
   }
-  report_account_print(account, stdout);
+  report_losses_print(account, stdout);
   fflush(stdout); /* the note comes after the tables, not within them */
-  if (passed > 0)
-    fprintf(stderr, "loftpath: %ld lines are no events\n", passed);
-  report_account_free(account);
+  if (skipped > 0)
+    fprintf(stderr, "loftpath: %ld lines are no events\n", skipped);
+  report_losses_free(account);
   if (in != stdin) fclose(in);
   return EXIT_FINE;
 }
--- a/packages/report/evacuations.h
+++ b/packages/report/evacuations.h
@@ -1,18 +1,21 @@
-/* evacuations.h: who evacuated which data centre from when to when, and at how
-   many instances that was in force, worked out from log lines. */
+/* evacuations.h: summarises evacuations from log events. An evacuation takes a
+   data centre out of use; the report shows from when to when each one lasted
+   and at how many instances it was in force. */
 #ifndef REPORT_EVACUATIONS_H
 #define REPORT_EVACUATIONS_H
 
 #include <jansson.h>
 #include <stdio.h>
 
-typedef struct Evacuations Evacuations;
+typedef struct ReportEvacuations ReportEvacuations;
 
-Evacuations *report_evacuations_new(void);
-void report_evacuations_free(Evacuations *e);
-/* Lines of other events are passed over. */
-void report_evacuations_add(Evacuations *e, const json_t *line);
-/* Times count from `begin`. Prints nothing when there was none. */
-void report_evacuations_print(const Evacuations *e, double begin, FILE *out);
+ReportEvacuations *report_evacuations_new(void);
+void report_evacuations_free(ReportEvacuations *e);
+/* Adds one event to the report; events other than "evacuation" are ignored. */
+void report_evacuations_add(ReportEvacuations *e, const json_t *line);
+/* Prints times as seconds since `begin`. Prints nothing if there was no
+   evacuation. */
+void report_evacuations_print(const ReportEvacuations *e, double begin,
+                              FILE *out);
 
 #endif
--- a/packages/report/explain.c
+++ b/packages/report/explain.c
@@ -1,4 +1,4 @@
-/* explain.c: finds the request's line, then what happened around it. */
+/* explain.c: finds the event "request", then the events related to it. */
 #include "report/explain.h"
 
 #include <glib.h>
@@ -8,49 +8,53 @@
 #include "report/account.h"
 #include "report/lines.h"
 
-#define BEFORE_S 12.0 /* an outage of the store and what led to it */
+/* Covers an outage of the store and the events before it. */
+#define CONTEXT_BEFORE_S 12.0
 
-/* What the request's last line says of it. */
-typedef struct Subject {
+/* From the last event "request" with the id. */
+typedef struct RequestSummary {
   char instance[64], target[64], customer[64];
-  double began, ended;
+  double started_at, ended_at;
   bool found;
-} Subject;
+} RequestSummary;
 
-/* Events that tell what an instance believes of the world around it. */
-static const char *const beliefs[] = {"store-lost",
-                                      "store-regained",
-                                      "history-lost",
-                                      "configuration",
-                                      "view",
-                                      "settled",
-                                      "configuration-asked",
-                                      "draining",
-                                      "started",
-                                      "reads",
-                                      NULL};
+/* Events that change what an instance knows about the store, the
+   configuration and the other instances. */
+static const char *const state_events[] = {"store-lost",
+                                           "store-regained",
+                                           "history-lost",
+                                           "configuration",
+                                           "view",
+                                           "settled",
+                                           "configuration-asked",
+                                           "draining",
+                                           "started",
+                                           "reads",
+                                           NULL};
 
-static bool is_belief(const json_t *line) {
-  for (int i = 0; beliefs[i]; i++)
-    if (line_is(line, beliefs[i])) return true;
+static bool is_state_event(const json_t *line) {
+  for (int i = 0; state_events[i]; i++)
+    if (report_event_is(line, state_events[i])) return true;
   return false;
 }
 
-static bool names(const json_t *line, const char *request) {
-  return strcmp(line_text(line, "request"), request) == 0;
+static bool is_about_request(const json_t *line, const char *request) {
+  return strcmp(report_event_string(line, "request"), request) == 0;
 }
 
-static Subject find(FILE *in, const char *request) {
-  Subject s = {0};
-  long passed = 0;
+static RequestSummary find_request(FILE *in, const char *request) {
+  RequestSummary s = {0};
+  long skipped = 0;
   json_t *line;
-  while ((line = lines_next(in, &passed))) {
-    if (line_is(line, "request") && names(line, request)) {
-      g_strlcpy(s.instance, line_text(line, "instance"), sizeof s.instance);
-      g_strlcpy(s.target, line_text(line, "target"), sizeof s.target);
-      g_strlcpy(s.customer, line_text(line, "customer"), sizeof s.customer);
-      s.ended = line_number(line, "t");
-      s.began = s.ended - line_number(line, "seconds");
+  while ((line = report_read_event(in, &skipped))) {
+    if (report_event_is(line, "request") && is_about_request(line, request)) {
+      g_strlcpy(s.instance, report_event_string(line, "instance"),
+                sizeof s.instance);
+      g_strlcpy(s.target, report_event_string(line, "target"), sizeof s.target);
+      g_strlcpy(s.customer, report_event_string(line, "customer"),
+                sizeof s.customer);
+      s.ended_at = report_event_number(line, "t");
+      s.started_at = s.ended_at - report_event_number(line, "seconds");
       s.found = true;
     }
     json_decref(line);
@@ -58,41 +62,43 @@
   return s;
 }
 
-/* Why a line belongs to the story of the request; NULL: it does not. */
-static const char *relation(const json_t *line, const char *request,
-                            const Subject *s) {
-  double t = line_number(line, "t");
-  bool here = strcmp(line_text(line, "instance"), s->instance) == 0;
-  bool target =
-      s->target[0] && strcmp(line_text(line, "target"), s->target) == 0;
-  if (names(line, request)) return "itself";
-  if (t < s->began - BEFORE_S || t > s->ended) return NULL;
-  if (here && is_belief(line)) return "its instance";
-  if (target && !line_is(line, "request")) return "its target";
+/* Returns how an event is related to the request, or NULL if it is not. */
+static const char *classify_event(const json_t *line, const char *request,
+                                  const RequestSummary *s) {
+  double t = report_event_number(line, "t");
+  bool same_instance =
+      strcmp(report_event_string(line, "instance"), s->instance) == 0;
+  bool target = s->target[0] &&
+                strcmp(report_event_string(line, "target"), s->target) == 0;
+  if (is_about_request(line, request)) return "itself";
+  if (t < s->started_at - CONTEXT_BEFORE_S || t > s->ended_at) return NULL;
+  if (same_instance && is_state_event(line)) return "its instance";
+  if (target && !report_event_is(line, "request")) return "its target";
   return NULL;
 }
 
-static void print(const json_t *line, const char *why, const Subject *s,
-                  FILE *out) {
+static void print_event(const json_t *line, const char *relation,
+                        const RequestSummary *s, FILE *out) {
   char *text = json_dumps(line, JSON_COMPACT | JSON_REAL_PRECISION(13));
-  fprintf(out, "%+9.3f  %-12s  %s\n", line_number(line, "t") - s->began, why,
-          text);
+  fprintf(out, "%+9.3f  %-12s  %s\n",
+          report_event_number(line, "t") - s->started_at, relation, text);
   free(text);
 }
 
 bool report_explain(FILE *in, const char *request, FILE *out) {
-  Subject s = find(in, request);
-  long passed = 0;
+  RequestSummary s = find_request(in, request);
+  long skipped = 0;
   json_t *line;
   if (!s.found) return false;
   rewind(in);
   fprintf(out, "%s at %s, customer %s; seconds from its first byte\n", request,
           s.instance, s.customer[0] ? s.customer : "(none)");
-  while ((line = lines_next(in, &passed))) {
-    const char *why = relation(line, request, &s);
-    if (why) print(line, why, &s, out);
-    if (why && line_is(line, "request") && names(line, request))
-      fprintf(out, "cause: %s\n", report_cause(line));
+  while ((line = report_read_event(in, &skipped))) {
+    const char *relation = classify_event(line, request, &s);
+    if (relation) print_event(line, relation, &s, out);
+    if (relation && report_event_is(line, "request") &&
+        is_about_request(line, request))
+      fprintf(out, "cause: %s\n", report_request_cause(line));
     json_decref(line);
   }
   return true;
--- a/packages/report/explain.h
+++ b/packages/report/explain.h
@@ -1,12 +1,13 @@
-/* explain.h: the lines of one request, and what its instance believed. */
+/* explain.h: shows the log events of one request, and the events that changed
+   the state of its instance and target before and during it. */
 #ifndef REPORT_EXPLAIN_H
 #define REPORT_EXPLAIN_H
 
 #include <stdbool.h>
 #include <stdio.h>
 
-/* Prints them in order of time; false when no line names the request. `in` is
-   read twice: it must be a file that can be rewound. */
+/* Prints the events in the order of the file. Returns false if the file has no
+   event "request" with this id. Reads `in` twice, so it must be seekable. */
 bool report_explain(FILE *in, const char *request, FILE *out);
 
 #endif
--- a/packages/report/lines.c
+++ b/packages/report/lines.c
@@ -1,10 +1,10 @@
-/* lines.c: one JSON object a line. */
+/* lines.c: parses logs with one JSON object per line. */
 #include "report/lines.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-json_t *lines_next(FILE *f, long *passed) {
+json_t *report_read_event(FILE *f, long *skipped) {
   char *text = NULL;
   size_t size = 0;
   json_t *line = NULL;
@@ -14,21 +14,21 @@
     if (line && json_object_get(line, "event")) continue;
     json_decref(line);
     line = NULL;
-    ++*passed;
+    ++*skipped;
   }
   free(text);
   return line;
 }
 
-const char *line_text(const json_t *line, const char *name) {
+const char *report_event_string(const json_t *line, const char *name) {
   const char *s = json_string_value(json_object_get(line, name));
   return s ? s : "";
 }
 
-double line_number(const json_t *line, const char *name) {
+double report_event_number(const json_t *line, const char *name) {
   return json_number_value(json_object_get(line, name));
 }
 
-bool line_is(const json_t *line, const char *event) {
-  return strcmp(line_text(line, "event"), event) == 0;
+bool report_event_is(const json_t *line, const char *event) {
+  return strcmp(report_event_string(line, "event"), event) == 0;
 }
--- a/packages/report/lines.h
+++ b/packages/report/lines.h
@@ -1,4 +1,4 @@
-/* lines.h: reads the log lines of instances back. */
+/* lines.h: reads events from the logs of instances. */
 #ifndef REPORT_LINES_H
 #define REPORT_LINES_H
 
@@ -6,12 +6,14 @@
 #include <stdbool.h>
 #include <stdio.h>
 
-/* The next line that holds an event, whatever stands before its JSON; NULL at
-   the end. Other lines are counted in *passed. The caller frees it. */
-json_t *lines_next(FILE *f, long *passed);
+/* Returns the next event, or NULL at the end of the file; json_decref. Text
+   before the JSON object of a line is ignored. Lines without an event are
+   skipped, and *skipped is increased by their number. */
+json_t *report_read_event(FILE *f, long *skipped);
 
-const char *line_text(const json_t *line, const char *name); /* "" if none */
-double line_number(const json_t *line, const char *name);    /* 0 if none */
-bool line_is(const json_t *line, const char *event);
+/* Return a field of an event; "" or 0 if it is absent. */
+const char *report_event_string(const json_t *line, const char *name);
+double report_event_number(const json_t *line, const char *name);
+bool report_event_is(const json_t *line, const char *event);
 
 #endif
--- a/packages/report/storecalls.h
+++ b/packages/report/storecalls.h
@@ -1,17 +1,17 @@
-/* storecalls.h: what the platform's store was called for, worked out from log
-   lines: by purpose, the most calls first. */
+/* storecalls.h: counts calls to the platform's store from log events, by
+   purpose, kind of object, operation and outcome, in descending order. */
 #ifndef REPORT_STORECALLS_H
 #define REPORT_STORECALLS_H
 
 #include <jansson.h>
 #include <stdio.h>
 
-typedef struct StoreCalls StoreCalls;
+typedef struct ReportStoreCalls ReportStoreCalls;
 
-StoreCalls *report_storecalls_new(void);
-void report_storecalls_free(StoreCalls *c);
-/* Lines of other events are passed over. */
-void report_storecalls_add(StoreCalls *c, const json_t *line);
-void report_storecalls_print(const StoreCalls *c, FILE *out);
+ReportStoreCalls *report_storecalls_new(void);
+void report_storecalls_free(ReportStoreCalls *c);
+/* Adds one event to the report; events other than "store-calls" are ignored. */
+void report_storecalls_add(ReportStoreCalls *c, const json_t *line);
+void report_storecalls_print(const ReportStoreCalls *c, FILE *out);
 
 #endif
--- a/tests/suspend.c
+++ b/tests/suspend.c
@@ -1,6 +1,7 @@
-/* suspend.c: preloaded into an instance by still.py, stands for a machine that
-   was suspended: the clock that counts such time is ahead by the seconds that
-   the file SUSPEND_FILE names; timers and the steady clock know nothing. */
+/* suspend.c: a preloaded library that simulates a machine that was suspended;
+   used by still.py. Adds the number of seconds in the file SUSPEND_FILE to
+   CLOCK_BOOTTIME, which counts suspended time. CLOCK_MONOTONIC and timers stay
+   unchanged, as on a real machine. */
 #define _GNU_SOURCE
 #include <fcntl.h>
 #include <stdlib.h>
@@ -8,7 +9,7 @@
 #include <time.h>
 #include <unistd.h>
 
-static int seconds(void) {
+static int read_suspended_seconds(void) {
   static int fd = -2;
   char text[16] = "";
   if (fd == -2) fd = open(getenv("SUSPEND_FILE"), O_RDONLY | O_CLOEXEC);
@@ -18,6 +19,6 @@
 
 int clock_gettime(clockid_t id, struct timespec *t) {
   int r = (int)syscall(SYS_clock_gettime, id, t);
-  if (id == CLOCK_BOOTTIME) t->tv_sec += seconds();
+  if (id == CLOCK_BOOTTIME) t->tv_sec += read_suspended_seconds();
   return r;
 }
--- a/tests/test_calls.c
+++ b/tests/test_calls.c
@@ -46,16 +46,16 @@
       "true,2]]}",
       "{\"t\":2,\"event\":\"store-calls\",\"calls\":[[\"servers\",\"reader\","
       "\"watch\",\"empty\",false,5],[\"damaged\"]]}"};
-  Account *a = report_account_new();
+  ReportLosses *a = report_losses_new();
   for (size_t i = 0; i < G_N_ELEMENTS(lines); i++) {
     json_t *line = json_loads(lines[i], 0, NULL);
-    report_account_add(a, line);
+    report_losses_add(a, line);
     json_decref(line);
   }
   char *text = NULL;
   size_t n;
   FILE *out = open_memstream(&text, &n);
-  report_account_print(a, out);
+  report_losses_print(a, out);
   fclose(out);
   const char *first = strstr(text, "reader   servers      watch     empty");
   const char *second = strstr(text, "self     config       get       served");
@@ -63,5 +63,5 @@
   cr_assert_not_null(strstr(first, "       5        2"));
   cr_assert_not_null(strstr(text, "10 calls to the store"));
   free(text);
-  report_account_free(a);
+  report_losses_free(a);
 }
--- a/tests/test_report.c
+++ b/tests/test_report.c
@@ -1,4 +1,5 @@
-/* test_report.c: what logs tell of lost worth, and of one request. */
+/* test_report.c: tests the reports of losses and of a single request, made from
+   log events. */
 #include <criterion/criterion.h>
 #include <stdint.h>
 #include <stdio.h>
@@ -32,7 +33,7 @@
   return fmemopen((void *)(uintptr_t)log_text, strlen(log_text), "r");
 }
 
-/* What `print` writes, g_free. */
+/* Returns the output of `print`; free it with free(). */
 static char *printed(bool (*print)(FILE *in, FILE *out), bool *ok) {
   char *text = NULL;
   size_t n = 0;
@@ -44,30 +45,30 @@
 }
 
 static bool print_account(FILE *in, FILE *out) {
-  Account *a = report_account_new();
-  long passed = 0;
+  ReportLosses *a = report_losses_new();
+  long skipped = 0;
   json_t *line;
-  while ((line = lines_next(in, &passed))) {
-    report_account_add(a, line);
+  while ((line = report_read_event(in, &skipped))) {
+    report_losses_add(a, line);
     json_decref(line);
   }
-  report_account_print(a, out);
-  report_account_free(a);
-  return passed == 1;
+  report_losses_print(a, out);
+  report_losses_free(a);
+  return skipped == 1;
 }
 
-static bool explain_d(FILE *in, FILE *out) {
+static bool explain_known_request(FILE *in, FILE *out) {
   return report_explain(in, "d", out);
 }
 
-static bool explain_nothing(FILE *in, FILE *out) {
+static bool explain_unknown_request(FILE *in, FILE *out) {
   return report_explain(in, "zzz", out);
 }
 
-Test(report, an_account_names_the_cause_of_each_loss) {
+Test(report, losses_are_listed_by_cause) {
   bool ok;
   char *text = printed(print_account, &ok);
-  cr_assert(ok, "one line is no event");
+  cr_assert(ok, "one line holds no event");
   cr_assert_not_null(strstr(text, "late: pause"));
   cr_assert_not_null(strstr(text, "late: first event"));
   cr_assert_not_null(strstr(text, "budget-store"));
@@ -79,58 +80,60 @@
   free(text);
 }
 
-static void add_request(Account *a, const char *route, const char *outcome,
+static void add_request(ReportLosses *a, const char *route, const char *outcome,
                         const char *error) {
   json_t *line = json_pack("{s:f,s:s,s:s,s:s,s:s,s:f,s:f}", "t", 5.0, "event",
                            "request", "route", route, "outcome", outcome,
                            "error", error, "aim", 1.0, "seconds", 0.1);
-  report_account_add(a, line);
+  report_losses_add(a, line);
   json_decref(line);
 }
 
-static void add_evacuation(Account *a, double t, const char *id, bool on) {
+static void add_evacuation(ReportLosses *a, double t, const char *id, bool on) {
   json_t *line =
       json_pack("{s:f,s:s,s:s,s:s,s:b}", "t", t, "event", "evacuation",
                 "instance", id, "datacentre", "hall-b", "in_force", (int)on);
-  report_account_add(a, line);
+  report_losses_add(a, line);
   json_decref(line);
 }
 
-static char *print_to_text(const Account *a) {
-  static char *text; /* outlives the call, as the compiler wants it */
+static char *print_to_text(const ReportLosses *a) {
+  static char *text; /* static, since the compiler warns of a local
+                        whose address open_memstream keeps */
   static size_t n;
   FILE *out = open_memstream(&text, &n);
-  report_account_print(a, out);
+  report_losses_print(a, out);
   fclose(out);
   return text;
 }
 
-/* Where a word stands; -1: nowhere. */
-static long place(const char *text, const char *word) {
+/* Returns the offset of a word, or -1 if it is absent. */
+static long position_of(const char *text, const char *word) {
   const char *at = strstr(text, word);
   return at ? at - text : -1;
 }
 
-Test(report, the_largest_loss_stands_first_and_rare_routes_share_a_line) {
-  Account *a = report_account_new();
+Test(report, largest_loss_is_first_and_rare_routes_share_a_row) {
+  ReportLosses *a = report_losses_new();
   for (int i = 0; i < 3000; i++) add_request(a, "often", "served", "");
   for (int i = 0; i < 9; i++) add_request(a, "often", "refused", "budget-cut");
   for (int i = 0; i < 20; i++) add_request(a, "often", "refused", "no-target");
   add_request(a, "rare-1", "served", "");
   add_request(a, "rare-2", "served", "");
   char *text = print_to_text(a);
-  long most = place(text, "no-target"), less = place(text, "budget-cut");
-  long fine = place(text, "in aim                          3000");
-  cr_assert(most > 0 && most < less && less < fine, "%ld, %ld, %ld", most, less,
-            fine);
+  long largest = position_of(text, "no-target"),
+       smaller = position_of(text, "budget-cut");
+  long within = position_of(text, "in aim                          3000");
+  cr_assert(largest > 0 && largest < smaller && smaller < within,
+            "%ld, %ld, %ld", largest, smaller, within);
   cr_assert_not_null(strstr(text, "(rare routes)  in aim"), "%s", text);
   cr_assert_null(strstr(text, "rare-1"));
   free(text);
-  report_account_free(a);
+  report_losses_free(a);
 }
 
-Test(report, an_account_tells_of_evacuations) {
-  Account *a = report_account_new();
+Test(report, evacuations_are_listed) {
+  ReportLosses *a = report_losses_new();
   add_evacuation(a, 10, "n.1", true);
   add_evacuation(a, 11, "n.2", true);
   add_evacuation(a, 19, "n.1", false);
@@ -140,19 +143,20 @@
              "hall-b                        0.0      9.0        2        1"),
       "%s", text);
   free(text);
-  report_account_free(a);
+  report_losses_free(a);
 }
 
-Test(report, one_request_is_explained_by_what_its_instance_believed) {
+Test(report, explanation_shows_state_of_the_requests_instance) {
   bool ok;
-  char *text = printed(explain_d, &ok);
+  char *text = printed(explain_known_request, &ok);
   cr_assert(ok);
-  cr_assert_not_null(strstr(text, "its instance"), "the store was lost");
-  cr_assert_null(strstr(text, "n.2"), "another instance's belief is not its");
+  cr_assert_not_null(strstr(text, "its instance"),
+                     "store-lost is an event of the instance");
+  cr_assert_null(strstr(text, "n.2"), "events of other instances are left out");
   cr_assert_not_null(strstr(text, "its target"));
   cr_assert_not_null(strstr(text, "cause: late: first event"));
   free(text);
-  text = printed(explain_nothing, &ok);
+  text = printed(explain_unknown_request, &ok);
   cr_assert_not(ok);
   free(text);
 }
