--- a/bin/loftpathd.c
+++ b/bin/loftpathd.c
@@ -96,10 +96,10 @@
       .platform = settings_text(settings, "platform"),
       .admin_key = settings_text(settings, "admin-key"),
       .instance = self_id,
-      .max_body = (size_t)settings_number(settings, "max-body"),
-      .max_header = (size_t)settings_number(settings, "max-header"),
+      .max_body_bytes = (size_t)settings_number(settings, "max-body"),
+      .max_header_bytes = (size_t)settings_number(settings, "max-header"),
       .max_connections = (int)settings_number(settings, "max-connections"),
-      .idle_s = (int)settings_number(settings, "idle")};
+      .idle_timeout_s = (int)settings_number(settings, "idle")};
   entry.fleet = service_find(&kernel, "fleet");
   entry.snapshots = service_find(&kernel, "snapshots");
   entry.pools = service_find(&kernel, "pools");
@@ -186,10 +186,10 @@
   bool given_back = false;
   double told = clock_now();
   service_drain(&kernel);
-  log_info("draining", "s:i", "open", atomic_load(&entry.open));
+  log_info("draining", "s:i", "open", atomic_load(&entry.open_requests));
   while (clock_now() < deadline) {
     if (sigtimedwait(set, NULL, &step) > 0) return false;
-    if (atomic_load(&entry.open) > 0) continue;
+    if (atomic_load(&entry.open_requests) > 0) continue;
     if (!given_back) fleet_drain(entry.fleet);
     given_back = true;
     if (fleet_drained(entry.fleet)) return true;
@@ -226,7 +226,7 @@
   sigaddset(&set, SIGINT);
   pthread_sigmask(SIG_BLOCK, &set, NULL); /* before any thread is made */
   signal(SIGPIPE, SIG_IGN);
-  atomic_store(&entry.store_heard, clock_unix());
+  atomic_store(&entry.store_answered_at, clock_unix());
   for (size_t i = 0; i < G_N_ELEMENTS(services); i++)
     ok = ok && service_add(&kernel, &services[i], &e);
   if (!ok || !service_start(&kernel, &e)) {
@@ -239,8 +239,8 @@
   bool clean = drain(&set);
   if (clean) http_server_drain(entry.server, STOP_LAST_S);
   if (!clean)
-    log_warn("stop-cut", "s:i,s:I", "requests", atomic_load(&entry.open),
-             "tokens",
+    log_warn("stop-cut", "s:i,s:I", "requests",
+             atomic_load(&entry.open_requests), "tokens",
              (json_int_t)(fleet_sums(entry.fleet).free +
                           fleet_sums(entry.fleet).reserved));
   log_info("stopped", "s:b", "clean", (int)clean);
--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -1,4 +1,4 @@
-/* admin.c: what the operators' command asks for. */
+/* admin.c: the admin API, used by the command loftpath. */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,12 +11,13 @@
 #include "ledger/shard.h"
 #include "table/rollout.h"
 
-#define STORE_WAIT_S 3
-#define STORE_SILENT_S 10 /* then the store is shown as down */
+#define STORE_TIMEOUT_S 3
+/* Seconds without a response after which the store is shown as down. */
+#define STORE_DOWN_AFTER_S 10
 
-static struct MHD_Response *reply(json_t *o, int *status) {
+static struct MHD_Response *create_json_response(json_t *o, int *status) {
   char *s = json_dumps(o, JSON_COMPACT);
-  struct MHD_Response *m = entry_text("application/json", s);
+  struct MHD_Response *m = entry_text_response("application/json", s);
   *status = 200;
   free(s);
   json_decref(o);
@@ -25,12 +26,12 @@
 
 /* == the table == */
 
-static PlatformAnswer store_get(void *ctx, const char *name) {
+static PlatformAnswer read_object(void *ctx, const char *name) {
   return platform_get(ctx, name);
 }
 
-static PlatformAnswer store_put(void *ctx, const char *name, uint64_t version,
-                                const char *text) {
+static PlatformAnswer write_object(void *ctx, const char *name,
+                                   uint64_t version, const char *text) {
   return platform_put(ctx, name, version, text);
 }
 
@@ -38,17 +39,17 @@
   *(char **)ctx = table_csv(t);
 }
 
-static struct MHD_Response *show(Entry *e, HttpRequest *r, int *status) {
+static struct MHD_Response *show_table(Entry *e, HttpRequest *r, int *status) {
   (void)r;
   char *csv = NULL;
   snapshots_read(e->snapshots, copy_csv, &csv);
-  struct MHD_Response *m = entry_text("text/csv", csv);
+  struct MHD_Response *m = entry_text_response("text/csv", csv);
   g_free(csv);
   *status = 200;
   return m;
 }
 
-static struct MHD_Response *bad_table(GPtrArray *errors, int *status) {
+static struct MHD_Response *create_table_error(GPtrArray *errors, int *status) {
   json_t *list = json_array();
   for (guint i = 0; i < errors->len; i++)
     json_array_append_new(list, json_string(errors->pdata[i]));
@@ -56,18 +57,18 @@
                         err_info(ERR_TABLE)->name, "message",
                         "the table was not accepted", "remedy",
                         err_info(ERR_TABLE)->remedy, "errors", list);
-  struct MHD_Response *m = reply(o, status);
+  struct MHD_Response *m = create_json_response(o, status);
   *status = err_info(ERR_TABLE)->status;
   return m;
 }
 
-static struct MHD_Response *apply(Entry *e, HttpRequest *r, int *status) {
+static struct MHD_Response *apply_table(Entry *e, HttpRequest *r, int *status) {
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
   uint64_t base;
   Table *t = r->too_large ? NULL : table_parse(r->body->str, errors, &base);
   struct MHD_Response *m;
   if (!t) {
-    m = bad_table(errors, status);
+    m = create_table_error(errors, status);
     g_ptr_array_free(errors, TRUE);
     return m;
   }
@@ -76,41 +77,44 @@
   RolloutEdit edit = {.base = base};
   const char *id = http_request_argument(r, "id"),
              *who = http_request_argument(r, "who");
-  const char *on = http_request_argument(r, "base");
+  const char *base_argument = http_request_argument(r, "base");
   g_strlcpy(edit.id, id ? id : "", sizeof edit.id);
   g_strlcpy(edit.who, who ? who : "unknown", sizeof edit.who);
-  if (on) edit.base = strtoull(on, NULL, 10);
+  if (base_argument) edit.base = strtoull(base_argument, NULL, 10);
   if (!edit.id[0]) {
     err_set(&err, ERR_MALFORMED, "the edit has no id");
-    m = entry_error(&err, NULL, status);
+    m = entry_error_response(&err, NULL, status);
   } else {
-    Platform *p = platform_open(e->options.platform, STORE_WAIT_S);
-    RolloutStore s = {store_get, store_put, p};
+    Platform *p = platform_open(e->options.platform, STORE_TIMEOUT_S);
+    RolloutStore s = {read_object, write_object, p};
     uint64_t v = rollout_apply(&s, t, &edit, &err);
     platform_close(p);
     log_info("apply", "s:s,s:s,s:I,s:s", "edit", edit.id, "who", edit.who,
              "version", (json_int_t)v, "error", v ? "" : err.text);
-    m = v ? reply(json_pack("{s:I}", "version", (json_int_t)v), status)
-          : entry_error(&err, NULL, status);
+    m = v ? create_json_response(json_pack("{s:I}", "version", (json_int_t)v),
+                                 status)
+          : entry_error_response(&err, NULL, status);
   }
   table_free(t);
   return m;
 }
 
-static struct MHD_Response *table(Entry *e, HttpRequest *r, int *status) {
+static struct MHD_Response *handle_table(Entry *e, HttpRequest *r,
+                                         int *status) {
   bool post = strcmp(r->method, "POST") == 0;
-  return post ? apply(e, r, status) : show(e, r, status);
+  return post ? apply_table(e, r, status) : show_table(e, r, status);
 }
 
-static struct MHD_Response *history(Entry *e, HttpRequest *r, int *status) {
+static struct MHD_Response *handle_history(Entry *e, HttpRequest *r,
+                                           int *status) {
   (void)r;
   Err err = {0};
-  Platform *p = platform_open(e->options.platform, STORE_WAIT_S);
-  RolloutStore s = {store_get, store_put, p};
+  Platform *p = platform_open(e->options.platform, STORE_TIMEOUT_S);
+  RolloutStore s = {read_object, write_object, p};
   char *text = rollout_history(&s, &err);
   platform_close(p);
-  if (!text) return entry_error(&err, NULL, status);
-  struct MHD_Response *m = entry_text("application/json", text);
+  if (!text) return entry_error_response(&err, NULL, status);
+  struct MHD_Response *m = entry_text_response("application/json", text);
   g_free(text);
   *status = 200;
   return m;
@@ -118,13 +122,13 @@
 
 /* == budgets == */
 
-typedef struct Names {
+typedef struct BudgetNames {
   bool shards[LIMIT_SHARDS];
   GPtrArray *names;
-} Names;
+} BudgetNames;
 
-static void collect(void *ctx, const Table *t) {
-  Names *n = ctx;
+static void collect_budgets(void *ctx, const Table *t) {
+  BudgetNames *n = ctx;
   for (guint i = 0; i < t->order->len; i++) {
     const TableRow *r = t->order->pdata[i];
     if (r->kind != TABLE_BUDGET) continue;
@@ -133,7 +137,7 @@
   }
 }
 
-static json_t *budget_json(const ShardBudget *b) {
+static json_t *encode_budget(const ShardBudget *b) {
   int64_t held = 0;
   int sealed = 0;
   json_t *grants = json_array();
@@ -156,8 +160,8 @@
                    (json_int_t)b->retired, "sealed", sealed, "grants", grants);
 }
 
-static bool add_shard(Platform *p, int index, const Names *n, json_t *list,
-                      Err *err) {
+static bool append_shard_budgets(Platform *p, int index, const BudgetNames *n,
+                                 json_t *list, Err *err) {
   char name[LIMIT_NAME];
   shard_name(index, name);
   PlatformAnswer a = platform_get(p, name);
@@ -168,59 +172,63 @@
   for (guint i = 0; s && i < n->names->len; i++) {
     const char *budget = n->names->pdata[i];
     if (shard_index(budget) != index) continue;
-    json_array_append_new(list, budget_json(shard_budget_add(s, budget)));
+    json_array_append_new(list, encode_budget(shard_budget_add(s, budget)));
   }
   shard_free(s);
   return true;
 }
 
-static struct MHD_Response *budgets(Entry *e, HttpRequest *r, int *status) {
+static struct MHD_Response *handle_budgets(Entry *e, HttpRequest *r,
+                                           int *status) {
   (void)r;
-  Names n = {.names = g_ptr_array_new_with_free_func(g_free)};
+  BudgetNames n = {.names = g_ptr_array_new_with_free_func(g_free)};
   Err err = {0};
   bool ok = true;
   json_t *list = json_array();
-  snapshots_read(e->snapshots, collect, &n);
-  Platform *p = platform_open(e->options.platform, STORE_WAIT_S);
+  snapshots_read(e->snapshots, collect_budgets, &n);
+  Platform *p = platform_open(e->options.platform, STORE_TIMEOUT_S);
   for (int i = 0; ok && i < LIMIT_SHARDS; i++)
-    if (n.shards[i]) ok = add_shard(p, i, &n, list, &err);
+    if (n.shards[i]) ok = append_shard_budgets(p, i, &n, list, &err);
   platform_close(p);
   g_ptr_array_free(n.names, TRUE);
-  if (ok) return reply(list, status);
+  if (ok) return create_json_response(list, status);
   json_decref(list);
-  return entry_error(&err, NULL, status);
+  return entry_error_response(&err, NULL, status);
 }
 
-/* == bills: the union of all batches, each request once == */
+/* == bills: the union of all batches, in which each request counts once == */
 
-typedef struct Bills {
-  json_t *seen, *sums; /* keys; tokens by budget */
-  int doubled;
-} Bills;
+typedef struct BillSums {
+  json_t *seen_keys, *tokens_by_budget; /* sets of request keys; sums */
+  int repeated_bills;
+} BillSums;
 
 static void add_bill(void *ctx, const BillItem *x) {
-  Bills *b = ctx;
-  if (json_object_get(b->seen, x->key)) {
-    b->doubled++;
+  BillSums *b = ctx;
+  if (json_object_get(b->seen_keys, x->key)) {
+    b->repeated_bills++;
     return;
   }
-  json_object_set_new(b->seen, x->key, json_true());
-  json_int_t sum = json_integer_value(json_object_get(b->sums, x->budget));
-  json_object_set_new(b->sums, x->budget, json_integer(sum + x->tokens));
+  json_object_set_new(b->seen_keys, x->key, json_true());
+  json_int_t sum =
+      json_integer_value(json_object_get(b->tokens_by_budget, x->budget));
+  json_object_set_new(b->tokens_by_budget, x->budget,
+                      json_integer(sum + x->tokens));
 }
 
-static struct MHD_Response *bills(Entry *e, HttpRequest *r, int *status) {
+static struct MHD_Response *handle_bills(Entry *e, HttpRequest *r,
+                                         int *status) {
   (void)r;
-  Platform *p = platform_open(e->options.platform, STORE_WAIT_S);
+  Platform *p = platform_open(e->options.platform, STORE_TIMEOUT_S);
   PlatformAnswer all = platform_list(p, "bills/");
   Err err = {0};
   if (all.kind != ERR_NONE) {
     platform_close(p);
     err_retry(&err, all.kind, 2000, "the store did not list the bills");
-    return entry_error(&err, NULL, status);
+    return entry_error_response(&err, NULL, status);
   }
   json_t *list = json_loads(all.text, 0, NULL), *o;
-  Bills b = {.seen = json_object(), .sums = json_object()};
+  BillSums b = {.seen_keys = json_object(), .tokens_by_budget = json_object()};
   size_t i;
   g_free(all.text);
   json_array_foreach(list, i, o) {
@@ -230,17 +238,17 @@
     g_free(a.text);
   }
   platform_close(p);
-  json_t *out = json_pack("{s:I,s:i,s:o}", "requests",
-                          (json_int_t)json_object_size(b.seen),
-                          "repeated_lines", b.doubled, "budgets", b.sums);
+  json_t *out = json_pack(
+      "{s:I,s:i,s:o}", "requests", (json_int_t)json_object_size(b.seen_keys),
+      "repeated_lines", b.repeated_bills, "budgets", b.tokens_by_budget);
   json_decref(list);
-  json_decref(b.seen);
-  return reply(out, status);
+  json_decref(b.seen_keys);
+  return create_json_response(out, status);
 }
 
 /* == targets, instances, status == */
 
-static void add_target(void *ctx, const char *pool, const RouteState *s) {
+static void append_target(void *ctx, const char *pool, const RouteState *s) {
   json_array_append_new(
       ctx, json_pack(
                "{s:s,s:s,s:s,s:s,s:s,s:s,s:i,s:i,s:i,s:i,s:b,s:b,s:f,s:f,s:I}",
@@ -252,14 +260,15 @@
                "failures", (json_int_t)s->failures));
 }
 
-static struct MHD_Response *targets(Entry *e, HttpRequest *r, int *status) {
+static struct MHD_Response *handle_targets(Entry *e, HttpRequest *r,
+                                           int *status) {
   (void)r;
   json_t *list = json_array();
-  pools_each(e->pools, add_target, list);
-  return reply(list, status);
+  pools_visit_targets(e->pools, append_target, list);
+  return create_json_response(list, status);
 }
 
-static json_t *instances_json(Entry *e) {
+static json_t *encode_instances(Entry *e) {
   View *v = fleet_view(e->fleet);
   json_t *list = json_array();
   for (int i = 0; i < v->n; i++) {
@@ -274,67 +283,72 @@
   return list;
 }
 
-static struct MHD_Response *instances(Entry *e, HttpRequest *r, int *status) {
+static struct MHD_Response *handle_instances(Entry *e, HttpRequest *r,
+                                             int *status) {
   (void)r;
-  return reply(instances_json(e), status);
+  return create_json_response(encode_instances(e), status);
 }
 
-static struct MHD_Response *state(Entry *e, HttpRequest *r, int *status) {
+static struct MHD_Response *handle_status(Entry *e, HttpRequest *r,
+                                          int *status) {
   (void)r;
   json_t *list = json_array();
-  pools_each(e->pools, add_target, list);
-  int64_t silent = clock_unix() - atomic_load(&e->store_heard);
+  pools_visit_targets(e->pools, append_target, list);
+  int64_t idle_s = clock_unix() - atomic_load(&e->store_answered_at);
   LedgerSums n = fleet_sums(e->fleet);
-  return reply(
+  return create_json_response(
       json_pack("{s:s,s:I,s:b,s:I,s:i,s:b,s:I,s:I,s:o,s:o}", "instance",
                 e->options.instance, "table",
                 (json_int_t)snapshots_version(e->snapshots), "store_up",
-                (int)(silent < STORE_SILENT_S), "store_silent_s",
-                (json_int_t)silent, "open", atomic_load(&e->open), "draining",
-                (int)atomic_load(&e->draining), "free", (json_int_t)n.free,
-                "home_free", (json_int_t)n.home_free, "instances",
-                instances_json(e), "targets", list),
+                (int)(idle_s < STORE_DOWN_AFTER_S), "store_silent_s",
+                (json_int_t)idle_s, "open", atomic_load(&e->open_requests),
+                "draining", (int)atomic_load(&e->draining), "free",
+                (json_int_t)n.free, "home_free", (json_int_t)n.home_free,
+                "instances", encode_instances(e), "targets", list),
       status);
 }
 
-static struct MHD_Response *drain(Entry *e, HttpRequest *r, int *status) {
+static struct MHD_Response *handle_drain(Entry *e, HttpRequest *r,
+                                         int *status) {
   (void)r;
   entry_drain(e);
-  return reply(json_pack("{s:s}", "instance", e->options.instance), status);
+  return create_json_response(
+      json_pack("{s:s}", "instance", e->options.instance), status);
 }
 
 static const struct {
   const char *path;
-  struct MHD_Response *(*handle)(Entry *e, HttpRequest *r, int *status);
-} calls[] = {
-    {"/admin/table", table},     {"/admin/history", history},
-    {"/admin/budgets", budgets}, {"/admin/bills", bills},
-    {"/admin/targets", targets}, {"/admin/instances", instances},
-    {"/admin/status", state},    {"/admin/drain", drain},
+  struct MHD_Response *(*handle_request)(Entry *e, HttpRequest *r, int *status);
+} routes[] = {
+    {"/admin/table", handle_table},     {"/admin/history", handle_history},
+    {"/admin/budgets", handle_budgets}, {"/admin/bills", handle_bills},
+    {"/admin/targets", handle_targets}, {"/admin/instances", handle_instances},
+    {"/admin/status", handle_status},   {"/admin/drain", handle_drain},
 };
 
-static bool allowed(const Entry *e, const HttpRequest *r) {
+static bool is_operator(const Entry *e, const HttpRequest *r) {
   const char *auth = http_request_header(r, "Authorization");
   const char *key = auth && g_str_has_prefix(auth, "Bearer ") ? auth + 7 : "";
-  char mine[65], theirs[65];
-  snapshots_hash(e->options.admin_key, mine);
-  snapshots_hash(key, theirs);
+  char expected_hash[65], given_hash[65];
+  snapshots_hash_key(e->options.admin_key, expected_hash);
+  snapshots_hash_key(key, given_hash);
   unsigned char diff = 0;
-  for (int i = 0; i < 64; i++) diff |= (unsigned char)(mine[i] ^ theirs[i]);
+  for (int i = 0; i < 64; i++)
+    diff |= (unsigned char)(expected_hash[i] ^ given_hash[i]);
   return e->options.admin_key[0] && diff == 0;
 }
 
 struct MHD_Response *admin_handle(Entry *e, HttpRequest *r, int *status) {
   Err err = {0};
-  if (!allowed(e, r)) {
+  if (!is_operator(e, r)) {
     err_set(&err, ERR_UNAUTHORISED, "this is for operators");
-    return entry_error(&err, NULL, status);
+    return entry_error_response(&err, NULL, status);
   }
-  for (size_t i = 0; i < G_N_ELEMENTS(calls); i++)
-    if (strcmp(r->path, calls[i].path) == 0)
-      return calls[i].handle(e, r, status);
+  for (size_t i = 0; i < G_N_ELEMENTS(routes); i++)
+    if (strcmp(r->path, routes[i].path) == 0)
+      return routes[i].handle_request(e, r, status);
   err_set(&err, ERR_MALFORMED, "there is no call %.100s", r->path);
-  struct MHD_Response *m = entry_error(&err, NULL, status);
+  struct MHD_Response *m = entry_error_response(&err, NULL, status);
   *status = 404;
   return m;
 }
--- a/packages/entry/exchange.c
+++ b/packages/entry/exchange.c
@@ -1,4 +1,4 @@
-/* exchange.c: the common path of a request. */
+/* exchange.c: the steps that are common to all requests. */
 #include "entry/exchange.h"
 
 #include <inttypes.h>
@@ -12,10 +12,10 @@
 #include "kernel/count.h"
 #include "kernel/log.h"
 
-/* == who == */
+/* == identification == */
 
-/* The caller's key names the request, else we issue a name. */
-static void name_request(Exchange *x, const HttpRequest *r) {
+/* Derives the id from the caller's idempotency key, or generates one. */
+static void set_request_id(Exchange *x, const HttpRequest *r) {
   const char *key = http_request_header(r, "Idempotency-Key");
   if (key && key[0] && strlen(key) <= 256) {
     OnceKey k = once_key(x->customer.name, key);
@@ -29,22 +29,23 @@
   x->run.key = once_key(x->customer.name, x->id);
 }
 
-bool exchange_who(Exchange *x, Entry *e, HttpRequest *r, const char *service,
-                  Err *err) {
+bool exchange_identify(Exchange *x, Entry *e, HttpRequest *r,
+                       const char *service, Err *err) {
   memset(x, 0, sizeof *x);
   x->entry = e;
-  x->started = clock_now();
+  x->started_at = clock_now();
   const char *auth = http_request_header(r, "Authorization");
   const char *key = auth && g_str_has_prefix(auth, "Bearer ") ? auth + 7 : "";
-  if (!snapshots_customer(e->snapshots, key, &x->customer))
+  if (!snapshots_find_customer(e->snapshots, key, &x->customer))
     return err_set(err, ERR_UNAUTHORISED, "no customer has this key");
-  name_request(x, r);
+  set_request_id(x, r);
   if (r->too_large)
     return err_set(err, ERR_TOO_LARGE, "the body is over %zu bytes",
-                   e->options.max_body);
-  if (!snapshots_service(e->snapshots, service, &x->service))
+                   e->options.max_body_bytes);
+  if (!snapshots_find_service(e->snapshots, service, &x->service))
     return err_set(err, ERR_NO_SERVICE, "there is no service '%.60s'", service);
-  if (!snapshots_budget(e->snapshots, x->customer.name, service, x->budget))
+  if (!snapshots_find_budget(e->snapshots, x->customer.name, service,
+                             x->budget))
     return err_set(err, ERR_NO_BUDGET, "%s has no budget for %s",
                    x->customer.name, service);
   return true;
@@ -52,9 +53,9 @@
 
 /* == start == */
 
-static ExchangeStart on_verdict(OnceVerdict v, Err *err) {
+static ExchangeStart start_for_verdict(OnceVerdict v, Err *err) {
   switch (v) {
-  case ONCE_RUN: return EXCHANGE_GO;
+  case ONCE_RUN: return EXCHANGE_DISPATCHED;
   case ONCE_REPLAY: return EXCHANGE_REPLAY;
   case ONCE_PENDING:
     err_retry(err, ERR_IN_PROGRESS, 1000, "this request is running now");
@@ -76,26 +77,28 @@
   return EXCHANGE_REFUSED;
 }
 
-static bool reserve(Exchange *x, Err *err) {
-  if (x->reserved == 0) return true;
-  x->reservation = fleet_reserve(x->entry->fleet, x->budget, x->reserved, err);
+static bool reserve_tokens(Exchange *x, Err *err) {
+  if (x->reserved_tokens == 0) return true;
+  x->reservation =
+      fleet_reserve(x->entry->fleet, x->budget, x->reserved_tokens, err);
   return x->reservation != 0;
 }
 
-static void settle(Exchange *x, int64_t used) {
+static void settle_reservation(Exchange *x, int64_t used) {
   if (x->reservation == 0) return;
-  if (used > x->reserved) {
-    count_add(COUNT_TOKENS_OVER_BOUND, used - x->reserved);
+  if (used > x->reserved_tokens) {
+    count_add(COUNT_TOKENS_OVER_BOUND, used - x->reserved_tokens);
     log_warn("over-bound", "s:s,s:I,s:I", "request", x->id, "reserved",
-             (json_int_t)x->reserved, "used", (json_int_t)used);
+             (json_int_t)x->reserved_tokens, "used", (json_int_t)used);
   }
   fleet_settle(x->entry->fleet, x->budget, x->reservation, used);
   count_add(COUNT_TOKENS, used);
   x->reservation = 0;
 }
 
-/* A cap of the whole fleet is split over the instances that are there. */
-static int64_t split_cap(const Exchange *x, int64_t cap) {
+/* Returns this instance's part of a cap on the whole fleet, which is divided
+   evenly among the live instances. */
+static int64_t cap_per_instance(const Exchange *x, int64_t cap) {
   if (cap == 0) return 0;
   View *v = fleet_view(x->entry->fleet);
   int n = MAX(v->n, 1);
@@ -103,7 +106,7 @@
   return (cap + n - 1) / n;
 }
 
-static bool enter(Exchange *x, Err *err) {
+static bool enter_pool(Exchange *x, Err *err) {
   x->pool = pools_find(x->entry->pools, x->service.pool);
   if (!x->pool)
     return err_retry(err, ERR_NO_TARGET, 5000, "no target serves %s",
@@ -112,17 +115,17 @@
   g_strlcpy(q->customer, x->customer.name, sizeof q->customer);
   q->class = x->service.priority;
   q->weight = (double)x->customer.share;
-  q->tokens = x->reserved;
-  q->wait_s = x->service.wait_s;
-  q->running_cap = (int)split_cap(x, x->customer.running);
-  q->rate_cap = split_cap(x, x->customer.rate);
+  q->tokens = x->reserved_tokens;
+  q->wait_s = x->service.max_wait_s;
+  q->running_cap = (int)cap_per_instance(x, x->customer.max_running);
+  q->rate_cap = cap_per_instance(x, x->customer.max_tokens_per_min);
   g_strlcpy(q->service, x->service.name, sizeof q->service);
-  q->service_cap = (int)split_cap(x, x->service.running);
-  x->ticket.ask.adapter = x->service.adapter;
-  x->ticket.ask.version = x->service.version;
-  x->ticket.ask.dcs = x->service.dcs;
-  x->entered = pool_enter(x->pool, &x->ticket, err);
-  return x->entered;
+  q->service_cap = (int)cap_per_instance(x, x->service.max_running);
+  x->ticket.route_request.adapter = x->service.adapter;
+  x->ticket.route_request.version = x->service.version;
+  x->ticket.route_request.dcs = x->service.dcs;
+  x->in_pool = pool_enter(x->pool, &x->ticket, err);
+  return x->in_pool;
 }
 
 static void log_route(const Exchange *x) {
@@ -136,11 +139,12 @@
            (int)c->probe);
 }
 
-/* A target was chosen; it gets the request now. */
-static void dispatched(Exchange *x) {
-  x->sent = clock_now();
+/* Call right before the request is sent to the chosen target. */
+static void record_dispatch(Exchange *x) {
+  x->sent_at = clock_now();
   log_route(x);
-  if (!x->service.plain) /* an engine's run can be taken up by a retry */
+  /* A retry of the caller can resume an engine's run. */
+  if (!x->service.is_plain)
     fleet_at(x->entry->fleet, &x->run, x->ticket.choice.name);
 }
 
@@ -151,59 +155,60 @@
     err_retry(err, ERR_DRAINING, 1000, "this instance is stopping");
     return EXCHANGE_REFUSED;
   }
-  bool ask = g_str_has_prefix(x->id, "key-");
+  bool has_caller_key = g_str_has_prefix(x->id, "key-");
   uint64_t digest = XXH64(r->body->str, r->body->len, 0) >> 1;
-  OnceVerdict v = fleet_begin(e->fleet, x->run.key, digest, ask,
-                              x->service.repeat, &x->run, replay);
-  ExchangeStart s = on_verdict(v, err);
-  if (s != EXCHANGE_GO) return s;
-  x->began = true;
-  x->reserved = tokens;
-  if (x->run.target[0]) x->ticket.ask.prefer = x->run.target;
-  if (!reserve(x, err) || !enter(x, err)) {
-    exchange_not_run(x);
+  OnceVerdict v = fleet_begin(e->fleet, x->run.key, digest, has_caller_key,
+                              x->service.is_repeatable, &x->run, replay);
+  ExchangeStart s = start_for_verdict(v, err);
+  if (s != EXCHANGE_DISPATCHED) return s;
+  x->has_record = true;
+  x->reserved_tokens = tokens;
+  if (x->run.target[0]) x->ticket.route_request.prefer = x->run.target;
+  if (!reserve_tokens(x, err) || !enter_pool(x, err)) {
+    exchange_end_not_run(x);
     return EXCHANGE_REFUSED;
   }
-  dispatched(x);
-  return EXCHANGE_GO;
+  record_dispatch(x);
+  return EXCHANGE_DISPATCHED;
 }
 
-/* == the ways on and out == */
+/* == progress and end == */
 
-void exchange_first(Exchange *x) {
-  x->first = clock_now();
+void exchange_record_first_byte(Exchange *x) {
+  x->first_byte_at = clock_now();
 }
 
-static void leave_target(Exchange *x, RouteOutcome outcome) {
+static void end_dispatch(Exchange *x, RouteOutcome outcome) {
   double now = clock_now();
-  double first = x->first > 0 ? x->first - x->sent : 0;
-  pool_done(x->pool, &x->ticket, outcome, first, now - x->sent);
+  double first = x->first_byte_at > 0 ? x->first_byte_at - x->sent_at : 0;
+  pool_end_dispatch(x->pool, &x->ticket, outcome, first, now - x->sent_at);
 }
 
-bool exchange_again(Exchange *x, Ran ran, int64_t consumed, Err *err) {
-  leave_target(x, ran == RAN_NOT ? ROUTE_REFUSED : ROUTE_FAILED);
-  bool allowed = ran == RAN_NOT || x->service.repeat;
-  if (ran != RAN_NOT) { /* what the failed run may have consumed stays paid */
-    settle(x, consumed);
+bool exchange_retry(Exchange *x, Ran ran, int64_t consumed, Err *err) {
+  end_dispatch(x, ran == RAN_NOT ? ROUTE_REFUSED : ROUTE_FAILED);
+  bool allowed = ran == RAN_NOT || x->service.is_repeatable;
+  if (ran != RAN_NOT) {
+    /* Tokens that the failed run may have consumed stay charged. */
+    settle_reservation(x, consumed);
     count_add(COUNT_WASTE, consumed);
-    allowed = allowed && reserve(x, err);
+    allowed = allowed && reserve_tokens(x, err);
   }
-  if (allowed && pool_again(x->pool, &x->ticket)) {
-    dispatched(x);
+  if (allowed && pool_retry(x->pool, &x->ticket)) {
+    record_dispatch(x);
     return true;
   }
   return false;
 }
 
-static void close_exchange(Exchange *x, int64_t tokens) {
-  settle(x, tokens);
-  if (x->entered) pool_leave(x->pool, &x->ticket, tokens);
-  x->entered = false;
+static void release_resources(Exchange *x, int64_t tokens) {
+  settle_reservation(x, tokens);
+  if (x->in_pool) pool_leave(x->pool, &x->ticket, tokens);
+  x->in_pool = false;
 }
 
-void exchange_ran(Exchange *x, int64_t tokens, const OnceAnswer *answer) {
-  leave_target(x, ROUTE_OK);
-  close_exchange(x, tokens);
+void exchange_complete(Exchange *x, int64_t tokens, const OnceAnswer *answer) {
+  end_dispatch(x, ROUTE_OK);
+  release_resources(x, tokens);
   OnceBill bill = {.tokens = tokens};
   g_strlcpy(bill.customer, x->customer.name, sizeof bill.customer);
   g_strlcpy(bill.budget, x->budget, sizeof bill.budget);
@@ -212,12 +217,12 @@
   count_add(COUNT_RAN, 1);
   log_info("ran", "s:s,s:s,s:s,s:I,s:f,s:b", "request", x->id, "customer",
            x->customer.name, "target", x->ticket.choice.name, "tokens",
-           (json_int_t)tokens, "seconds", clock_now() - x->started, "doubled",
-           (int)doubled);
+           (json_int_t)tokens, "seconds", clock_now() - x->started_at,
+           "doubled", (int)doubled);
 }
 
-void exchange_unknown(Exchange *x, int64_t tokens) {
-  close_exchange(x, tokens);
+void exchange_end_unknown(Exchange *x, int64_t tokens) {
+  release_resources(x, tokens);
   fleet_unknown(x->entry->fleet, &x->run);
   count_add(COUNT_WASTE, tokens);
   log_warn("unknown", "s:s,s:s,s:s,s:I", "request", x->id, "customer",
@@ -225,14 +230,14 @@
            (json_int_t)tokens);
 }
 
-void exchange_not_run(Exchange *x) {
-  close_exchange(x, 0);
-  if (x->began) fleet_abort(x->entry->fleet, &x->run);
+void exchange_end_not_run(Exchange *x) {
+  release_resources(x, 0);
+  if (x->has_record) fleet_abort(x->entry->fleet, &x->run);
 }
 
 void exchange_give_up(Exchange *x, Ran ran) {
-  if (ran == RAN_NOT || x->service.repeat)
-    exchange_not_run(x);
+  if (ran == RAN_NOT || x->service.is_repeatable)
+    exchange_end_not_run(x);
   else
-    exchange_unknown(x, 0); /* settled when the dispatch failed */
+    exchange_end_unknown(x, 0); /* exchange_retry has settled the tokens */
 }
--- a/packages/entry/exchange.h
+++ b/packages/entry/exchange.h
@@ -1,6 +1,6 @@
-/* exchange.h: the steps that every request takes, whatever it asks for:
-   customer, record, reservation, turn and target; and the three ways it ends.
- */
+/* exchange.h: the steps that are common to all requests: find the customer and
+   the service, open the request's record, reserve tokens, wait in the queue of
+   the pool, choose a target; then complete, retry or end the request. */
 #ifndef ENTRY_EXCHANGE_H
 #define ENTRY_EXCHANGE_H
 
@@ -13,36 +13,44 @@
   EntryService service;
   char budget[LIMIT_NAME];
   FleetRun run;
-  int64_t reserved;
-  uint64_t reservation; /* 0: nothing reserved */
+  int64_t reserved_tokens;
+  uint64_t reservation; /* 0: no tokens are reserved */
   Pool *pool;
   PoolTicket ticket;
-  bool began, entered;
-  double started, sent, first; /* monotonic seconds */
+  bool has_record, in_pool;
+  double started_at, sent_at, first_byte_at; /* monotonic seconds */
 } Exchange;
 
-typedef enum { EXCHANGE_GO, EXCHANGE_REFUSED, EXCHANGE_REPLAY } ExchangeStart;
+typedef enum {
+  EXCHANGE_DISPATCHED,
+  EXCHANGE_REFUSED,
+  EXCHANGE_REPLAY
+} ExchangeStart;
 
-/* Who asks, and for what. False with a typed error. */
-bool exchange_who(Exchange *x, Entry *e, HttpRequest *r, const char *service,
-                  Err *err);
-/* Record, reservation of `tokens`, turn and target. On EXCHANGE_REPLAY
-   `replay` is the kept answer (body may be NULL: not kept). */
+/* Initialises `x` with the customer, service and budget of a request. Returns
+   false with a typed error. */
+bool exchange_identify(Exchange *x, Entry *e, HttpRequest *r,
+                       const char *service, Err *err);
+/* Opens the request's record, reserves `tokens`, waits in the queue and chooses
+   a target. On EXCHANGE_REPLAY `replay` is the stored answer; its body is NULL
+   if it was not stored. */
 ExchangeStart exchange_start(Exchange *x, HttpRequest *r, int64_t tokens,
                              OnceAnswer *replay, Err *err);
-/* After a dispatch that failed: settles what it may have consumed and looks
-   for another target. `ran`: RAN_NOT when no byte was sent. */
-bool exchange_again(Exchange *x, Ran ran, int64_t consumed, Err *err);
-/* First token or answer came. */
-void exchange_first(Exchange *x);
-/* It ran: `tokens` consumed; bill and answer are held elsewhere on return. */
-void exchange_ran(Exchange *x, int64_t tokens, const OnceAnswer *answer);
-/* Its outcome is unknown or its answer was cut. */
-void exchange_unknown(Exchange *x, int64_t tokens);
-/* It did not run. */
-void exchange_not_run(Exchange *x);
-/* No target is left to try. A request that was sent and may not be repeated
-   keeps its claim. */
+/* After a failed dispatch, settles the tokens that it may have consumed and
+   chooses another target. `ran` is RAN_NOT if no byte was sent. Returns false
+   if the request may not be retried or no target is left. */
+bool exchange_retry(Exchange *x, Ran ran, int64_t consumed, Err *err);
+/* Records the time of the first byte of the response. */
+void exchange_record_first_byte(Exchange *x);
+/* Ends a request that ran and consumed `tokens`. On return other instances hold
+   its bill and answer. */
+void exchange_complete(Exchange *x, int64_t tokens, const OnceAnswer *answer);
+/* Ends a request whose outcome is unknown or whose response was truncated. */
+void exchange_end_unknown(Exchange *x, int64_t tokens);
+/* Ends a request that did not run. */
+void exchange_end_not_run(Exchange *x);
+/* Ends a request for which no target is left. Its claim, which keeps the key
+   from running twice, stays if it was sent and must not be repeated. */
 void exchange_give_up(Exchange *x, Ran ran);
 
 #endif
--- a/packages/entry/placer.c
+++ b/packages/entry/placer.c
@@ -1,5 +1,6 @@
-/* placer.c: threads around the cores that place adapters. One watches the
-   plans, one looks at the pools and carries out what their cores want. */
+/* placer.c: the threads that run the placement logic of place/place.h. One
+   watches the plans in the store. The other checks the pools and carries out
+   the actions that the logic requests. */
 #include "entry/placer.h"
 
 #include <jansson.h>
@@ -14,32 +15,34 @@
 #include "store/platform.h"
 #include "target/engine.h"
 
-#define PREFIX "place/"
-#define WATCH_S 10
-#define STORE_WAIT_S 15 /* above WATCH_S */
-#define CALL_S 3
-#define STEP_US 200000
-#define LOOK_S 1.0
-#define LIST_S 30.0 /* a watch may miss events: all plans are listed */
+#define PLAN_PREFIX "place/"
+#define WATCH_TIMEOUT_S 10
+#define STORE_TIMEOUT_S 15 /* must exceed WATCH_TIMEOUT_S */
+#define STORE_CALL_TIMEOUT_S 3
+#define SLEEP_STEP_US 200000
+#define UPDATE_INTERVAL_S 1.0
+/* All plans are listed at this interval, since a watch may miss events. */
+#define LIST_INTERVAL_S 30.0
 
-/* One pool with targets that may be given adapters. */
+/* A pool whose targets can be ordered to load adapters. */
 typedef struct PlacePool {
   char name[LIMIT_NAME + 8];
-  Place *core;             /* of the deciding thread */
-  Plan *plan;              /* under the lock: the newest that was read, */
-  uint64_t version;        /* and its version */
-  uint64_t applied, table; /* versions that the pool's targets have */
+  Place *core;      /* used by the update thread only */
+  Plan *plan;       /* newest plan that was read; guarded by the lock */
+  uint64_t version; /* version of `plan`; guarded by the lock */
+  /* Versions of the plan and the table that the targets were last set from. */
+  uint64_t applied_version, table_version;
 } PlacePool;
 
 struct Placer {
   Entry *entry;
   atomic_bool stop;
-  pthread_t watching, deciding;
-  pthread_mutex_t lock; /* of `pools` and their plans */
-  GHashTable *pools;    /* name -> PlacePool; never removed */
+  pthread_t watch_thread, update_thread;
+  pthread_mutex_t lock; /* guards `pools` and their plans */
+  GHashTable *pools;    /* name -> PlacePool; entries are never removed */
 };
 
-static bool running(const Placer *p) {
+static bool is_running(const Placer *p) {
   return !atomic_load(&p->stop);
 }
 
@@ -52,7 +55,7 @@
   g_free(pp);
 }
 
-/* Under the lock. */
+/* Adds the pool if it is absent. Requires the lock. */
 static PlacePool *find_pool(Placer *p, const char *name) {
   PlacePool *pp = g_hash_table_lookup(p->pools, name);
   if (pp) return pp;
@@ -64,9 +67,10 @@
   return pp;
 }
 
-/* Only ever to a newer plan: a stale read changes nothing. */
-static void take_plan(Placer *p, const char *name, uint64_t version,
-                      const char *text) {
+/* Replaces the plan of a pool if `version` is newer, so that a stale read has
+   no effect. */
+static void adopt_plan(Placer *p, const char *name, uint64_t version,
+                       const char *text) {
   Plan *plan = plan_read(text);
   if (!plan) return;
   pthread_mutex_lock(&p->lock);
@@ -82,52 +86,54 @@
   plan_free(plan);
 }
 
-static void read_plan(Placer *p, Platform *store, const char *object) {
+static void fetch_plan(Placer *p, Platform *store, const char *object) {
   PlatformAnswer a = platform_get(store, object);
   if (a.kind == ERR_NONE)
-    take_plan(p, object + strlen(PREFIX), a.version, a.text);
+    adopt_plan(p, object + strlen(PLAN_PREFIX), a.version, a.text);
   g_free(a.text);
 }
 
-/* Reads what the list has newer than we do. */
-static void read_newer(Placer *p, Platform *store, json_t *list) {
+/* Reads the plans that have a newer version in `list` than in memory. */
+static void fetch_newer_plans(Placer *p, Platform *store, json_t *list) {
   size_t i;
   json_t *o;
   json_array_foreach(list, i, o) {
     const char *name = json_string_value(json_object_get(o, "name"));
     json_int_t v = json_integer_value(json_object_get(o, "version"));
-    if (!name || !g_str_has_prefix(name, PREFIX)) continue;
+    if (!name || !g_str_has_prefix(name, PLAN_PREFIX)) continue;
     pthread_mutex_lock(&p->lock);
-    const PlacePool *pp = g_hash_table_lookup(p->pools, name + strlen(PREFIX));
+    const PlacePool *pp =
+        g_hash_table_lookup(p->pools, name + strlen(PLAN_PREFIX));
     bool newer = !pp || (uint64_t)v > pp->version;
     pthread_mutex_unlock(&p->lock);
-    if (newer) read_plan(p, store, name);
+    if (newer) fetch_plan(p, store, name);
   }
 }
 
-static void rest(const Placer *p, double seconds) {
-  for (double end = clock_now() + seconds; running(p) && clock_now() < end;)
-    g_usleep(STEP_US);
+static void sleep_while_running(const Placer *p, double seconds) {
+  for (double end = clock_now() + seconds; is_running(p) && clock_now() < end;)
+    g_usleep(SLEEP_STEP_US);
 }
 
 static void *watch_plans(void *arg) {
   Placer *p = arg;
-  Platform *store = platform_open(p->entry->options.platform, STORE_WAIT_S);
+  Platform *store = platform_open(p->entry->options.platform, STORE_TIMEOUT_S);
   uint64_t revision = 0;
   double listed = 0;
-  while (running(p)) {
-    bool list = clock_now() - listed >= LIST_S;
-    PlatformAnswer a = list ? platform_list(store, PREFIX)
-                            : platform_watch(store, PREFIX, revision, WATCH_S);
+  while (is_running(p)) {
+    bool list = clock_now() - listed >= LIST_INTERVAL_S;
+    PlatformAnswer a =
+        list ? platform_list(store, PLAN_PREFIX)
+             : platform_watch(store, PLAN_PREFIX, revision, WATCH_TIMEOUT_S);
     json_t *o = a.text ? json_loads(a.text, 0, NULL) : NULL;
     if (a.kind != ERR_NONE || !o) {
-      rest(p, 1);
+      sleep_while_running(p, 1);
     } else if (list) {
-      read_newer(p, store, o);
+      fetch_newer_plans(p, store, o);
       listed = clock_now();
     } else {
       json_int_t now = json_integer_value(json_object_get(o, "revision"));
-      read_newer(p, store, json_object_get(o, "changed"));
+      fetch_newer_plans(p, store, json_object_get(o, "changed"));
       revision = (uint64_t)now;
     }
     json_decref(o);
@@ -137,23 +143,23 @@
   return NULL;
 }
 
-/* == a look at a pool == */
+/* == state of a pool == */
 
-typedef struct Look {
+typedef struct PoolState {
   char pool[LIMIT_NAME + 8];
   GArray *targets; /* PlaceTarget */
   GArray *wants;   /* PlaceWant */
-  bool managed;    /* some target may be given adapters */
-} Look;
+  bool is_managed; /* some target can be ordered to load adapters */
+} PoolState;
 
-static void look_clear(Look *l) {
+static void free_pool_state(PoolState *l) {
   g_array_free(l->targets, TRUE);
   g_array_free(l->wants, TRUE);
   g_free(l);
 }
 
-static void add_target(void *ctx, const char *pool, const RouteState *s) {
-  Look *l = ctx;
+static void append_target(void *ctx, const char *pool, const RouteState *s) {
+  PoolState *l = ctx;
   (void)pool;
   PlaceTarget t = {.slots = s->target.slots,
                    .loads = s->target.loads,
@@ -163,11 +169,11 @@
   g_strlcpy(t.name, s->target.name, sizeof t.name);
   g_strlcpy(t.url, s->target.url, sizeof t.url);
   g_strlcpy(t.fixed, s->target.adapters, sizeof t.fixed);
-  l->managed |= t.loads > 0;
+  l->is_managed |= t.loads > 0;
   g_array_append_val(l->targets, t);
 }
 
-static PlaceWant *find_want(const Look *l, const char *adapter) {
+static PlaceWant *find_want(const PoolState *l, const char *adapter) {
   for (guint i = 0; i < l->wants->len; i++) {
     PlaceWant *w = &g_array_index(l->wants, PlaceWant, i);
     if (strcmp(w->adapter, adapter) == 0) return w;
@@ -175,14 +181,15 @@
   return NULL;
 }
 
-/* Services may share an adapter: the larger numbers count. */
+/* If services share an adapter, the larger limits apply. */
 static void add_wants(void *ctx, const Table *t) {
-  Look *l = ctx;
+  PoolState *l = ctx;
   for (guint i = 0; i < t->order->len; i++) {
     const TableRow *r = t->order->pdata[i];
-    bool ours = r->kind == TABLE_SERVICE && r->cells[TABLE_ADAPTER][0] &&
-                strcmp(r->cells[TABLE_MODEL], l->pool + strlen("model/")) == 0;
-    if (!ours) continue;
+    bool uses_adapter =
+        r->kind == TABLE_SERVICE && r->cells[TABLE_ADAPTER][0] &&
+        strcmp(r->cells[TABLE_MODEL], l->pool + strlen("model/")) == 0;
+    if (!uses_adapter) continue;
     PlaceWant w = {.least = (int)r->numbers[TABLE_LEAST],
                    .most = (int)r->numbers[TABLE_MOST]};
     g_strlcpy(w.adapter, r->cells[TABLE_ADAPTER], sizeof w.adapter);
@@ -197,30 +204,30 @@
   }
 }
 
-static Look *look_at(Placer *p, const char *pool) {
-  Look *l = g_new0(Look, 1);
+static PoolState *inspect_pool(Placer *p, const char *pool) {
+  PoolState *l = g_new0(PoolState, 1);
   g_strlcpy(l->pool, pool, sizeof l->pool);
   l->targets = g_array_new(FALSE, TRUE, sizeof(PlaceTarget));
   l->wants = g_array_new(FALSE, TRUE, sizeof(PlaceWant));
   Pool *x = pools_find(p->entry->pools, pool);
-  pool_each(x, add_target, l);
+  pool_visit_targets(x, append_target, l);
   snapshots_read(p->entry->snapshots, add_wants, l);
   for (guint i = 0; i < l->wants->len; i++) {
     PlaceWant *w = &g_array_index(l->wants, PlaceWant, i);
-    w->asked = pool_asked(x, w->adapter);
+    w->asked = pool_take_adapter_demand(x, w->adapter);
   }
   return l;
 }
 
-/* == actions of a core == */
+/* == actions == */
 
 static void object_name(const PlacePool *pp, char *out, size_t n) {
-  g_strlcpy(out, PREFIX, n);
+  g_strlcpy(out, PLAN_PREFIX, n);
   g_strlcat(out, pp->name, n);
 }
 
-static void do_store(Placer *p, Platform *store, PlacePool *pp,
-                     PlaceAction *a) {
+static void run_store_action(Placer *p, Platform *store, PlacePool *pp,
+                             PlaceAction *a) {
   char object[128];
   bool put = a->what == PLACE_DO_PUT;
   object_name(pp, object, sizeof object);
@@ -231,13 +238,13 @@
              a->reason, "plan", a->text, "version", (json_int_t)r.version,
              "kept", (int)(r.kind == ERR_NONE));
   if (r.kind == ERR_NONE)
-    take_plan(p, pp->name, r.version, put ? a->text : r.text);
+    adopt_plan(p, pp->name, r.version, put ? a->text : r.text);
   place_stored(pp->core, clock_now(), a->seq, r.kind, r.version,
                put ? NULL : r.text);
   g_free(r.text);
 }
 
-static void do_order(PlacePool *pp, const PlaceAction *a) {
+static void run_order_action(PlacePool *pp, const PlaceAction *a) {
   static const char *const names[] = {[PLACE_DONE] = "done",
                                       [PLACE_BUSY] = "loading",
                                       [PLACE_FENCED] = "fenced",
@@ -251,69 +258,73 @@
   place_ordered(pp->core, clock_now(), a->target, a->version, a->adapters, r);
 }
 
-static void act(Placer *p, Platform *store, PlacePool *pp) {
+static void run_actions(Placer *p, Platform *store, PlacePool *pp) {
   PlaceAction a;
-  while (running(p) && place_next(pp->core, &a)) {
+  while (is_running(p) && place_next(pp->core, &a)) {
     if (a.what == PLACE_DO_ORDER)
-      do_order(pp, &a);
+      run_order_action(pp, &a);
     else
-      do_store(p, store, pp, &a);
+      run_store_action(p, store, pp, &a);
     g_free(a.text);
   }
 }
 
-/* == the deciding thread == */
+/* == the update thread == */
 
 static bool is_home(const Placer *p, const View *v, const char *pool) {
   const Member *m = view_home(v, NULL, XXH64(pool, strlen(pool), 0), 0);
   return m && strcmp(m->id, p->entry->options.instance) == 0;
 }
 
-/* Again when the table changed, too: it may have brought new targets. */
+/* Sets the adapters of the pool's targets if the plan or the table has changed;
+   a new table may add targets. */
 static void apply_plan(Placer *p, PlacePool *pp) {
-  uint64_t table = snapshots_version(p->entry->snapshots);
+  uint64_t table_version = snapshots_version(p->entry->snapshots);
   pthread_mutex_lock(&p->lock);
-  bool same = pp->version == pp->applied && table == pp->table;
+  bool same =
+      pp->version == pp->applied_version && table_version == pp->table_version;
   Plan *plan = same ? NULL : plan_copy(pp->plan);
-  pp->applied = pp->version;
+  pp->applied_version = pp->version;
   pthread_mutex_unlock(&p->lock);
-  pp->table = table;
+  pp->table_version = table_version;
   if (same) return;
-  pool_given(pools_find(p->entry->pools, pp->name), plan);
+  pool_set_adapters(pools_find(p->entry->pools, pp->name), plan);
   plan_free(plan);
 }
 
-/* The home looks at its pool; the others only follow its plan. */
-static void decide(Placer *p, Platform *store, const View *v,
-                   const char *name) {
-  bool home = is_home(p, v, name);
-  Look *l = home ? look_at(p, name) : NULL;
+/* Updates the plan if this instance is home of the pool; applies the plan in
+   any case. */
+static void update_pool(Placer *p, Platform *store, const View *v,
+                        const char *name) {
+  bool is_pool_home = is_home(p, v, name);
+  PoolState *l = is_pool_home ? inspect_pool(p, name) : NULL;
   pthread_mutex_lock(&p->lock);
-  PlacePool *pp = l && l->managed ? find_pool(p, name)
-                                  : g_hash_table_lookup(p->pools, name);
+  PlacePool *pp = l && l->is_managed ? find_pool(p, name)
+                                     : g_hash_table_lookup(p->pools, name);
   pthread_mutex_unlock(&p->lock);
-  if (pp) place_home(pp->core, home);
-  if (pp && home) {
+  if (pp) place_home(pp->core, is_pool_home);
+  if (pp && is_pool_home) {
     place_look(pp->core, clock_now(), (PlaceTarget *)(void *)l->targets->data,
                (int)l->targets->len, (PlaceWant *)(void *)l->wants->data,
                (int)l->wants->len);
-    act(p, store, pp);
+    run_actions(p, store, pp);
   }
   if (pp) apply_plan(p, pp);
-  if (l) look_clear(l);
+  if (l) free_pool_state(l);
 }
 
-static void *decide_all(void *arg) {
+static void *update_pools(void *arg) {
   Placer *p = arg;
-  Platform *store = platform_open(p->entry->options.platform, CALL_S);
-  while (running(p)) {
+  Platform *store =
+      platform_open(p->entry->options.platform, STORE_CALL_TIMEOUT_S);
+  while (is_running(p)) {
     View *v = fleet_view(p->entry->fleet);
-    GList *names = pools_models(p->entry->pools);
-    for (GList *i = names; running(p) && i; i = i->next)
-      decide(p, store, v, i->data);
+    GList *names = pools_list_models(p->entry->pools);
+    for (GList *i = names; is_running(p) && i; i = i->next)
+      update_pool(p, store, v, i->data);
     g_list_free(names);
     view_free(v);
-    rest(p, LOOK_S);
+    sleep_while_running(p, UPDATE_INTERVAL_S);
   }
   platform_close(store);
   return NULL;
@@ -327,15 +338,15 @@
   pthread_mutex_init(&p->lock, NULL);
   p->pools =
       g_hash_table_new_full(g_str_hash, g_str_equal, NULL, place_pool_free);
-  pthread_create(&p->watching, NULL, watch_plans, p);
-  pthread_create(&p->deciding, NULL, decide_all, p);
+  pthread_create(&p->watch_thread, NULL, watch_plans, p);
+  pthread_create(&p->update_thread, NULL, update_pools, p);
   return p;
 }
 
 void placer_close(Placer *p) {
   atomic_store(&p->stop, true);
-  pthread_join(p->watching, NULL);
-  pthread_join(p->deciding, NULL);
+  pthread_join(p->watch_thread, NULL);
+  pthread_join(p->update_thread, NULL);
   g_hash_table_destroy(p->pools);
   pthread_mutex_destroy(&p->lock);
   g_free(p);
--- a/packages/entry/plain.c
+++ b/packages/entry/plain.c
@@ -1,4 +1,5 @@
-/* plain.c: plain services, passed through whole. */
+/* plain.c: proxies requests for plain services, with the complete response
+   buffered. */
 #include <stdio.h>
 #include <string.h>
 
@@ -7,9 +8,9 @@
 #include "kernel/count.h"
 #include "kernel/log.h"
 
-#define CONNECT_S 2
-#define READ_S 30
-#define ANSWER_MAX (8 << 20)
+#define CONNECT_TIMEOUT_S 2
+#define READ_TIMEOUT_S 30
+#define RESPONSE_MAX_BYTES (8 << 20)
 
 typedef struct Plain {
   Exchange x;
@@ -19,7 +20,7 @@
   char type[64];
 } Plain;
 
-/* "/services/NAME/rest" -> NAME and "/rest". */
+/* Splits "/services/NAME/rest" into NAME and "/rest". */
 static bool split_path(const char *path, char *name, size_t n, char *rest,
                        size_t m) {
   const char *from = path + strlen("/services/");
@@ -31,8 +32,8 @@
   return g_strlcpy(rest, slash ? slash : "/", m) < m;
 }
 
-static enum MHD_Result add_arg(void *ctx, enum MHD_ValueKind kind,
-                               const char *key, const char *value) {
+static enum MHD_Result append_argument(void *ctx, enum MHD_ValueKind kind,
+                                       const char *key, const char *value) {
   (void)kind;
   GString *s = ctx;
   char *k = g_uri_escape_string(key, NULL, FALSE);
@@ -44,17 +45,17 @@
   return MHD_YES;
 }
 
-static bool add_query(Plain *p) {
+static bool append_query(Plain *p) {
   GString *s = g_string_new(p->path);
-  MHD_get_connection_values(p->r->connection, MHD_GET_ARGUMENT_KIND, add_arg,
-                            s);
+  MHD_get_connection_values(p->r->connection, MHD_GET_ARGUMENT_KIND,
+                            append_argument, s);
   bool fits = g_strlcpy(p->path, s->str, sizeof p->path) < sizeof p->path;
   g_string_free(s, TRUE);
   return fits;
 }
 
-/* One call on a connection of its own, read whole. */
-static void call(Plain *p) {
+/* Sends the request on a new connection and reads the complete response. */
+static void call_target(Plain *p) {
   const char *type = http_request_header(p->r, "Content-Type");
   const char *headers[] = {"X-Request-Id", p->x.id, "Content-Type",
                            type ? type : "application/octet-stream", NULL};
@@ -63,8 +64,8 @@
                          .headers = headers,
                          .body = p->r->body->str,
                          .body_bytes = p->r->body->len};
-  HttpClient *client =
-      http_client_new(p->x.ticket.choice.url, CONNECT_S, READ_S);
+  HttpClient *client = http_client_new(p->x.ticket.choice.url,
+                                       CONNECT_TIMEOUT_S, READ_TIMEOUT_S);
   HttpStream *s = http_stream_open(client, &c, false, &p->answer);
   p->answer.body = g_string_new(NULL);
   char buf[8192];
@@ -73,7 +74,7 @@
     const char *t = http_stream_header(s, "Content-Type");
     g_strlcpy(p->type, t ? t : "application/octet-stream", sizeof p->type);
     while ((n = http_stream_read(s, buf, sizeof buf)) > 0 &&
-           p->answer.body->len + (size_t)n <= ANSWER_MAX)
+           p->answer.body->len + (size_t)n <= RESPONSE_MAX_BYTES)
       g_string_append_len(p->answer.body, buf, n);
   }
   p->answer.complete = n == 0;
@@ -81,80 +82,87 @@
   http_client_free(client);
 }
 
-/* Calls until a target answered, may have run it, or none is left. */
-static bool dispatch(Plain *p, Err *err) {
+/* Sends the request until a target responds or no retry is allowed: a target
+   may have run the request, or none is left. */
+static bool dispatch_request(Plain *p, Err *err) {
   for (;;) {
-    call(p);
+    call_target(p);
     if (p->answer.complete) {
-      exchange_first(&p->x);
+      exchange_record_first_byte(&p->x);
       return true;
     }
     Ran ran = p->answer.sent ? RAN_MAYBE : RAN_NOT;
     log_warn("target-failed", "s:s,s:s,s:b,s:s", "request", p->x.id, "target",
              p->x.ticket.choice.name, "sent", (int)p->answer.sent, "error",
              p->answer.error);
-    bool last = ran == RAN_MAYBE && !p->x.service.repeat;
+    bool is_final = ran == RAN_MAYBE && !p->x.service.is_repeatable;
     http_response_free(&p->answer);
-    if (!last && exchange_again(&p->x, ran, p->x.reserved, err)) continue;
+    if (!is_final && exchange_retry(&p->x, ran, p->x.reserved_tokens, err))
+      continue;
     if (ran == RAN_MAYBE) {
-      if (last) pool_done(p->x.pool, &p->x.ticket, ROUTE_FAILED, 0, 0);
-      err_set(err, last ? ERR_MAY_HAVE_RUN : ERR_TARGET_FAILED,
+      if (is_final)
+        pool_end_dispatch(p->x.pool, &p->x.ticket, ROUTE_FAILED, 0, 0);
+      err_set(err, is_final ? ERR_MAY_HAVE_RUN : ERR_TARGET_FAILED,
               "%s was sent the request and did not answer",
               p->x.ticket.choice.name);
       err->ran = RAN_MAYBE;
-      exchange_unknown(&p->x, p->x.reserved);
+      exchange_end_unknown(&p->x, p->x.reserved_tokens);
     } else {
       err_retry(err, ERR_TARGET_FAILED, 1000, "no target could be reached");
-      exchange_not_run(&p->x);
+      exchange_end_not_run(&p->x);
     }
     return false;
   }
 }
 
-static struct MHD_Response *give(const char *id, int code, const char *type,
-                                 const char *body, size_t len, int *status) {
+static struct MHD_Response *create_response(const char *id, int code,
+                                            const char *type, const char *body,
+                                            size_t len, int *status) {
   struct MHD_Response *m = http_text_response(type, body ? body : "", len);
-  entry_headers(m, id, RAN_YES);
+  entry_add_headers(m, id, RAN_YES);
   *status = code;
   return m;
 }
 
-static struct MHD_Response *finish(Plain *p, int *status) {
+static struct MHD_Response *finish_request(Plain *p, int *status) {
   OnceAnswer a = {.status = p->answer.status,
                   .body = p->answer.body->str,
                   .len = p->answer.body->len};
   g_strlcpy(a.type, p->type, sizeof a.type);
-  exchange_ran(&p->x, p->x.reserved, &a);
+  exchange_complete(&p->x, p->x.reserved_tokens, &a);
   struct MHD_Response *m =
-      give(p->x.id, a.status, a.type, a.body, a.len, status);
+      create_response(p->x.id, a.status, a.type, a.body, a.len, status);
   http_response_free(&p->answer);
   return m;
 }
 
-static struct MHD_Response *replay(const Plain *p, OnceAnswer *a, int *status) {
+static struct MHD_Response *replay_response(const Plain *p, OnceAnswer *a,
+                                            int *status) {
   count_add(COUNT_REPLAYS, 1);
   struct MHD_Response *m =
-      give(p->x.id, a->status, a->type, a->body, a->len, status);
+      create_response(p->x.id, a->status, a->type, a->body, a->len, status);
   MHD_add_response_header(m, "Loftpath-Replayed", a->body ? "true" : "status");
   g_free(a->body);
   return m;
 }
 
-static struct MHD_Response *serve(Plain *p, int *status) {
+static struct MHD_Response *serve_request(Plain *p, int *status) {
   Err err = {0};
-  OnceAnswer kept = {0};
-  if (!p->x.service.plain) {
+  OnceAnswer kept_answer = {0};
+  if (!p->x.service.is_plain) {
     err_set(&err, ERR_NO_SERVICE, "%s is a model", p->x.service.name);
-    return entry_error(&err, p->x.id, status);
+    return entry_error_response(&err, p->x.id, status);
   }
-  if (!add_query(p)) {
+  if (!append_query(p)) {
     err_set(&err, ERR_TOO_LARGE, "the path is too long");
-    return entry_error(&err, p->x.id, status);
+    return entry_error_response(&err, p->x.id, status);
   }
-  ExchangeStart s = exchange_start(&p->x, p->r, p->x.service.cost, &kept, &err);
-  if (s == EXCHANGE_REPLAY) return replay(p, &kept, status);
-  if (s == EXCHANGE_GO && dispatch(p, &err)) return finish(p, status);
-  return entry_error(&err, p->x.id, status);
+  ExchangeStart s =
+      exchange_start(&p->x, p->r, p->x.service.cost_tokens, &kept_answer, &err);
+  if (s == EXCHANGE_REPLAY) return replay_response(p, &kept_answer, status);
+  if (s == EXCHANGE_DISPATCHED && dispatch_request(p, &err))
+    return finish_request(p, status);
+  return entry_error_response(&err, p->x.id, status);
 }
 
 struct MHD_Response *plain_handle(Entry *e, HttpRequest *r, int *status) {
@@ -163,9 +171,9 @@
   Plain p = {.r = r};
   if (!split_path(r->path, name, sizeof name, p.path, sizeof p.path)) {
     err_set(&err, ERR_NO_SERVICE, "the path names no service");
-    return entry_error(&err, NULL, status);
+    return entry_error_response(&err, NULL, status);
   }
-  if (!exchange_who(&p.x, e, r, name, &err))
-    return entry_error(&err, p.x.id[0] ? p.x.id : NULL, status);
-  return serve(&p, status);
+  if (!exchange_identify(&p.x, e, r, name, &err))
+    return entry_error_response(&err, p.x.id[0] ? p.x.id : NULL, status);
+  return serve_request(&p, status);
 }
--- a/packages/entry/poll.c
+++ b/packages/entry/poll.c
@@ -1,4 +1,5 @@
-/* poll.c: threads around the core that decides whom to ask. */
+/* poll.c: the threads that run the logic of route/loads.h, which decides which
+   targets to query. */
 #include "entry/poll.h"
 
 #include <pthread.h>
@@ -8,45 +9,46 @@
 #include "route/loads.h"
 #include "target/engine.h"
 
-#define TURN_US 20000  /* while requests wait for their turn */
-#define IDLE_US 100000 /* else */
-#define THREADS 4
+#define DISPATCH_INTERVAL_US 20000 /* while requests are queued */
+#define IDLE_INTERVAL_US 100000    /* while no request is queued */
+#define THREAD_COUNT 4
 
-struct Poll {
+struct Poller {
   Entry *entry;
   atomic_bool stop;
-  pthread_t turns, asking[THREADS];
-  pthread_mutex_t lock; /* of what follows */
-  pthread_cond_t more;
+  pthread_t dispatch_thread, query_threads[THREAD_COUNT];
+  pthread_mutex_t lock; /* guards the members below */
+  pthread_cond_t query_added;
   Loads *loads;
-  GQueue asks; /* LoadsTarget* to be asked */
+  GQueue queries; /* LoadsTarget *: targets to query */
 };
 
-static bool running(const Poll *p) {
+static bool is_running(const Poller *p) {
   return !atomic_load(&p->stop);
 }
 
-/* == asking == */
+/* == queries == */
 
-static LoadsTarget *next_ask(Poll *p) {
+static LoadsTarget *wait_for_query(Poller *p) {
   pthread_mutex_lock(&p->lock);
-  while (running(p) && p->asks.length == 0)
-    pthread_cond_wait(&p->more, &p->lock);
-  LoadsTarget *t = g_queue_pop_head(&p->asks);
+  while (is_running(p) && p->queries.length == 0)
+    pthread_cond_wait(&p->query_added, &p->lock);
+  LoadsTarget *t = g_queue_pop_head(&p->queries);
   pthread_mutex_unlock(&p->lock);
   return t;
 }
 
-/* A target that hangs holds up one of a few threads for a second only. */
-static void *ask_targets(void *arg) {
-  Poll *p = arg;
+/* Several threads send queries, and a query ends after about a second, so that
+   a hanging target delays the others only a little. */
+static void *query_targets(void *arg) {
+  Poller *p = arg;
   LoadsTarget *t;
-  while ((t = next_ask(p))) {
+  while ((t = wait_for_query(p))) {
     EngineLoad load = {0};
     double path;
     bool ok = engine_load(t->url, &load, &path);
-    pools_report(p->entry->pools, t->pool, t->name, ok, load.running,
-                 load.waiting, path);
+    pools_report_load(p->entry->pools, t->pool, t->name, ok, load.running,
+                      load.waiting, path);
     pthread_mutex_lock(&p->lock);
     loads_heard(p->loads, clock_now(), t->name, ok, load.running, load.waiting);
     pthread_mutex_unlock(&p->lock);
@@ -55,54 +57,54 @@
   return NULL;
 }
 
-/* == telling == */
+/* == reports == */
 
-static void on_load(void *ctx, const LoadsMsg *m) {
-  Poll *p = ctx;
+static void receive_load(void *ctx, const LoadsMsg *m) {
+  Poller *p = ctx;
   LoadsTarget t;
   pthread_mutex_lock(&p->lock);
   const LoadsTarget *x = loads_told(p->loads, clock_now(), m);
   if (x) t = *x;
   pthread_mutex_unlock(&p->lock);
   if (x)
-    pools_report(p->entry->pools, t.pool, t.name, true, m->running, m->waiting,
-                 ROUTE_PATH_UNKNOWN);
+    pools_report_load(p->entry->pools, t.pool, t.name, true, m->running,
+                      m->waiting, ROUTE_PATH_UNKNOWN);
 }
 
-static void plan(Poll *p) {
+static void schedule_queries(Poller *p) {
   LoadsTarget t;
   LoadsMsg m;
   double now = clock_now();
-  GArray *words = g_array_new(FALSE, FALSE, sizeof(LoadsMsg));
+  GArray *reports = g_array_new(FALSE, FALSE, sizeof(LoadsMsg));
   pthread_mutex_lock(&p->lock);
   while (loads_ask(p->loads, now, &t)) {
-    g_queue_push_tail(&p->asks, g_memdup2(&t, sizeof t));
-    pthread_cond_signal(&p->more);
+    g_queue_push_tail(&p->queries, g_memdup2(&t, sizeof t));
+    pthread_cond_signal(&p->query_added);
   }
-  while (loads_tell(p->loads, now, &m)) g_array_append_val(words, m);
+  while (loads_tell(p->loads, now, &m)) g_array_append_val(reports, m);
   pthread_mutex_unlock(&p->lock);
-  for (guint i = 0; i < words->len; i++)
-    fleet_tell_load(p->entry->fleet, &g_array_index(words, LoadsMsg, i));
-  g_array_free(words, TRUE);
+  for (guint i = 0; i < reports->len; i++)
+    fleet_tell_load(p->entry->fleet, &g_array_index(reports, LoadsMsg, i));
+  g_array_free(reports, TRUE);
 }
 
-static void *take_turns(void *arg) {
-  Poll *p = arg;
+static void *dispatch_requests(void *arg) {
+  Poller *p = arg;
   double next = 0;
-  while (running(p)) {
-    bool waiting = pools_tick(p->entry->pools);
+  while (is_running(p)) {
+    bool waiting = pools_dispatch_waiting(p->entry->pools);
     if (clock_now() >= next) {
-      plan(p);
-      next = clock_now() + IDLE_US / 1e6;
+      schedule_queries(p);
+      next = clock_now() + IDLE_INTERVAL_US / 1e6;
     }
-    g_usleep(waiting ? TURN_US : IDLE_US);
+    g_usleep(waiting ? DISPATCH_INTERVAL_US : IDLE_INTERVAL_US);
   }
   return NULL;
 }
 
 /* == open and close == */
 
-static void add_target(void *ctx, const char *pool, const RouteState *s) {
+static void append_target(void *ctx, const char *pool, const RouteState *s) {
   LoadsTarget t = {0};
   g_strlcpy(t.name, s->target.name, sizeof t.name);
   g_strlcpy(t.url, s->target.url, sizeof t.url);
@@ -111,46 +113,47 @@
   g_array_append_val((GArray *)ctx, t);
 }
 
-void poll_targets(Poll *p) {
+void poller_set_targets(Poller *p) {
   GArray *list = g_array_new(FALSE, FALSE, sizeof(LoadsTarget));
-  pools_each(p->entry->pools, add_target, list);
+  pools_visit_targets(p->entry->pools, append_target, list);
   pthread_mutex_lock(&p->lock);
   loads_targets(p->loads, (LoadsTarget *)(void *)list->data, (int)list->len);
   pthread_mutex_unlock(&p->lock);
   g_array_free(list, TRUE);
 }
 
-void poll_view(Poll *p, const View *v) {
+void poller_set_view(Poller *p, const View *v) {
   pthread_mutex_lock(&p->lock);
   loads_view(p->loads, v);
   pthread_mutex_unlock(&p->lock);
 }
 
-Poll *poll_open(Entry *e) {
-  Poll *p = g_new0(Poll, 1);
+Poller *poller_open(Entry *e) {
+  Poller *p = g_new0(Poller, 1);
   p->entry = e;
   p->loads = loads_new(e->options.instance);
-  g_queue_init(&p->asks);
+  g_queue_init(&p->queries);
   pthread_mutex_init(&p->lock, NULL);
-  pthread_cond_init(&p->more, NULL);
-  fleet_on_load(e->fleet, on_load, p);
-  pthread_create(&p->turns, NULL, take_turns, p);
-  for (int i = 0; i < THREADS; i++)
-    pthread_create(&p->asking[i], NULL, ask_targets, p);
+  pthread_cond_init(&p->query_added, NULL);
+  fleet_on_load(e->fleet, receive_load, p);
+  pthread_create(&p->dispatch_thread, NULL, dispatch_requests, p);
+  for (int i = 0; i < THREAD_COUNT; i++)
+    pthread_create(&p->query_threads[i], NULL, query_targets, p);
   return p;
 }
 
-void poll_close(Poll *p) {
+void poller_close(Poller *p) {
   fleet_on_load(p->entry->fleet, NULL, NULL);
   atomic_store(&p->stop, true);
-  pthread_join(p->turns, NULL);
+  pthread_join(p->dispatch_thread, NULL);
   pthread_mutex_lock(&p->lock);
-  pthread_cond_broadcast(&p->more);
+  pthread_cond_broadcast(&p->query_added);
   pthread_mutex_unlock(&p->lock);
-  for (int i = 0; i < THREADS; i++) pthread_join(p->asking[i], NULL);
-  g_queue_clear_full(&p->asks, g_free);
+  for (int i = 0; i < THREAD_COUNT; i++)
+    pthread_join(p->query_threads[i], NULL);
+  g_queue_clear_full(&p->queries, g_free);
   loads_free(p->loads);
-  pthread_cond_destroy(&p->more);
+  pthread_cond_destroy(&p->query_added);
   pthread_mutex_destroy(&p->lock);
   g_free(p);
 }
--- a/packages/entry/poll.h
+++ b/packages/entry/poll.h
@@ -1,16 +1,17 @@
-/* poll.h: asks targets for their load, tells the region, and gives waiting
-   requests their turns. */
+/* poll.h: queries the load of targets, reports it to the instances of the
+   region, and dispatches waiting requests. */
 #ifndef ENTRY_POLL_H
 #define ENTRY_POLL_H
 
 #include "entry/entry.h"
 
-typedef struct Poll Poll;
+typedef struct Poller Poller;
 
-Poll *poll_open(Entry *e);
-void poll_close(Poll *p);
-/* The pools have other targets. */
-void poll_targets(Poll *p);
-void poll_view(Poll *p, const View *v);
+Poller *poller_open(Entry *e);
+void poller_close(Poller *p);
+/* Updates the list of targets from the pools. */
+void poller_set_targets(Poller *p);
+/* `v` is the current membership. */
+void poller_set_view(Poller *p, const View *v);
 
 #endif
--- a/packages/entry/pool.c
+++ b/packages/entry/pool.c
@@ -1,4 +1,5 @@
-/* pool.c: locks and condition variables around queue and route. */
+/* pool.c: makes the queue and the routing of a pool usable from many threads,
+   with a lock and condition variables. */
 #include "entry/pool.h"
 
 #include <pthread.h>
@@ -8,28 +9,29 @@
 #include "kernel/clock.h"
 #include "kernel/count.h"
 
-typedef struct Turn {
+typedef struct PoolWaiter {
   pthread_cond_t ready;
   PoolTicket *ticket;
   bool done;
   ErrKind refused;
   int retry_ms;
-} Turn;
+} PoolWaiter;
 
 struct Pool {
   char name[LIMIT_NAME + 8];
   pthread_mutex_t lock;
   Queue *queue;
   Route *route;
-  GHashTable *turns; /* handle -> Turn */
-  GHashTable *asked; /* adapter -> requests since the last look */
-  uint64_t next;
-  int64_t ejections; /* counted so far */
+  GHashTable *waiters; /* handle -> PoolWaiter */
+  /* adapter -> requests since the last pool_take_adapter_demand */
+  GHashTable *adapter_requests;
+  uint64_t last_handle;
+  int64_t counted_ejections; /* ejections already added to COUNT_EJECTED */
 };
 
 struct Pools {
-  pthread_mutex_t lock; /* of `list`; pools are never freed while running */
-  GHashTable *list;
+  pthread_mutex_t lock; /* guards `pools_by_name`; pools are never removed */
+  GHashTable *pools_by_name;
   uint32_t seed;
 };
 
@@ -41,8 +43,9 @@
   pthread_mutex_init(&p->lock, NULL);
   p->queue = queue_new();
   p->route = route_new(seed, ROUTE_OURS);
-  p->turns = g_hash_table_new(g_int64_hash, g_int64_equal);
-  p->asked = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  p->waiters = g_hash_table_new(g_int64_hash, g_int64_equal);
+  p->adapter_requests =
+      g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   return p;
 }
 
@@ -50,43 +53,43 @@
   Pool *p = v;
   queue_free(p->queue);
   route_free(p->route);
-  g_hash_table_destroy(p->turns);
-  g_hash_table_destroy(p->asked);
+  g_hash_table_destroy(p->waiters);
+  g_hash_table_destroy(p->adapter_requests);
   pthread_mutex_destroy(&p->lock);
   g_free(p);
 }
 
-static void end_turn(Pool *p, Turn *t, ErrKind refused, int retry_ms) {
-  g_hash_table_remove(p->turns, &t->ticket->item.handle);
+static void wake_waiter(Pool *p, PoolWaiter *t, ErrKind refused, int retry_ms) {
+  g_hash_table_remove(p->waiters, &t->ticket->item.handle);
   t->refused = refused;
   t->retry_ms = retry_ms;
   t->done = true;
   pthread_cond_signal(&t->ready);
 }
 
-/* Under the lock: gives out turns while there is room. */
-static void pump(Pool *p) {
+/* Dispatches queued requests while targets have room. Requires the lock. */
+static void dispatch_waiting(Pool *p) {
   QueueOut out;
   double now = clock_now();
-  count_add(COUNT_EJECTED, route_ejections(p->route) - p->ejections);
-  p->ejections = route_ejections(p->route);
+  count_add(COUNT_EJECTED, route_ejections(p->route) - p->counted_ejections);
+  p->counted_ejections = route_ejections(p->route);
   while (queue_pop(p->queue, now, route_room(p->route, now),
                    route_rate(p->route), &out)) {
-    Turn *t = g_hash_table_lookup(p->turns, &out.handle);
+    PoolWaiter *t = g_hash_table_lookup(p->waiters, &out.handle);
     ErrKind refused = out.refused;
-    bool picked =
-        refused == ERR_NONE &&
-        route_pick(p->route, now, &t->ticket->ask, &t->ticket->choice);
-    if (refused == ERR_NONE && !picked) {
+    bool has_target = refused == ERR_NONE &&
+                      route_pick(p->route, now, &t->ticket->route_request,
+                                 &t->ticket->choice);
+    if (refused == ERR_NONE && !has_target) {
       queue_done(p->queue, &t->ticket->item, 0);
       refused = ERR_NO_TARGET;
       out.retry_ms = 1000;
     }
-    end_turn(p, t, refused, out.retry_ms);
+    wake_waiter(p, t, refused, out.retry_ms);
   }
 }
 
-static bool any_target(const Pool *p, double now) {
+static bool has_available_target(const Pool *p, double now) {
   for (int i = 0; i < route_count(p->route); i++) {
     RouteState s = route_state(p->route, now, i);
     if (!s.leaving) return true;
@@ -94,27 +97,28 @@
   return false;
 }
 
-static bool refuse(const Pool *p, ErrKind kind, int retry_ms, Err *e) {
+static bool set_refusal(const Pool *p, ErrKind kind, int retry_ms, Err *e) {
   return err_retry(e, kind, retry_ms, "%s in pool %s", err_info(kind)->name,
                    p->name);
 }
 
-/* Demand counts, whether it can be served or not. */
-static void count_asked(Pool *p, const char *adapter) {
+/* Counts each request for an adapter, whether or not it can be served. */
+static void count_adapter_request(Pool *p, const char *adapter) {
   if (!adapter || !adapter[0]) return;
-  int n = GPOINTER_TO_INT(g_hash_table_lookup(p->asked, adapter));
-  g_hash_table_insert(p->asked, g_strdup(adapter), GINT_TO_POINTER(n + 1));
+  int n = GPOINTER_TO_INT(g_hash_table_lookup(p->adapter_requests, adapter));
+  g_hash_table_insert(p->adapter_requests, g_strdup(adapter),
+                      GINT_TO_POINTER(n + 1));
 }
 
-int pool_asked(Pool *p, const char *adapter) {
+int pool_take_adapter_demand(Pool *p, const char *adapter) {
   pthread_mutex_lock(&p->lock);
-  int n = GPOINTER_TO_INT(g_hash_table_lookup(p->asked, adapter));
-  g_hash_table_remove(p->asked, adapter);
+  int n = GPOINTER_TO_INT(g_hash_table_lookup(p->adapter_requests, adapter));
+  g_hash_table_remove(p->adapter_requests, adapter);
   pthread_mutex_unlock(&p->lock);
   return n;
 }
 
-void pool_given(Pool *p, const Plan *plan) {
+void pool_set_adapters(Pool *p, const Plan *plan) {
   pthread_mutex_lock(&p->lock);
   for (int i = 0; i < route_count(p->route); i++) {
     RouteState s = route_state(p->route, 0, i);
@@ -122,56 +126,56 @@
     plan_adapters(plan, s.target.name, 1 << PLAN_LOADED, list);
     route_given(p->route, s.target.name, list);
   }
-  pump(p);
+  dispatch_waiting(p);
   pthread_mutex_unlock(&p->lock);
 }
 
 bool pool_enter(Pool *p, PoolTicket *t, Err *e) {
   double now = clock_now();
-  Turn turn = {.ticket = t};
+  PoolWaiter waiter = {.ticket = t};
   int retry_ms = 1000;
   pthread_mutex_lock(&p->lock);
-  t->item.handle = ++p->next;
-  count_asked(p, t->ask.adapter);
+  t->item.handle = ++p->last_handle;
+  count_adapter_request(p, t->route_request.adapter);
   ErrKind refused = ERR_NO_TARGET;
-  if (any_target(p, now))
+  if (has_available_target(p, now))
     refused =
         queue_push(p->queue, now, &t->item, route_rate(p->route), &retry_ms);
   if (refused == ERR_NONE) {
-    pthread_cond_init(&turn.ready, NULL);
-    g_hash_table_insert(p->turns, &t->item.handle, &turn);
-    pump(p);
-    while (!turn.done) pthread_cond_wait(&turn.ready, &p->lock);
-    pthread_cond_destroy(&turn.ready);
-    refused = turn.refused;
-    retry_ms = turn.retry_ms;
+    pthread_cond_init(&waiter.ready, NULL);
+    g_hash_table_insert(p->waiters, &t->item.handle, &waiter);
+    dispatch_waiting(p);
+    while (!waiter.done) pthread_cond_wait(&waiter.ready, &p->lock);
+    pthread_cond_destroy(&waiter.ready);
+    refused = waiter.refused;
+    retry_ms = waiter.retry_ms;
   }
   pthread_mutex_unlock(&p->lock);
   t->queued_s = clock_now() - now;
-  return refused == ERR_NONE || refuse(p, refused, retry_ms, e);
+  return refused == ERR_NONE || set_refusal(p, refused, retry_ms, e);
 }
 
-bool pool_again(Pool *p, PoolTicket *t) {
+bool pool_retry(Pool *p, PoolTicket *t) {
   double now = clock_now();
   int n = 0;
-  while (n < 4 && t->ask.tried[n]) n++;
+  while (n < 4 && t->route_request.tried[n]) n++;
   if (n >= 3) return false;
   pthread_mutex_lock(&p->lock);
-  t->ask.tried[n] = g_intern_string(t->choice.name);
+  t->route_request.tried[n] = g_intern_string(t->choice.name);
   bool ok = route_may_retry(p->route, t->item.customer, t->choice.name) &&
-            route_pick(p->route, now, &t->ask, &t->choice);
+            route_pick(p->route, now, &t->route_request, &t->choice);
   pthread_mutex_unlock(&p->lock);
   if (ok) count_add(COUNT_RETRIES, 1);
   return ok;
 }
 
-void pool_done(Pool *p, const PoolTicket *t, RouteOutcome outcome,
-               double first_s, double all_s) {
+void pool_end_dispatch(Pool *p, const PoolTicket *t, RouteOutcome outcome,
+                       double first_s, double all_s) {
   pthread_mutex_lock(&p->lock);
   route_done(p->route, clock_now(), t->choice.name, outcome,
-             t->ask.tokens - t->choice.cached, first_s, all_s);
+             t->route_request.tokens - t->choice.cached, first_s, all_s);
   if (outcome == ROUTE_OK) route_succeeded(p->route, t->item.customer);
-  pump(p);
+  dispatch_waiting(p);
   pthread_mutex_unlock(&p->lock);
 }
 
@@ -187,32 +191,34 @@
   Pools *p = g_new0(Pools, 1);
   p->seed = seed;
   pthread_mutex_init(&p->lock, NULL);
-  p->list = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, pool_free);
+  p->pools_by_name =
+      g_hash_table_new_full(g_str_hash, g_str_equal, NULL, pool_free);
   return p;
 }
 
 void pools_free(Pools *p) {
-  g_hash_table_destroy(p->list);
+  g_hash_table_destroy(p->pools_by_name);
   pthread_mutex_destroy(&p->lock);
   g_free(p);
 }
 
 Pool *pools_find(Pools *p, const char *name) {
   pthread_mutex_lock(&p->lock);
-  Pool *pool = g_hash_table_lookup(p->list, name);
+  Pool *pool = g_hash_table_lookup(p->pools_by_name, name);
   pthread_mutex_unlock(&p->lock);
   return pool;
 }
 
-/* The pools as a list that stays valid, since pools are never freed. */
-static GList *pools_list(Pools *p) {
+/* Returns a list of all pools, which stays valid since pools are never
+   removed. */
+static GList *list_pools(Pools *p) {
   pthread_mutex_lock(&p->lock);
-  GList *all = g_hash_table_get_values(p->list);
+  GList *all = g_hash_table_get_values(p->pools_by_name);
   pthread_mutex_unlock(&p->lock);
   return all;
 }
 
-static void pool_of_target(const TableRow *r, char *out, size_t n) {
+static void format_pool_name(const TableRow *r, char *out, size_t n) {
   bool model = r->cells[TABLE_MODEL][0];
   snprintf(out, n, "%s/%s", model ? "model" : "service",
            r->cells[model ? TABLE_MODEL : TABLE_SERVES]);
@@ -223,11 +229,11 @@
     const TableRow *r = t->order->pdata[i];
     char name[LIMIT_NAME + 8];
     if (r->kind != TABLE_TARGET) continue;
-    pool_of_target(r, name, sizeof name);
+    format_pool_name(r, name, sizeof name);
     pthread_mutex_lock(&p->lock);
-    if (!g_hash_table_contains(p->list, name)) {
+    if (!g_hash_table_contains(p->pools_by_name, name)) {
       Pool *pool = pool_new(name, ++p->seed);
-      g_hash_table_insert(p->list, pool->name, pool);
+      g_hash_table_insert(p->pools_by_name, pool->name, pool);
     }
     pthread_mutex_unlock(&p->lock);
   }
@@ -239,7 +245,7 @@
     const TableRow *r = t->order->pdata[i];
     char name[LIMIT_NAME + 8];
     if (r->kind != TABLE_TARGET) continue;
-    pool_of_target(r, name, sizeof name);
+    format_pool_name(r, name, sizeof name);
     if (strcmp(name, p->name) != 0) continue;
     RouteTarget x = {.slots = (int)r->numbers[TABLE_SLOTS],
                      .loads = (int)r->numbers[TABLE_LOADS]};
@@ -252,20 +258,20 @@
   }
   pthread_mutex_lock(&p->lock);
   route_targets(p->route, (RouteTarget *)(void *)list->data, (int)list->len);
-  pump(p);
+  dispatch_waiting(p);
   pthread_mutex_unlock(&p->lock);
   g_array_free(list, TRUE);
 }
 
-void pools_table(Pools *p, const Table *t) {
+void pools_set_table(Pools *p, const Table *t) {
   add_pools(p, t);
-  GList *all = pools_list(p);
+  GList *all = list_pools(p);
   for (GList *i = all; i; i = i->next) set_targets(i->data, t);
   g_list_free(all);
 }
 
-void pools_peers(Pools *p, int n) {
-  GList *all = pools_list(p);
+void pools_set_instance_count(Pools *p, int n) {
+  GList *all = list_pools(p);
   for (GList *i = all; i; i = i->next) {
     Pool *pool = i->data;
     pthread_mutex_lock(&pool->lock);
@@ -275,8 +281,8 @@
   g_list_free(all);
 }
 
-void pools_leaving(Pools *p, const char *target, bool leaving) {
-  GList *all = pools_list(p);
+void pools_set_target_leaving(Pools *p, const char *target, bool leaving) {
+  GList *all = list_pools(p);
   for (GList *i = all; i; i = i->next) {
     Pool *pool = i->data;
     pthread_mutex_lock(&pool->lock);
@@ -286,13 +292,13 @@
   g_list_free(all);
 }
 
-bool pools_tick(Pools *p) {
-  GList *all = pools_list(p);
+bool pools_dispatch_waiting(Pools *p) {
+  GList *all = list_pools(p);
   bool waiting = false;
   for (GList *i = all; i; i = i->next) {
     Pool *pool = i->data;
     pthread_mutex_lock(&pool->lock);
-    pump(pool);
+    dispatch_waiting(pool);
     waiting |= queue_length(pool->queue) > 0;
     pthread_mutex_unlock(&pool->lock);
   }
@@ -300,7 +306,7 @@
   return waiting;
 }
 
-void pool_each(Pool *p, PoolVisit *fn, void *ctx) {
+void pool_visit_targets(Pool *p, PoolTargetVisitor *fn, void *ctx) {
   for (int k = 0;; k++) {
     pthread_mutex_lock(&p->lock);
     bool ok = k < route_count(p->route);
@@ -312,14 +318,14 @@
   }
 }
 
-void pools_each(Pools *p, PoolVisit *fn, void *ctx) {
-  GList *all = pools_list(p);
-  for (GList *i = all; i; i = i->next) pool_each(i->data, fn, ctx);
+void pools_visit_targets(Pools *p, PoolTargetVisitor *fn, void *ctx) {
+  GList *all = list_pools(p);
+  for (GList *i = all; i; i = i->next) pool_visit_targets(i->data, fn, ctx);
   g_list_free(all);
 }
 
-GList *pools_models(Pools *p) {
-  GList *all = pools_list(p), *models = NULL;
+GList *pools_list_models(Pools *p) {
+  GList *all = list_pools(p), *models = NULL;
   for (GList *i = all; i; i = i->next) {
     Pool *pool = i->data;
     if (g_str_has_prefix(pool->name, "model/"))
@@ -329,15 +335,16 @@
   return models;
 }
 
-void pools_report(Pools *p, const char *name, const char *target, bool heard,
-                  int running, int waiting, double path_s) {
+void pools_report_load(Pools *p, const char *name, const char *target,
+                       bool has_answered, int running, int waiting,
+                       double path_s) {
   Pool *pool = pools_find(p, name);
   if (!pool) return;
   pthread_mutex_lock(&pool->lock);
-  if (heard)
+  if (has_answered)
     route_report(pool->route, clock_now(), target, running, waiting, path_s);
   else
     route_silent(pool->route, clock_now(), target);
-  pump(pool);
+  dispatch_waiting(pool);
   pthread_mutex_unlock(&pool->lock);
 }
--- a/packages/entry/snapshot.c
+++ b/packages/entry/snapshot.c
@@ -1,4 +1,4 @@
-/* snapshot.c: the RCU pointer and the look-ups behind it. */
+/* snapshot.c: the RCU pointer to the table, and look-ups in the table. */
 #include "entry/snapshot.h"
 
 #include <pthread.h>
@@ -12,11 +12,11 @@
 } Snapshot;
 
 struct Snapshots {
-  Snapshot *now;        /* RCU */
-  pthread_mutex_t lock; /* writers */
+  Snapshot *current;    /* RCU-protected */
+  pthread_mutex_t lock; /* held by writers */
 };
 
-static Snapshot *build(Table *t) {
+static Snapshot *snapshot_new(Table *t) {
   Snapshot *s = g_new0(Snapshot, 1);
   s->table = t;
   s->by_hash = g_hash_table_new(g_str_hash, g_str_equal);
@@ -36,22 +36,22 @@
 
 Snapshots *snapshots_new(void) {
   Snapshots *s = g_new0(Snapshots, 1);
-  s->now = build(table_new());
+  s->current = snapshot_new(table_new());
   pthread_mutex_init(&s->lock, NULL);
   return s;
 }
 
 void snapshots_free(Snapshots *s) {
-  snapshot_free(s->now);
+  snapshot_free(s->current);
   pthread_mutex_destroy(&s->lock);
   g_free(s);
 }
 
-bool snapshots_set(Snapshots *s, Table *t) {
+bool snapshots_replace(Snapshots *s, Table *t) {
   pthread_mutex_lock(&s->lock);
-  Snapshot *old = s->now;
-  bool newer = t->version > old->table->version; /* never a step back */
-  if (newer) rcu_assign_pointer(s->now, build(t));
+  Snapshot *old = s->current;
+  bool newer = t->version > old->table->version;
+  if (newer) rcu_assign_pointer(s->current, snapshot_new(t));
   pthread_mutex_unlock(&s->lock);
   if (!newer) {
     table_free(t);
@@ -64,71 +64,73 @@
 
 uint64_t snapshots_version(Snapshots *s) {
   rcu_read_lock();
-  uint64_t v = rcu_dereference(s->now)->table->version;
+  uint64_t v = rcu_dereference(s->current)->table->version;
   rcu_read_unlock();
   return v;
 }
 
-void snapshots_hash(const char *key, char out[65]) {
+void snapshots_hash_key(const char *key, char out[65]) {
   char *hex = g_compute_checksum_for_string(G_CHECKSUM_SHA256, key, -1);
   g_strlcpy(out, hex, 65);
   g_free(hex);
 }
 
-/* Takes the same time wherever the difference is. */
-static bool equal_hash(const char *a, const char *b) {
+/* Compares in constant time, so that timing reveals nothing of the hash. */
+static bool hashes_are_equal(const char *a, const char *b) {
   unsigned char diff = 0;
   for (int i = 0; i < 64; i++) diff |= (unsigned char)(a[i] ^ b[i]);
   return diff == 0;
 }
 
-bool snapshots_customer(Snapshots *s, const char *key, EntryCustomer *out) {
+bool snapshots_find_customer(Snapshots *s, const char *key,
+                             EntryCustomer *out) {
   char hash[65];
-  snapshots_hash(key, hash);
+  snapshots_hash_key(key, hash);
   rcu_read_lock();
-  const Snapshot *now = rcu_dereference(s->now);
-  const TableRow *r = g_hash_table_lookup(now->by_hash, hash);
-  bool ok = r && equal_hash(r->cells[TABLE_KEY], hash);
+  const Snapshot *current = rcu_dereference(s->current);
+  const TableRow *r = g_hash_table_lookup(current->by_hash, hash);
+  bool ok = r && hashes_are_equal(r->cells[TABLE_KEY], hash);
   if (ok) {
     g_strlcpy(out->name, r->name, sizeof out->name);
     out->share = r->numbers[TABLE_SHARE];
-    out->running = r->numbers[TABLE_RUNNING];
-    out->rate = r->numbers[TABLE_RATE];
+    out->max_running = r->numbers[TABLE_RUNNING];
+    out->max_tokens_per_min = r->numbers[TABLE_RATE];
   }
   rcu_read_unlock();
   return ok;
 }
 
-bool snapshots_service(Snapshots *s, const char *name, EntryService *out) {
+bool snapshots_find_service(Snapshots *s, const char *name, EntryService *out) {
   memset(out, 0, sizeof *out);
   rcu_read_lock();
-  const Snapshot *now = rcu_dereference(s->now);
-  const TableRow *r = table_row(now->table, TABLE_SERVICE, name);
+  const Snapshot *current = rcu_dereference(s->current);
+  const TableRow *r = table_row(current->table, TABLE_SERVICE, name);
   if (r) {
     const char *model = r->cells[TABLE_MODEL];
     g_strlcpy(out->name, r->name, sizeof out->name);
-    out->plain = !model[0];
+    out->is_plain = !model[0];
     snprintf(out->pool, sizeof out->pool, "%s/%s",
-             out->plain ? "service" : "model", out->plain ? r->name : model);
-    out->repeat = r->numbers[TABLE_REPEAT] != 0;
+             out->is_plain ? "service" : "model",
+             out->is_plain ? r->name : model);
+    out->is_repeatable = r->numbers[TABLE_REPEAT] != 0;
     out->priority = (int)r->numbers[TABLE_PRIORITY];
-    out->wait_s = (double)r->numbers[TABLE_WAIT] / 1000.0;
-    out->output = r->numbers[TABLE_OUTPUT];
-    out->cost = r->numbers[TABLE_COST];
+    out->max_wait_s = (double)r->numbers[TABLE_WAIT] / 1000.0;
+    out->max_output_tokens = r->numbers[TABLE_OUTPUT];
+    out->cost_tokens = r->numbers[TABLE_COST];
     g_strlcpy(out->adapter, r->cells[TABLE_ADAPTER], sizeof out->adapter);
     g_strlcpy(out->version, r->cells[TABLE_VERSION], sizeof out->version);
     g_strlcpy(out->dcs, r->cells[TABLE_DATACENTRE], sizeof out->dcs);
-    out->running = r->numbers[TABLE_RUNNING];
+    out->max_running = r->numbers[TABLE_RUNNING];
   }
   rcu_read_unlock();
   return r != NULL;
 }
 
-bool snapshots_budget(Snapshots *s, const char *customer, const char *service,
-                      char out[LIMIT_NAME]) {
+bool snapshots_find_budget(Snapshots *s, const char *customer,
+                           const char *service, char out[LIMIT_NAME]) {
   char name[2 * LIMIT_NAME];
   rcu_read_lock();
-  const Table *t = rcu_dereference(s->now)->table;
+  const Table *t = rcu_dereference(s->current)->table;
   snprintf(name, sizeof name, "%s/%s", customer, service);
   bool found = table_row(t, TABLE_BUDGET, name) != NULL;
   if (!found) {
@@ -143,6 +145,6 @@
 void snapshots_read(Snapshots *s, void (*fn)(void *ctx, const Table *t),
                     void *ctx) {
   rcu_read_lock();
-  fn(ctx, rcu_dereference(s->now)->table);
+  fn(ctx, rcu_dereference(s->current)->table);
   rcu_read_unlock();
 }
--- a/packages/entry/snapshot.h
+++ b/packages/entry/snapshot.h
@@ -1,5 +1,6 @@
-/* snapshot.h: the table in force, swapped under RCU: request threads look
-   things up and copy what they need without a lock. */
+/* snapshot.h: the snapshot of the table in force, which holds the customers,
+   services, budgets and targets. It is replaced under RCU, so that request
+   threads look rows up and copy them without a lock. */
 #ifndef ENTRY_SNAPSHOT_H
 #define ENTRY_SNAPSHOT_H
 
@@ -7,40 +8,42 @@
 
 typedef struct Snapshots Snapshots;
 
-/* The customer of a request. */
 typedef struct EntryCustomer {
   char name[LIMIT_NAME];
-  int64_t share, running, rate;
+  /* share: weight within a class of priority; max_*: 0 is no limit */
+  int64_t share, max_running, max_tokens_per_min;
 } EntryCustomer;
 
 typedef struct EntryService {
   char name[LIMIT_NAME];
   char pool[LIMIT_NAME + 8]; /* "model/x" or "service/x" */
-  bool plain, repeat;
+  bool is_plain, is_repeatable;
   int priority;
-  double wait_s;
-  int64_t output, cost;
-  int64_t running;
+  double max_wait_s;
+  int64_t max_output_tokens, cost_tokens;
+  int64_t max_running;
   char adapter[LIMIT_NAME], version[LIMIT_NAME], dcs[LIMIT_NAME];
 } EntryService;
 
 Snapshots *snapshots_new(void);
 void snapshots_free(Snapshots *s);
-/* Takes over the table. Returns false, and frees it, unless it is newer. */
-bool snapshots_set(Snapshots *s, Table *t);
+/* Replaces the table and takes ownership of `t`. Frees `t` and returns false if
+   its version is not newer. */
+bool snapshots_replace(Snapshots *s, Table *t);
 uint64_t snapshots_version(Snapshots *s);
 
-/* `key` is the caller's bearer key; only its hash is in the table. */
-bool snapshots_customer(Snapshots *s, const char *key, EntryCustomer *out);
-bool snapshots_service(Snapshots *s, const char *name, EntryService *out);
-/* The budget of a customer for a service; false when there is none. */
-bool snapshots_budget(Snapshots *s, const char *customer, const char *service,
-                      char out[LIMIT_NAME]);
-/* Calls `fn` with the present table, which may not be kept. */
+/* `key` is the caller's bearer key; the table holds only its hash. */
+bool snapshots_find_customer(Snapshots *s, const char *key, EntryCustomer *out);
+bool snapshots_find_service(Snapshots *s, const char *name, EntryService *out);
+/* Finds the budget of a customer for a service: "CUSTOMER/SERVICE", or else
+   "CUSTOMER/" followed by an asterisk. Returns false if there is none. */
+bool snapshots_find_budget(Snapshots *s, const char *customer,
+                           const char *service, char out[LIMIT_NAME]);
+/* Calls `fn` with the current table; `fn` must not keep the pointer. */
 void snapshots_read(Snapshots *s, void (*fn)(void *ctx, const Table *t),
                     void *ctx);
 
-/* SHA-256 in hex of a key, to `out` of 65 bytes. */
-void snapshots_hash(const char *key, char out[65]);
+/* Writes the SHA-256 of `key` to `out`, in hex. */
+void snapshots_hash_key(const char *key, char out[65]);
 
 #endif
--- a/packages/entry/watch.c
+++ b/packages/entry/watch.c
@@ -1,4 +1,5 @@
-/* watch.c: the table's watch and the platform's list. */
+/* watch.c: watches the table in the store and polls the platform's list of
+   members. */
 #include "entry/watch.h"
 
 #include <jansson.h>
@@ -11,34 +12,34 @@
 #include "kernel/log.h"
 #include "table/rollout.h"
 
-#define WATCH_S 10      /* one waiting watch */
-#define STORE_WAIT_S 15 /* above WATCH_S */
-#define RETRY_US 500000
-#define AGAIN_US 100000
+#define WATCH_TIMEOUT_S 10 /* how long the store holds a watch open */
+#define STORE_TIMEOUT_S 15 /* must exceed WATCH_TIMEOUT_S */
+#define RETRY_DELAY_US 500000
+#define REREAD_DELAY_US 100000
 
 struct Watch {
   Entry *entry;
   atomic_bool stop;
-  atomic_uint_fast64_t wanted; /* highest table version heard of */
-  Poll *poll;
-  pthread_t table, members;
+  atomic_uint_fast64_t newest_reported_version; /* of the table */
+  Poller *poller;
+  pthread_t table_thread, members_thread;
 };
 
-static bool running(const Watch *w) {
+static bool is_running(const Watch *w) {
   return !atomic_load(&w->stop);
 }
 
-static void heard_store(Watch *w) {
-  atomic_store(&w->entry->store_heard, clock_unix());
+static void record_store_answer(Watch *w) {
+  atomic_store(&w->entry->store_answered_at, clock_unix());
 }
 
 /* == table == */
 
-static PlatformAnswer get(void *ctx, const char *name) {
+static PlatformAnswer read_object(void *ctx, const char *name) {
   return platform_get(ctx, name);
 }
 
-static void give_budgets(Watch *w, const Table *t) {
+static void set_budgets(Watch *w, const Table *t) {
   GArray *list = g_array_new(FALSE, TRUE, sizeof(LedgerBudget));
   for (guint i = 0; i < t->order->len; i++) {
     const TableRow *r = t->order->pdata[i];
@@ -54,63 +55,65 @@
   g_array_free(list, TRUE);
 }
 
-static void put_in_force(Watch *w, Table *t) {
+static void apply_table(Watch *w, Table *t) {
   uint64_t v = t->version;
   if (v <= snapshots_version(w->entry->snapshots)) {
     table_free(t);
     return;
   }
-  pools_table(w->entry->pools, t);
-  poll_targets(w->poll);
-  give_budgets(w, t);
-  snapshots_set(w->entry->snapshots, t);
+  pools_set_table(w->entry->pools, t);
+  poller_set_targets(w->poller);
+  set_budgets(w, t);
+  snapshots_replace(w->entry->snapshots, t);
   fleet_table(w->entry->fleet, v);
   log_info("table", "s:I", "version", (json_int_t)v);
 }
 
-/* The table in force belongs to the snapshot; only this thread replaces it, so
-   it stays while it is used here. */
-static void keep_table(void *ctx, const Table *t) {
+/* Keeping the pointer is safe: the snapshot owns the table, and only this
+   thread replaces it. */
+static void get_table(void *ctx, const Table *t) {
   *(const Table **)ctx = t;
 }
 
 static void load_table(Watch *w, Platform *p) {
-  RolloutStore s = {get, NULL, p};
+  RolloutStore s = {read_object, NULL, p};
   bool same;
   Err err = {0};
   const Table *have = NULL;
-  snapshots_read(w->entry->snapshots, keep_table, &have);
+  snapshots_read(w->entry->snapshots, get_table, &have);
   Table *t = rollout_load(&s, have, &same, &err);
-  if (t || same) heard_store(w);
-  if (t) put_in_force(w, t);
+  if (t || same) record_store_answer(w);
+  if (t) apply_table(w, t);
 }
 
-static uint64_t watched_revision(const char *text) {
+static uint64_t parse_revision(const char *text) {
   json_t *o = json_loads(text, 0, NULL);
   uint64_t n = (uint64_t)json_integer_value(json_object_get(o, "revision"));
   json_decref(o);
   return n;
 }
 
-/* A watch may miss events and a read may be old; so the table is read after
-   each watch, whatever it said, and when a peer has a newer one. */
+/* A watch may miss events and a read may be stale. So the table is read after
+   each watch, whatever its result, and while another instance reports a newer
+   version. */
 static void *watch_table(void *arg) {
   Watch *w = arg;
-  Platform *p = platform_open(w->entry->options.platform, STORE_WAIT_S);
+  Platform *p = platform_open(w->entry->options.platform, STORE_TIMEOUT_S);
   uint64_t revision = 0;
-  while (running(w)) {
+  while (is_running(w)) {
     load_table(w, p);
-    if (atomic_load(&w->wanted) > snapshots_version(w->entry->snapshots)) {
-      g_usleep(AGAIN_US);
+    if (atomic_load(&w->newest_reported_version) >
+        snapshots_version(w->entry->snapshots)) {
+      g_usleep(REREAD_DELAY_US);
       continue;
     }
-    PlatformAnswer a =
-        platform_watch(p, ROLLOUT_HEAD, revision, running(w) ? WATCH_S : 0);
+    PlatformAnswer a = platform_watch(p, ROLLOUT_HEAD, revision,
+                                      is_running(w) ? WATCH_TIMEOUT_S : 0);
     if (a.kind == ERR_NONE) {
-      heard_store(w);
-      revision = watched_revision(a.text);
+      record_store_answer(w);
+      revision = parse_revision(a.text);
     } else {
-      g_usleep(RETRY_US);
+      g_usleep(RETRY_DELAY_US);
     }
     g_free(a.text);
   }
@@ -118,13 +121,13 @@
   return NULL;
 }
 
-static void on_view(void *ctx, const View *v) {
+static void receive_view(void *ctx, const View *v) {
   Watch *w = ctx;
-  pools_peers(w->entry->pools, v->n);
-  poll_view(w->poll, v);
+  pools_set_instance_count(w->entry->pools, v->n);
+  poller_set_view(w->poller, v);
   for (int i = 0; i < v->n; i++)
-    if (v->list[i].table > atomic_load(&w->wanted))
-      atomic_store(&w->wanted, v->list[i].table);
+    if (v->list[i].table > atomic_load(&w->newest_reported_version))
+      atomic_store(&w->newest_reported_version, v->list[i].table);
 }
 
 /* == the platform's list == */
@@ -142,7 +145,7 @@
   return true;
 }
 
-static void take_list(Watch *w, const char *text) {
+static void process_member_list(Watch *w, const char *text) {
   json_t *list = json_loads(text, 0, NULL), *o;
   GArray *seeds = g_array_new(FALSE, TRUE, sizeof(MemberSeed));
   size_t i;
@@ -150,7 +153,7 @@
     MemberSeed s;
     if (!parse_seed(o, &s)) continue;
     g_array_append_val(seeds, s);
-    if (s.target) pools_leaving(w->entry->pools, s.name, s.leaving);
+    if (s.target) pools_set_target_leaving(w->entry->pools, s.name, s.leaving);
   }
   fleet_listed(w->entry->fleet, (MemberSeed *)(void *)seeds->data,
                (int)seeds->len);
@@ -161,14 +164,14 @@
 static void *watch_members(void *arg) {
   Watch *w = arg;
   Platform *p = platform_open(w->entry->options.platform, 3);
-  while (running(w)) {
+  while (is_running(w)) {
     PlatformAnswer a = platform_members(p);
     if (a.kind == ERR_NONE) {
-      heard_store(w);
-      take_list(w, a.text);
+      record_store_answer(w);
+      process_member_list(w, a.text);
     }
     g_free(a.text);
-    for (int i = 0; i < 10 && running(w); i++)
+    for (int i = 0; i < 10 && is_running(w); i++)
       g_usleep((gulong)(MEMBER_POLL * 1e5));
   }
   platform_close(p);
@@ -178,18 +181,18 @@
 Watch *watch_open(Entry *e) {
   Watch *w = g_new0(Watch, 1);
   w->entry = e;
-  w->poll = poll_open(e);
-  fleet_on_view(e->fleet, on_view, w);
-  pthread_create(&w->table, NULL, watch_table, w);
-  pthread_create(&w->members, NULL, watch_members, w);
+  w->poller = poller_open(e);
+  fleet_on_view(e->fleet, receive_view, w);
+  pthread_create(&w->table_thread, NULL, watch_table, w);
+  pthread_create(&w->members_thread, NULL, watch_members, w);
   return w;
 }
 
 void watch_close(Watch *w) {
   atomic_store(&w->stop, true);
   fleet_on_view(w->entry->fleet, NULL, NULL);
-  pthread_join(w->table, NULL);
-  pthread_join(w->members, NULL);
-  poll_close(w->poll);
+  pthread_join(w->table_thread, NULL);
+  pthread_join(w->members_thread, NULL);
+  poller_close(w->poller);
   g_free(w);
 }
--- a/packages/entry/watch.h
+++ b/packages/entry/watch.h
@@ -1,5 +1,5 @@
-/* watch.h: keeps an instance's table and member list up to date, each in a
-   thread of its own, and has the targets polled. */
+/* watch.h: keeps the table and the list of members of an instance up to date,
+   each in its own thread, and runs the poller of the targets. */
 #ifndef ENTRY_WATCH_H
 #define ENTRY_WATCH_H
 
