--- a/bin/loftpath.c
+++ b/bin/loftpath.c
@@ -1,4 +1,4 @@
-/* loftpath.c: the operators' command. */
+/* loftpath.c: the command-line tool for operators. */
 #include <argp.h>
 #include <glib.h>
 #include <jansson.h>
@@ -15,12 +15,12 @@
 #include "report/lines.h"
 #include "table/table.h"
 
-#define CALL_S 30
-#define ANSWER_MAX (64 << 20)
-#define FORCE_STEP_US 100000
-#define CONFIG_S 10 /* an accepted table is in force everywhere by then */
+#define REQUEST_TIMEOUT_S 30
+#define RESPONSE_MAX_BYTES (64 << 20)
+#define IN_FORCE_POLL_US 100000
+#define IN_FORCE_MAX_S 10 /* for an accepted table, at all instances */
 
-enum { EXIT_FINE, EXIT_FAILED, EXIT_USAGE, EXIT_REFUSED, EXIT_WRONG };
+enum { EXIT_OK, EXIT_FAILED, EXIT_USAGE, EXIT_REFUSED, EXIT_FAULT_FOUND };
 
 static const char doc[] =
     "loftpath -- look at and steer a fleet\v"
@@ -37,7 +37,8 @@
     "  status         what is wrong first, then what to do\n"
     "  drain          planned stop of the instance asked\n"
     "  hash KEY       SHA-256 of a customer's key, for the table\n"
-    "  account [LOG]  where worth was lost, from instances' log lines\n"
+    "  account [LOG]  which requests were late or lost and why, from log "
+    "lines\n"
     "  explain ID LOG one request: its lines and what led to them\n\n"
     "Exit: 0 fine, 1 failed, 2 usage, 3 refused, 4 status found a fault.\n"
     "Environment: LOFTPATH_ADDRESS, LOFTPATH_ADMIN_KEY.";
@@ -53,17 +54,17 @@
 
 typedef struct Args {
   const char *address, *key, *command, *file, *log, *base;
-  int wait_s;
+  int wait_timeout_s;
   bool json;
 } Args;
 
-static error_t on_option(int k, char *arg, struct argp_state *state) {
+static error_t parse_option(int k, char *arg, struct argp_state *state) {
   Args *a = state->input;
   switch (k) {
   case 'a': a->address = arg; break;
   case 'j': a->json = true; break;
   case 'b': a->base = arg; break;
-  case 'w': a->wait_s = atoi(arg); break;
+  case 'w': a->wait_timeout_s = atoi(arg); break;
   case ARGP_KEY_ARG:
     if (state->arg_num == 0)
       a->command = arg;
@@ -80,14 +81,15 @@
   return 0;
 }
 
-/* == calls == */
+/* == requests == */
 
-static bool call_at(const Args *a, const char *address, const char *method,
-                    const char *path, const char *body, HttpResponse *out) {
+static bool send_request(const Args *a, const char *address, const char *method,
+                         const char *path, const char *body,
+                         HttpResponse *out) {
   char auth[512];
   snprintf(auth, sizeof auth, "Bearer %s", a->key);
   const char *headers[] = {"Authorization", auth, NULL};
-  HttpClient *c = http_client_new(address, 5, CALL_S);
+  HttpClient *c = http_client_new(address, 5, REQUEST_TIMEOUT_S);
   if (!c) {
     fprintf(stderr, "loftpath: '%s' is not ip:port\n", address);
     memset(out, 0, sizeof *out);
@@ -100,13 +102,13 @@
                            .headers = headers,
                            .body = body,
                            .body_bytes = body ? strlen(body) : 0},
-      ANSWER_MAX, out);
+      RESPONSE_MAX_BYTES, out);
   http_client_free(c);
   return out->status == 200 && out->complete;
 }
 
-/* Prints why a call failed; the exit code. */
-static int failed(const Args *a, HttpResponse *out) {
+/* Prints why a request failed. Returns the exit code. */
+static int print_failure(const Args *a, HttpResponse *out) {
   int code = out->status ? EXIT_REFUSED : EXIT_FAILED;
   json_t *o = out->body && out->body->len
                   ? json_loadb(out->body->str, out->body->len, 0, NULL)
@@ -130,9 +132,9 @@
 
 static json_t *get_json(const Args *a, const char *path, int *code) {
   HttpResponse out;
-  *code = EXIT_FINE;
-  if (!call_at(a, a->address, "GET", path, NULL, &out)) {
-    *code = failed(a, &out);
+  *code = EXIT_OK;
+  if (!send_request(a, a->address, "GET", path, NULL, &out)) {
+    *code = print_failure(a, &out);
     return NULL;
   }
   json_t *o = json_loadb(out.body->str, out.body->len, 0, NULL);
@@ -144,7 +146,7 @@
 
 typedef struct Column {
   const char *title, *field;
-  int width; /* negative: left */
+  int width; /* negative: left-aligned */
 } Column;
 
 static void print_cell(const Column *c, const json_t *v) {
@@ -173,7 +175,7 @@
   }
 }
 
-static int list(const Args *a, const char *path, const Column *columns) {
+static int print_list(const Args *a, const char *path, const Column *columns) {
   int code;
   json_t *o = get_json(a, path, &code);
   if (!o) return code;
@@ -184,7 +186,7 @@
     print_rows(columns, o);
   }
   json_decref(o);
-  return EXIT_FINE;
+  return EXIT_OK;
 }
 
 static int cmd_budgets(const Args *a) {
@@ -193,7 +195,7 @@
       {"spent", "spent", 12},  {"held", "held", 12},
       {"free", "free", 12},    {"retired", "retired", 9},
       {"sealed", "sealed", 6}, {NULL, NULL, 0}};
-  return list(a, "/admin/budgets", columns);
+  return print_list(a, "/admin/budgets", columns);
 }
 
 static int cmd_targets(const Args *a) {
@@ -210,7 +212,7 @@
                                    {"ejected", "ejected", 7},
                                    {"failures", "failures", 8},
                                    {NULL, NULL, 0}};
-  return list(a, "/admin/targets", columns);
+  return print_list(a, "/admin/targets", columns);
 }
 
 static int cmd_instances(const Args *a) {
@@ -221,7 +223,7 @@
                                    {"table", "table", 8},
                                    {"leaving", "leaving", 7},
                                    {NULL, NULL, 0}};
-  return list(a, "/admin/instances", columns);
+  return print_list(a, "/admin/instances", columns);
 }
 
 static int cmd_history(const Args *a) {
@@ -230,16 +232,16 @@
                                    {"unix time", "t", 12},
                                    {"edit", "id", -36},
                                    {NULL, NULL, 0}};
-  return list(a, "/admin/history", columns);
+  return print_list(a, "/admin/history", columns);
 }
 
 static int cmd_bills(const Args *a) {
-  return list(a, "/admin/bills", NULL);
+  return print_list(a, "/admin/bills", NULL);
 }
 
 /* == status == */
 
-static int alarm_line(const char *what, const char *name, const char *remedy) {
+static int print_fault(const char *what, const char *name, const char *remedy) {
   printf("  ! %s %s\n      %s\n", what, name, remedy);
   return 1;
 }
@@ -251,24 +253,24 @@
   json_array_foreach(json_object_get(o, "targets"), i, t) {
     const char *name = json_string_value(json_object_get(t, "name"));
     if (json_is_true(json_object_get(t, "ejected")))
-      n += alarm_line("target does not answer or fails:", name,
-                      "it is left out and tried again by itself; look at the "
-                      "target if it stays");
+      n += print_fault("target does not answer or fails:", name,
+                       "it is left out and tried again by itself; look at the "
+                       "target if it stays");
   }
   return n;
 }
 
-/* A table reaches every instance within CONFIG_S; until then one that has an
-   older version is on its way, and no alarm. */
+/* Reports instances that keep an older table for longer than IN_FORCE_MAX_S,
+   which is the normal time for a table to reach every instance. */
 static int check_instances(json_t *o) {
   size_t i;
   json_t *m;
   int n = 0;
   json_array_foreach(json_object_get(o, "instances"), i, m) {
     const char *id = json_string_value(json_object_get(m, "id"));
-    if (json_number_value(json_object_get(m, "stuck_s")) > CONFIG_S)
-      n += alarm_line("instance keeps an older table:", id,
-                      "look at its log; if it says nothing, restart it");
+    if (json_number_value(json_object_get(m, "stuck_s")) > IN_FORCE_MAX_S)
+      n += print_fault("instance keeps an older table:", id,
+                       "look at its log; if it says nothing, restart it");
   }
   return n;
 }
@@ -282,7 +284,8 @@
     json_int_t spent = json_integer_value(json_object_get(b, "spent"));
     const char *name = json_string_value(json_object_get(b, "name"));
     if (total > 0 && total - spent <= total / 100)
-      n += alarm_line("budget has less than one part in a hundred left:", name,
+      n +=
+          print_fault("budget has less than one part in a hundred left:", name,
                       "raise its tokens in the table and apply, or let it end");
   }
   json_decref(list);
@@ -297,13 +300,14 @@
     json_dumpf(o, stdout, JSON_INDENT(2));
     printf("\n");
     json_decref(o);
-    return EXIT_FINE;
+    return EXIT_OK;
   }
   printf("WRONG NOW\n");
   if (!json_is_true(json_object_get(o, "store_up")))
-    n += alarm_line("the platform's store does not answer", "",
-                    "requests go on from what is laid up; call the platform's "
-                    "people; do not restart instances");
+    n += print_fault(
+        "the platform's store does not answer", "",
+        "requests go on from the outage reserve; call the platform's "
+        "operators; do not restart instances");
   else
     n += check_budgets(a);
   n += check_targets(o);
@@ -320,7 +324,7 @@
          (long long)json_integer_value(json_object_get(o, "free")),
          (long long)json_integer_value(json_object_get(o, "home_free")));
   json_decref(o);
-  return n ? EXIT_WRONG : EXIT_FINE;
+  return n ? EXIT_FAULT_FOUND : EXIT_OK;
 }
 
 /* == table == */
@@ -334,7 +338,7 @@
   return NULL;
 }
 
-static Table *read_table(const char *path, char **text) {
+static Table *parse_table_file(const char *path, char **text) {
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
   char *csv = read_file(path);
   Table *t = csv ? table_parse(csv, errors, NULL) : NULL;
@@ -349,33 +353,34 @@
 }
 
 static int cmd_check(const Args *a) {
-  Table *t = read_table(a->file, NULL);
+  Table *t = parse_table_file(a->file, NULL);
   if (!t) return EXIT_REFUSED;
   printf("%s: %u rows, no fault found\n", a->file, t->order->len);
   table_free(t);
-  return EXIT_FINE;
+  return EXIT_OK;
 }
 
 static int cmd_show(const Args *a) {
   HttpResponse out;
-  if (!call_at(a, a->address, "GET", "/admin/table", NULL, &out))
-    return failed(a, &out);
+  if (!send_request(a, a->address, "GET", "/admin/table", NULL, &out))
+    return print_failure(a, &out);
   fwrite(out.body->str, 1, out.body->len, stdout);
   http_response_free(&out);
-  return EXIT_FINE;
+  return EXIT_OK;
 }
 
-/* Prints the changes; their number, -1 when the fleet did not answer. */
-static int print_diff(const Args *a, const Table *mine) {
+/* Prints the changes between the table in force and `new_table`. Returns their
+   number, or -1 if the fleet does not respond. */
+static int print_diff(const Args *a, const Table *new_table) {
   HttpResponse out;
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
-  if (!call_at(a, a->address, "GET", "/admin/table", NULL, &out)) {
-    failed(a, &out);
+  if (!send_request(a, a->address, "GET", "/admin/table", NULL, &out)) {
+    print_failure(a, &out);
     return -1;
   }
-  Table *now = table_parse(out.body->str, errors, NULL);
-  if (!now) now = table_new();
-  GPtrArray *changes = table_diff(now, mine);
+  Table *current_table = table_parse(out.body->str, errors, NULL);
+  if (!current_table) current_table = table_new();
+  GPtrArray *changes = table_diff(current_table, new_table);
   for (guint i = 0; i < changes->len; i++) {
     char *line = table_change_text(changes->pdata[i]);
     printf("%s\n", line);
@@ -384,22 +389,24 @@
   int n = (int)changes->len;
   g_ptr_array_unref(changes);
   g_ptr_array_free(errors, TRUE);
-  table_free(now);
+  table_free(current_table);
   http_response_free(&out);
   return n;
 }
 
 static int cmd_diff(const Args *a) {
-  Table *mine = read_table(a->file, NULL);
-  if (!mine) return EXIT_REFUSED;
-  int n = print_diff(a, mine);
+  Table *new_table = parse_table_file(a->file, NULL);
+  if (!new_table) return EXIT_REFUSED;
+  int n = print_diff(a, new_table);
   if (n == 0) printf("no difference\n");
-  table_free(mine);
-  return n < 0 ? EXIT_FAILED : EXIT_FINE;
+  table_free(new_table);
+  return n < 0 ? EXIT_FAILED : EXIT_OK;
 }
 
-/* Instances that have not confirmed `version`; prints them when `print`. */
-static int behind(const Args *a, json_int_t version, bool print) {
+/* Returns the number of instances that have not confirmed `version`. If `print`
+   is set, also prints the version of each instance. */
+static int count_unconfirmed_instances(const Args *a, json_int_t version,
+                                       bool print) {
   int code, n = 0;
   json_t *list = get_json(a, "/admin/instances", &code), *m;
   size_t i;
@@ -416,14 +423,15 @@
   return n;
 }
 
-static int wait_in_force(const Args *a, json_int_t version) {
-  int steps = a->wait_s * 1000000 / FORCE_STEP_US;
-  for (int i = 0; i < steps && behind(a, version, false) > 0; i++)
-    g_usleep(FORCE_STEP_US);
-  int n = behind(a, version, true);
+static int wait_until_in_force(const Args *a, json_int_t version) {
+  int polls = a->wait_timeout_s * 1000000 / IN_FORCE_POLL_US;
+  for (int i = 0;
+       i < polls && count_unconfirmed_instances(a, version, false) > 0; i++)
+    g_usleep(IN_FORCE_POLL_US);
+  int n = count_unconfirmed_instances(a, version, true);
   if (n == 0) {
     printf("version %lld is in force everywhere\n", (long long)version);
-    return EXIT_FINE;
+    return EXIT_OK;
   }
   printf("version %lld is accepted; %d instances have not confirmed it\n",
          (long long)version, n);
@@ -432,10 +440,10 @@
 
 static int cmd_apply(const Args *a) {
   char *csv = NULL;
-  Table *mine = read_table(a->file, &csv);
-  if (!mine) return EXIT_REFUSED;
-  int n = print_diff(a, mine);
-  table_free(mine);
+  Table *new_table = parse_table_file(a->file, &csv);
+  if (!new_table) return EXIT_REFUSED;
+  int n = print_diff(a, new_table);
+  table_free(new_table);
   if (n < 0) {
     g_free(csv);
     return EXIT_FAILED;
@@ -447,31 +455,31 @@
       g_strdup_printf("/admin/table?id=%016llx%016llx&who=%s%s%s",
                       (unsigned long long)id[0], (unsigned long long)id[1], who,
                       a->base ? "&base=" : "", a->base ? a->base : "");
-  /* The id makes it safe to send again when the answer is lost. */
+  /* The id makes it safe to repeat the request if its response is lost. */
   HttpResponse out;
   bool ok = false;
   for (int i = 0; i < 3 && !ok; i++) {
     if (i > 0) http_response_free(&out);
-    ok = call_at(a, a->address, "POST", path, csv, &out);
+    ok = send_request(a, a->address, "POST", path, csv, &out);
     if (out.status && out.status != 503) break;
   }
   g_free(path);
   g_free(csv);
-  if (!ok) return failed(a, &out);
+  if (!ok) return print_failure(a, &out);
   json_t *o = json_loadb(out.body->str, out.body->len, 0, NULL);
   json_int_t version = json_integer_value(json_object_get(o, "version"));
   json_decref(o);
   http_response_free(&out);
-  return wait_in_force(a, version);
+  return wait_until_in_force(a, version);
 }
 
 static int cmd_drain(const Args *a) {
   HttpResponse out;
-  if (!call_at(a, a->address, "POST", "/admin/drain", NULL, &out))
-    return failed(a, &out);
+  if (!send_request(a, a->address, "POST", "/admin/drain", NULL, &out))
+    return print_failure(a, &out);
   printf("%s\n", out.body->str);
   http_response_free(&out);
-  return EXIT_FINE;
+  return EXIT_OK;
 }
 
 static int cmd_hash(const Args *a) {
@@ -482,7 +490,7 @@
   char *hex = g_compute_checksum_for_string(G_CHECKSUM_SHA256, a->file, -1);
   printf("%s\n", hex);
   g_free(hex);
-  return EXIT_FINE;
+  return EXIT_OK;
 }
 
 /* == logs == */
@@ -496,20 +504,20 @@
 static int cmd_account(const Args *a) {
   FILE *in = open_log(a->file);
   if (!in) return EXIT_FAILED;
-  ReportLosses *account = report_losses_new();
+  ReportLosses *losses = report_losses_new();
   long skipped = 0;
   json_t *line;
   while ((line = report_read_event(in, &skipped))) {
-    report_losses_add(account, line);
+    report_losses_add(losses, line);
     json_decref(line);
   }
-  report_losses_print(account, stdout);
-  fflush(stdout); /* the note comes after the tables, not within them */
+  report_losses_print(losses, stdout);
+  fflush(stdout); /* so that the note on stderr follows the tables */
   if (skipped > 0)
     fprintf(stderr, "loftpath: %ld lines are no events\n", skipped);
-  report_losses_free(account);
+  report_losses_free(losses);
   if (in != stdin) fclose(in);
-  return EXIT_FINE;
+  return EXIT_OK;
 }
 
 static int cmd_explain(const Args *a) {
@@ -521,7 +529,7 @@
   if (!in) return EXIT_FAILED;
   bool found = report_explain(in, a->file, stdout);
   fclose(in);
-  if (found) return EXIT_FINE;
+  if (found) return EXIT_OK;
   fprintf(stderr,
           "loftpath: no request %s in the log: look at the others' "
           "logs, or in an older one\n",
@@ -545,8 +553,9 @@
 int main(int argc, char **argv) {
   Args a = {.address = getenv("LOFTPATH_ADDRESS"),
             .key = getenv("LOFTPATH_ADMIN_KEY"),
-            .wait_s = 10};
-  struct argp argp = {options, on_option, "COMMAND [FILE [LOG]]", doc, 0, 0, 0};
+            .wait_timeout_s = 10};
+  struct argp argp = {options, parse_option, "COMMAND [FILE [LOG]]", doc, 0, 0,
+                      0};
   argp_parse(&argp, argc, argv, 0, NULL, &a);
   if (!a.address) a.address = "127.0.0.1:8080";
   if (!a.key) a.key = "";
--- a/bin/loftpathd.c
+++ b/bin/loftpathd.c
@@ -1,4 +1,4 @@
-/* loftpathd.c: one instance of the fleet. */
+/* loftpathd.c: the daemon, which runs one instance of the fleet. */
 #include <glib.h>
 #include <jansson.h>
 #include <signal.h>
@@ -17,10 +17,10 @@
 #include "kernel/settings.h"
 #include "node/node.h"
 
-#define STEP_US 20000   /* while stopping */
-#define IDLE_US 200000  /* else, to see an operator's drain */
-#define STOP_LAST_S 2.0 /* connections that still ask are told to go */
-#define STOP_TELL_S 5.0 /* a long stop says what it waits for */
+#define STOP_POLL_US 20000   /* interval of checks during a stop */
+#define DRAIN_POLL_US 200000 /* interval of checks for an operator's drain */
+#define CONNECTIONS_END_TIMEOUT_S 2.0 /* time for open connections to end */
+#define STOP_LOG_INTERVAL_S 5.0       /* of what a long stop waits for */
 
 static Setting settings[] = {
     {"name", "LOFTPATH_NAME", SETTING_NAME, NULL,
@@ -55,7 +55,7 @@
     {"debug", "LOFTPATH_DEBUG", SETTING_FLAG, "off", "Log more", 0, 0, NULL},
     {NULL, NULL, SETTING_TEXT, NULL, NULL, 0, 0, NULL}};
 
-static char self_id[LIMIT_ID];
+static char instance_id[LIMIT_ID];
 static Entry entry;
 static Kernel kernel;
 
@@ -73,7 +73,7 @@
   const char *dc = settings_text(settings, "datacentre");
   const char *region = settings_text(settings, "region");
   const char *peer = settings_text(settings, "peer");
-  g_strlcpy(o.self.id, self_id, sizeof o.self.id);
+  g_strlcpy(o.self.id, instance_id, sizeof o.self.id);
   g_strlcpy(o.self.dc, dc, sizeof o.self.dc);
   g_strlcpy(o.self.region, region[0] ? region : dc, sizeof o.self.region);
   snprintf(o.self.peer, sizeof o.self.peer, "tcp://%s", peer);
@@ -95,7 +95,7 @@
       .listen = settings_text(settings, "listen"),
       .platform = settings_text(settings, "platform"),
       .admin_key = settings_text(settings, "admin-key"),
-      .instance = self_id,
+      .instance = instance_id,
       .max_body_bytes = (size_t)settings_number(settings, "max-body"),
       .max_header_bytes = (size_t)settings_number(settings, "max-header"),
       .max_connections = (int)settings_number(settings, "max-connections"),
@@ -169,41 +169,42 @@
     {"snapshots", {NULL}, start_snapshots, NULL, stop_snapshots, NULL},
 };
 
-/* == life == */
+/* == lifecycle == */
 
-/* Waits for SIGTERM, SIGINT or an operator's drain. */
+/* Waits for SIGTERM, SIGINT or a drain requested by an operator. */
 static void wait_for_stop(const sigset_t *set) {
-  struct timespec step = {0, IDLE_US * 1000};
+  struct timespec step = {0, DRAIN_POLL_US * 1000};
   while (!atomic_load(&entry.draining))
     if (sigtimedwait(set, NULL, &step) > 0) return;
 }
 
-/* True when everything ended by itself; a second signal or the deadline stops
-   sooner. */
-static bool drain(const sigset_t *set) {
+/* Refuses new requests and waits until the open requests and the fleet's work
+   have ended. Returns false if a second signal or the deadline comes first. */
+static bool drain_instance(const sigset_t *set) {
   double deadline = clock_now() + (double)settings_number(settings, "stop");
-  struct timespec step = {0, STEP_US * 1000};
-  bool given_back = false;
-  double told = clock_now();
+  struct timespec step = {0, STOP_POLL_US * 1000};
+  bool fleet_is_draining = false;
+  double logged_at = clock_now();
   service_drain(&kernel);
   log_info("draining", "s:i", "open", atomic_load(&entry.open_requests));
   while (clock_now() < deadline) {
     if (sigtimedwait(set, NULL, &step) > 0) return false;
     if (atomic_load(&entry.open_requests) > 0) continue;
-    if (!given_back) fleet_drain(entry.fleet);
-    given_back = true;
+    if (!fleet_is_draining) fleet_drain(entry.fleet);
+    fleet_is_draining = true;
     if (fleet_drained(entry.fleet)) return true;
-    if (clock_now() - told < STOP_TELL_S) continue;
+    if (clock_now() - logged_at < STOP_LOG_INTERVAL_S) continue;
     int budgets, records;
     fleet_waits(entry.fleet, &budgets, &records);
     log_info("stop-waits", "s:i,s:i", "budget_lanes", budgets, "records",
              records);
-    told = clock_now();
+    logged_at = clock_now();
   }
   return false;
 }
 
-/* Under a settings file of the users' machines it is an instance there. */
+/* If the environment names a settings file, as on the users' machines, node_run
+   runs the instance; otherwise this file does. */
 int main(int argc, char **argv) {
   if (getenv(SETTINGS_FILE)) return node_run(argc, argv);
   Err e = {0};
@@ -217,14 +218,14 @@
     printf("settings are valid\n");
     return 0;
   }
-  snprintf(self_id, sizeof self_id, "%s.%08x", settings_text(settings, "name"),
-           random_seed());
-  log_open(self_id, settings_flag(settings, "debug"));
+  snprintf(instance_id, sizeof instance_id, "%s.%08x",
+           settings_text(settings, "name"), random_seed());
+  log_open(instance_id, settings_flag(settings, "debug"));
   sigset_t set;
   sigemptyset(&set);
   sigaddset(&set, SIGTERM);
   sigaddset(&set, SIGINT);
-  pthread_sigmask(SIG_BLOCK, &set, NULL); /* before any thread is made */
+  pthread_sigmask(SIG_BLOCK, &set, NULL); /* before threads are created */
   signal(SIGPIPE, SIG_IGN);
   atomic_store(&entry.store_answered_at, clock_unix());
   for (size_t i = 0; i < G_N_ELEMENTS(services); i++)
@@ -236,15 +237,16 @@
   }
   log_info("started", "s:s", "listen", settings_text(settings, "listen"));
   wait_for_stop(&set);
-  bool clean = drain(&set);
-  if (clean) http_server_drain(entry.server, STOP_LAST_S);
+  bool clean = drain_instance(&set);
+  if (clean) http_server_drain(entry.server, CONNECTIONS_END_TIMEOUT_S);
   if (!clean)
     log_warn("stop-cut", "s:i,s:I", "requests",
              atomic_load(&entry.open_requests), "tokens",
              (json_int_t)(fleet_sums(entry.fleet).free +
                           fleet_sums(entry.fleet).reserved));
   log_info("stopped", "s:b", "clean", (int)clean);
-  /* Everything is given back and every answer has left; a thread may still sit
-     in a watch of ten seconds, so nothing is torn down. */
+  /* At a clean stop all tokens are returned and all responses are sent. A
+     thread may still wait up to 10 s in a watch, so the services are not
+     stopped. */
   _exit(clean ? 0 : 3);
 }
