--- a/packages/entry/chat.c
+++ b/packages/entry/chat.c
@@ -175,9 +175,9 @@
     }
     int64_t used = ran == RAN_NOT ? 0 : cancel_run(c);
     close_upstream(c);
-    Err first_error = *err;
+    Err dispatch_error = *err;
     if (exchange_retry(&c->x, ran, used, err)) continue;
-    if (err->kind == ERR_NONE) *err = first_error;
+    if (err->kind == ERR_NONE) *err = dispatch_error;
     exchange_give_up(&c->x, ran);
     err->ran = ran;
     return false;
