--- a/packages/target/engine.h
+++ b/packages/target/engine.h
@@ -21,11 +21,12 @@
 } EngineCall;
 
 /* Starts a completion on a new connection; the request is never sent twice. */
-HttpStream *engine_start(HttpClient *c, const EngineCall *call, HttpAnswer *a);
+HttpStream *engine_start(HttpClient *c, const EngineCall *call,
+                         HttpResponse *a);
 /* Resumes the stream of a run whose connection broke, after its first `seen`
    events. The status is 404 when the engine no longer has the run. */
 HttpStream *engine_resume(HttpClient *c, const char *id, int seen,
-                          HttpAnswer *a);
+                          HttpResponse *a);
 /* Stops a run. Returns the tokens that it used, or -1 when unknown. */
 int64_t engine_cancel(const char *url, const char *id);
 /* Returns false without an answer. Sets `round_trip_s` in either case. */
