--- a/packages/entry/exchange.c
+++ b/packages/entry/exchange.c
@@ -114,10 +114,10 @@
   q->weight = (double)x->customer.share;
   q->tokens = x->reserved;
   q->max_wait_s = x->service.wait_s;
-  q->running_cap = (int)split_cap(x, x->customer.running);
-  q->rate_cap = split_cap(x, x->customer.rate);
+  q->concurrency_cap = (int)split_cap(x, x->customer.running);
+  q->tokens_per_min_cap = split_cap(x, x->customer.rate);
   g_strlcpy(q->service, x->service.name, sizeof q->service);
-  q->service_cap = (int)split_cap(x, x->service.running);
+  q->service_concurrency_cap = (int)split_cap(x, x->service.running);
   x->ticket.ask.adapter = x->service.adapter;
   x->ticket.ask.version = x->service.version;
   x->ticket.ask.dcs = x->service.dcs;
--- a/packages/place/place.c
+++ b/packages/place/place.c
@@ -13,31 +13,40 @@
 #define CANDIDATE_MAX_LOAD_RATIO 0.6
 /* An adapter whose mean load is below this gives up one target. */
 #define SHRINK_LOAD_RATIO 0.2
-/* How long the load has to be high before growth, and low before shrinking,
-   which is longer since loading costs more than keeping. */
+/* The load has to be high for the first time before an adapter gets a target,
+   and low for the second before it gives one up. The second is longer, since
+   loading an adapter costs more than keeping it. */
 #define GROW_AFTER_S 10.0
 #define SHRINK_AFTER_S 120.0
-/* Between two changes because of load. */
+/* Minimum time between two changes because of load. */
 #define CHANGE_INTERVAL_S 10.0
-/* All instances know of a removal by then; above the wait of a store watch. */
+/* A target keeps an adapter for this time after the plan says that it is
+   leaving. By then all instances know, since the time is above the duration of
+   one watch call to the store. */
 #define LEAVE_DELAY_S 15.0
-/* An order that the target has not confirmed is repeated after this time. */
+/* An order that the target has not confirmed is sent again after this time. */
 #define ORDER_RETRY_S 1.0
-/* So is a confirmed one after this, since the target may have restarted. */
+/* A confirmed order is sent again after this time, since the target may have
+   restarted. The plan is also read again after it. */
 #define REFRESH_S 30.0
 #define STORE_RETRY_S 2.0 /* after a failed store call */
 
-typedef enum { UNREAD, READING, READY, WRITING } Phase;
+typedef enum {
+  UNREAD, /* the plan has to be read from the store */
+  READING,
+  READY, /* the plan is known and no store call is pending */
+  WRITING
+} Phase;
 
-/* Duration of high or low load of an adapter. */
+/* Since when the load of an adapter has been high or low. */
 typedef struct Demand {
-  double busy_since, idle_since; /* 0: it is not busy or idle */
+  double busy_since, idle_since; /* 0: the load is not high or low */
 } Demand;
 
 /* The last order to a target. */
 typedef struct Order {
-  char applied[LIMIT_ADAPTERS_BYTES]; /* adapters that the target reported */
-  bool confirmed;                     /* the target has reported */
+  char applied[LIMIT_ADAPTERS_BYTES]; /* adapters that it last confirmed */
+  bool confirmed;                     /* the target has confirmed an order */
   double sent_at;
 } Order;
 
@@ -47,16 +56,21 @@
   Phase phase;
   Plan *plan;    /* as stored at `version` */
   Plan *pending; /* being written, in phase WRITING */
-  uint64_t version, seq;
-  double now, retry_at, changed_at, read_at;
+  uint64_t version;
+  uint64_t seq; /* of the last store call */
+  double now;
+  double retry_at;       /* no store call before this time, after one failed */
+  double load_change_at; /* last change because of load */
+  double plan_read_at;
   GHashTable *demands; /* adapter -> Demand */
   GHashTable *orders;  /* target -> Order */
-  GHashTable *leaving; /* "target;adapter" -> double, since when */
+  GHashTable *leaving; /* "target;adapter" -> double, when it was first seen to
+                          be leaving */
   GQueue actions;
-  /* of the current update */
+  /* Arguments of the current place_update call. */
   const PlaceTarget *targets;
   const PlaceRequirement *requirements;
-  int n, m;
+  int n_targets, n_requirements;
   char reason[128];
 };
 
@@ -132,14 +146,14 @@
 /* == current state of the pool == */
 
 static const PlaceTarget *find_target(const Place *p, const char *name) {
-  for (int i = 0; i < p->n; i++)
+  for (int i = 0; i < p->n_targets; i++)
     if (strcmp(p->targets[i].name, name) == 0) return &p->targets[i];
   return NULL;
 }
 
 static const PlaceRequirement *find_requirement(const Place *p,
                                                 const char *adapter) {
-  for (int i = 0; i < p->m; i++)
+  for (int i = 0; i < p->n_requirements; i++)
     if (strcmp(p->requirements[i].adapter, adapter) == 0)
       return &p->requirements[i];
   return NULL;
@@ -155,12 +169,13 @@
   return list_has(t->configured, adapter) || (x && x->state != PLAN_LEAVING);
 }
 
-/* Counts the live targets that have the adapter and sets their mean load. */
+/* Counts the live targets that have the adapter by the plan or by their
+   configuration, and sets *load to their mean load. */
 static int count_live(const Place *p, const Plan *plan, const char *adapter,
                       double *load) {
   int n = 0;
   double sum = 0;
-  for (int i = 0; i < p->n; i++) {
+  for (int i = 0; i < p->n_targets; i++) {
     const PlaceTarget *t = &p->targets[i];
     if (!t->live || !has_adapter(plan, t, adapter)) continue;
     sum += load_of(t);
@@ -170,6 +185,7 @@
   return n;
 }
 
+/* Counts the adapters that the plan assigns to the target. */
 static int count_planned(const Plan *plan, const char *target) {
   int n = 0;
   for (guint i = 0; i < plan->items->len; i++)
@@ -177,27 +193,28 @@
   return n;
 }
 
-/* Returns the least busy target that could take the adapter, with a load below
-   `below`. */
+/* Returns the target with the lowest load among those that can take the adapter
+   and have a load below `max_load`, or NULL. */
 static const PlaceTarget *find_candidate(const Place *p, const Plan *plan,
-                                         const char *adapter, double below) {
+                                         const char *adapter, double max_load) {
   const PlaceTarget *best = NULL;
-  for (int i = 0; i < p->n; i++) {
+  for (int i = 0; i < p->n_targets; i++) {
     const PlaceTarget *t = &p->targets[i];
     bool room = t->live && count_planned(plan, t->name) < t->max_adapters;
-    bool there =
+    bool is_present =
         plan_find(plan, t->name, adapter) || has_adapter(plan, t, adapter);
-    if (!room || there || load_of(t) >= below) continue;
+    if (!room || is_present || load_of(t) >= max_load) continue;
     if (!best || load_of(t) < load_of(best)) best = t;
   }
   return best;
 }
 
-/* Returns the least busy target that the plan gave the adapter to. */
+/* Returns the target with the lowest load among those that have loaded the
+   adapter by the plan, or NULL. */
 static const PlaceTarget *find_surplus(const Place *p, const Plan *plan,
                                        const char *adapter) {
   const PlaceTarget *best = NULL;
-  for (int i = 0; i < p->n; i++) {
+  for (int i = 0; i < p->n_targets; i++) {
     const PlaceTarget *t = &p->targets[i];
     const PlanItem *x = plan_find(plan, t->name, adapter);
     if (!x || x->state != PLAN_LOADED) continue;
@@ -208,8 +225,8 @@
 
 /* == decisions: each returns whether it changed the copy of the plan == */
 
-/* Removes items whose target is no longer in the table, and unloads adapters
-   that no service uses. One item per call. */
+/* Removes one item whose target is no longer in the configuration table, or
+   marks one adapter that no service uses as leaving. */
 static bool retire_obsolete(Place *p, Plan *plan) {
   for (guint i = 0; i < plan->items->len; i++) {
     PlanItem *x = &g_array_index(plan->items, PlanItem, i);
@@ -227,17 +244,17 @@
   return false;
 }
 
-/* Applies what targets reported about their orders. */
+/* Updates the states of items by the orders that targets confirmed. */
 static bool apply_reports(Place *p, Plan *plan) {
   bool changed = false;
   for (guint i = plan->items->len; i > 0; i--) {
     PlanItem *x = &g_array_index(plan->items, PlanItem, i - 1);
     const Order *o = g_hash_table_lookup(p->orders, x->target);
     if (!o || !o->confirmed) continue;
-    bool there = list_has(o->applied, x->adapter);
-    bool loaded = x->state == PLAN_LOADING && there;
-    bool gone = x->state == PLAN_LEAVING && !there;
-    if (!loaded && !gone) continue;
+    bool is_present = list_has(o->applied, x->adapter);
+    bool loaded = x->state == PLAN_LOADING && is_present;
+    bool unloaded = x->state == PLAN_LEAVING && !is_present;
+    if (!loaded && !unloaded) continue;
     snprintf(p->reason, sizeof p->reason, "%.40s %s %.40s", x->target,
              loaded ? "has loaded" : "has unloaded", x->adapter);
     if (loaded)
@@ -249,80 +266,83 @@
   return changed;
 }
 
-/* Adds a target at once where fewer live targets than the table's minimum have
-   an adapter. */
+/* Gives one adapter another target if fewer live targets than its minimum have
+   it. The load does not matter. */
 static bool ensure_minimum(Place *p, Plan *plan) {
   double load;
-  for (int i = 0; i < p->m; i++) {
-    const PlaceRequirement *w = &p->requirements[i];
-    int n = count_live(p, plan, w->adapter, &load);
-    if (n >= w->min_targets) continue;
-    const PlaceTarget *t = find_candidate(p, plan, w->adapter, G_MAXDOUBLE);
+  for (int i = 0; i < p->n_requirements; i++) {
+    const PlaceRequirement *req = &p->requirements[i];
+    int n = count_live(p, plan, req->adapter, &load);
+    if (n >= req->min_targets) continue;
+    const PlaceTarget *t = find_candidate(p, plan, req->adapter, G_MAXDOUBLE);
     if (!t) continue;
     snprintf(p->reason, sizeof p->reason, "%.40s is on %d of %d targets",
-             w->adapter, n, w->min_targets);
-    plan_set(plan, t->name, w->adapter, PLAN_LOADING);
+             req->adapter, n, req->min_targets);
+    plan_set(plan, t->name, req->adapter, PLAN_LOADING);
     return true;
   }
   return false;
 }
 
-static bool has_lasted(double *since, bool is, double now, double seconds) {
-  if (!is) *since = 0;
-  if (is && *since == 0) *since = now;
-  return is && now - *since >= seconds;
+/* Sets *since to when `condition` became true, 0 while it is false. Returns
+   whether it has been true for `seconds`. */
+static bool has_lasted(double *since, bool condition, double now,
+                       double seconds) {
+  if (!condition) *since = 0;
+  if (condition && *since == 0) *since = now;
+  return condition && now - *since >= seconds;
 }
 
-static bool add_target(Place *p, Plan *plan, const PlaceRequirement *w,
+static bool add_target(Place *p, Plan *plan, const PlaceRequirement *req,
                        double load) {
   const PlaceTarget *t =
-      find_candidate(p, plan, w->adapter, CANDIDATE_MAX_LOAD_RATIO);
+      find_candidate(p, plan, req->adapter, CANDIDATE_MAX_LOAD_RATIO);
   if (!t) return false;
   snprintf(p->reason, sizeof p->reason, "load of %.40s is high: %.2f",
-           w->adapter, load);
-  plan_set(plan, t->name, w->adapter, PLAN_LOADING);
+           req->adapter, load);
+  plan_set(plan, t->name, req->adapter, PLAN_LOADING);
   return true;
 }
 
-static bool drop_target(Place *p, Plan *plan, const PlaceRequirement *w,
+static bool drop_target(Place *p, Plan *plan, const PlaceRequirement *req,
                         double load) {
-  const PlaceTarget *t = find_surplus(p, plan, w->adapter);
+  const PlaceTarget *t = find_surplus(p, plan, req->adapter);
   if (!t) return false;
   snprintf(p->reason, sizeof p->reason, "load of %.40s is low: %.2f",
-           w->adapter, load);
-  plan_set(plan, t->name, w->adapter, PLAN_LEAVING);
+           req->adapter, load);
+  plan_set(plan, t->name, req->adapter, PLAN_LEAVING);
   return true;
 }
 
-/* Updates the timers of all adapters, and makes at most one change. */
+/* Updates the load times of all adapters, and makes at most one change. */
 static bool adjust_to_demand(Place *p, Plan *plan) {
   bool changed = false,
-       may_change = p->now - p->changed_at >= CHANGE_INTERVAL_S;
-  for (int i = 0; i < p->m; i++) {
-    const PlaceRequirement *w = &p->requirements[i];
-    Demand *d = get_or_add(p->demands, w->adapter, sizeof *d);
+       may_change = p->now - p->load_change_at >= CHANGE_INTERVAL_S;
+  for (int i = 0; i < p->n_requirements; i++) {
+    const PlaceRequirement *req = &p->requirements[i];
+    Demand *d = get_or_add(p->demands, req->adapter, sizeof *d);
     double load;
-    int n = count_live(p, plan, w->adapter, &load);
-    bool may_grow = w->max_targets == 0 || n < w->max_targets;
+    int n = count_live(p, plan, req->adapter, &load);
+    bool may_grow = req->max_targets == 0 || n < req->max_targets;
     bool is_busy = has_lasted(&d->busy_since, load > GROW_LOAD_RATIO, p->now,
                               GROW_AFTER_S);
     bool is_idle = has_lasted(&d->idle_since, load < SHRINK_LOAD_RATIO, p->now,
                               SHRINK_AFTER_S);
     if (changed || !may_change) continue;
-    if (is_busy && may_grow && w->recent_requests > 0)
-      changed = add_target(p, plan, w, load);
-    else if (is_idle && n > w->min_targets)
-      changed = drop_target(p, plan, w, load);
+    if (is_busy && may_grow && req->recent_requests > 0)
+      changed = add_target(p, plan, req, load);
+    else if (is_idle && n > req->min_targets)
+      changed = drop_target(p, plan, req, load);
     if (changed) d->busy_since = d->idle_since = 0;
   }
-  if (changed) p->changed_at = p->now;
+  if (changed) p->load_change_at = p->now;
   return changed;
 }
 
 /* == orders == */
 
-/* Lists all adapters that a target should have now. One that is being removed
-   stays until all instances know of it. */
+/* Lists all adapters that a target should have now. One that is leaving is
+   listed until all instances know that it leaves. */
 static void list_wanted_adapters(Place *p, const PlaceTarget *t, char *list) {
   g_strlcpy(list, t->configured, LIMIT_ADAPTERS_BYTES);
   plan_list_adapters(p->plan, t->name, 1 << PLAN_LOADING | 1 << PLAN_LOADED,
@@ -356,7 +376,7 @@
 }
 
 static void send_all_orders(Place *p) {
-  for (int i = 0; i < p->n; i++)
+  for (int i = 0; i < p->n_targets; i++)
     if (p->targets[i].live && count_planned(p->plan, p->targets[i].name) > 0)
       send_order(p, &p->targets[i]);
 }
@@ -400,15 +420,17 @@
     plan_free(next);
 }
 
-void place_update(Place *p, double now, const PlaceTarget *targets, int n,
-                  const PlaceRequirement *requirements, int m) {
+void place_update(Place *p, double now, const PlaceTarget *targets,
+                  int n_targets, const PlaceRequirement *requirements,
+                  int n_requirements) {
   p->now = now;
   p->targets = targets;
-  p->n = n;
+  p->n_targets = n_targets;
   p->requirements = requirements;
-  p->m = m;
-  /* A read may have returned an old plan, and no other event would show it. */
-  if (p->phase == READY && now - p->read_at >= REFRESH_S) p->phase = UNREAD;
+  p->n_requirements = n_requirements;
+  /* A read may have returned an old plan, which only another read shows. */
+  if (p->phase == READY && now - p->plan_read_at >= REFRESH_S)
+    p->phase = UNREAD;
   if (p->home && now >= p->retry_at) {
     if (p->phase == UNREAD) {
       queue_action(p, PLACE_GET_PLAN);
@@ -420,11 +442,11 @@
   }
   p->targets = NULL;
   p->requirements = NULL;
-  p->n = p->m = 0;
+  p->n_targets = p->n_requirements = 0;
 }
 
-static void on_read(Place *p, uint64_t version, Plan *plan) {
-  if (!plan) { /* an operator has to repair a damaged plan */
+static void on_plan_read(Place *p, uint64_t version, Plan *plan) {
+  if (!plan) { /* it is damaged: an operator has to repair it */
     p->phase = UNREAD;
     p->retry_at = p->now + STORE_RETRY_S;
     return;
@@ -432,11 +454,11 @@
   plan_free(p->plan);
   p->plan = plan;
   p->version = version;
-  p->read_at = p->now;
+  p->plan_read_at = p->now;
   p->phase = READY;
 }
 
-static void on_written(Place *p, uint64_t version) {
+static void on_plan_written(Place *p, uint64_t version) {
   plan_free(p->plan);
   p->plan = g_steal_pointer(&p->pending);
   p->version = version;
@@ -446,16 +468,16 @@
 void place_on_store_result(Place *p, double now, uint64_t seq, ErrKind kind,
                            uint64_t version, const char *text) {
   Phase phase = p->phase;
-  if (seq != p->seq) return; /* from an earlier term as home */
+  if (seq != p->seq) return; /* of an earlier time as home */
   p->now = now;
   if (phase == READING && kind == ERR_NONE)
-    on_read(p, version, plan_parse(text));
+    on_plan_read(p, version, plan_parse(text));
   else if (phase == READING && kind == ERR_STORE_ABSENT)
-    on_read(p, 0, plan_new());
+    on_plan_read(p, 0, plan_new());
   else if (phase == WRITING && kind == ERR_NONE)
-    on_written(p, version);
+    on_plan_written(p, version);
   else if (phase == READING || phase == WRITING) {
-    p->phase = UNREAD; /* a read shows whether the write took effect */
+    p->phase = UNREAD; /* after a write: a read shows whether it took effect */
     if (kind != ERR_STORE_CONFLICT) p->retry_at = now + STORE_RETRY_S;
   }
 }
--- a/packages/place/plan.c
+++ b/packages/place/plan.c
@@ -7,8 +7,9 @@
 #include "kernel/list.h"
 #include "kernel/text.h"
 
-static const char *const states[PLAN_STATE_COUNT] = {"loading", "loaded",
-                                                     "leaving"};
+/* By PlanState. */
+static const char *const state_names[PLAN_STATE_COUNT] = {"loading", "loaded",
+                                                          "leaving"};
 
 /* == items == */
 
@@ -57,10 +58,10 @@
     x->state = s;
     return;
   }
-  PlanItem new = {.state = s};
-  g_strlcpy(new.target, target, sizeof new.target);
-  g_strlcpy(new.adapter, adapter, sizeof new.adapter);
-  g_array_append_val(p->items, new);
+  PlanItem item = {.state = s};
+  g_strlcpy(item.target, target, sizeof item.target);
+  g_strlcpy(item.adapter, adapter, sizeof item.adapter);
+  g_array_append_val(p->items, item);
   g_array_sort(p->items, compare_items);
 }
 
@@ -69,11 +70,11 @@
   if (i >= 0) g_array_remove_index(p->items, (guint)i);
 }
 
-void plan_list_adapters(const Plan *p, const char *target, int mask,
+void plan_list_adapters(const Plan *p, const char *target, int states,
                         char *list) {
   for (guint i = 0; i < p->items->len; i++) {
     const PlanItem *x = &g_array_index(p->items, PlanItem, i);
-    bool wanted = (mask & 1 << x->state) != 0;
+    bool wanted = (states & 1 << x->state) != 0;
     if (wanted && strcmp(x->target, target) == 0)
       list_add(list, LIMIT_ADAPTERS_BYTES, x->adapter);
   }
@@ -87,14 +88,15 @@
     const PlanItem *x = &g_array_index(p->items, PlanItem, i);
     json_array_append_new(all, json_pack("{s:s,s:s,s:s}", "target", x->target,
                                          "adapter", x->adapter, "state",
-                                         states[x->state]));
+                                         state_names[x->state]));
   }
   return text_take_json(all);
 }
 
-static int state_of(const char *name) {
+/* Returns the PlanState of that name, or -1. */
+static int parse_state(const char *name) {
   for (int i = 0; i < PLAN_STATE_COUNT; i++)
-    if (strcmp(name, states[i]) == 0) return i;
+    if (strcmp(name, state_names[i]) == 0) return i;
   return -1;
 }
 
@@ -106,11 +108,12 @@
   }
   Plan *p = plan_new();
   size_t i;
+  /* Items that are damaged or have an unknown state are skipped. */
   json_array_foreach(all, i, o) {
     const char *target, *adapter, *state;
     int s = json_unpack(o, "{s:s,s:s,s:s}", "target", &target, "adapter",
                         &adapter, "state", &state) == 0
-                ? state_of(state)
+                ? parse_state(state)
                 : -1;
     if (s >= 0) plan_set(p, target, adapter, (PlanState)s);
   }
--- a/packages/place/plan.h
+++ b/packages/place/plan.h
@@ -11,7 +11,7 @@
 typedef enum {
   PLAN_LOADING, /* ordered; no requests go there yet */
   PLAN_LOADED,  /* the target confirmed it: requests may go there */
-  PLAN_LEAVING, /* no new requests; unloaded after all instances know */
+  PLAN_LEAVING, /* gets no new requests; unloaded once all instances know */
   PLAN_STATE_COUNT
 } PlanState;
 
@@ -29,7 +29,7 @@
 void plan_free(Plan *p);
 /* Returns the plan as JSON; to be freed with g_free. */
 char *plan_to_json(const Plan *p);
-/* Returns NULL when the text is not a plan. */
+/* Returns NULL when the text is not a plan. Skips damaged items. */
 Plan *plan_parse(const char *text);
 /* Returns NULL when there is no such item. */
 PlanItem *plan_find(const Plan *p, const char *target, const char *adapter);
@@ -37,7 +37,7 @@
 void plan_set(Plan *p, const char *target, const char *adapter, PlanState s);
 void plan_remove(Plan *p, const char *target, const char *adapter);
 /* Appends the adapters of `target` whose state is in the bit mask `states` to
-   `list`, a buffer of LIMIT_ADAPTERS bytes with entries separated by ';'. */
+   `list`, a buffer of LIMIT_ADAPTERS_BYTES with entries separated by ';'. */
 void plan_list_adapters(const Plan *p, const char *target, int states,
                         char *list);
 #endif
--- a/packages/queue/queue.c
+++ b/packages/queue/queue.c
@@ -6,31 +6,39 @@
 #include <math.h>
 #include <string.h>
 
-#define CLASS_AGING_S 8.0 /* a waiting request rises a class after this */
+/* A waiting request moves up one class each time this has passed. */
+#define CLASS_AGING_S 8.0
+/* Bounds on the retry time given to a caller. */
 #define RETRY_MIN_MS 500
 #define RETRY_MAX_MS 60000
 
+/* A waiting request. */
 typedef struct Item {
   QueueItem q;
-  double arrived_at, deadline;
-  double virtual_start; /* virtual time from which its service is due */
-  uint64_t seq;
+  double arrived_at;
+  double deadline;      /* refused if still waiting then */
+  double virtual_start; /* start time in the virtual time of its class; the
+                           lowest is served first */
+  uint64_t seq;         /* increases in order of arrival */
 } Item;
 
 typedef struct Customer {
   char name[LIMIT_NAME_BYTES];
-  double finish[10]; /* virtual finish time of its last request, by class */
-  int running;
-  double tokens, refilled_at; /* token bucket of the rate cap */
-  bool has_bucket;
+  double virtual_finish[10]; /* virtual finish time of its last request, by
+                                class */
+  int open_requests;         /* waiting or sent */
+  /* Token bucket of tokens_per_min_cap. */
+  double tokens, refilled_at;
+  bool has_bucket; /* the bucket has been filled once */
 } Customer;
 
 struct Queue {
-  GPtrArray *items;
-  GHashTable *customers;
-  GHashTable *services;     /* name -> number of requests, as a pointer */
-  double virtual_clock[10]; /* by class */
-  uint64_t seq;
+  GPtrArray *items;         /* Item*, in no order */
+  GHashTable *customers;    /* name -> Customer */
+  GHashTable *services;     /* name -> number of requests, waiting or sent, as a
+                               pointer */
+  double virtual_clock[10]; /* latest virtual start served, by class */
+  uint64_t seq;             /* of the last item */
   bool fifo;
 };
 
@@ -94,20 +102,23 @@
 
 static ErrKind check_caps(const Queue *q, Customer *c, double now,
                           const QueueItem *i, int *retry_ms) {
-  bool customer_full = i->running_cap > 0 && c->running >= i->running_cap;
+  bool customer_full =
+      i->concurrency_cap > 0 && c->open_requests >= i->concurrency_cap;
   bool service_full =
-      i->service_cap > 0 && service_requests(q, i->service) >= i->service_cap;
+      i->service_concurrency_cap > 0 &&
+      service_requests(q, i->service) >= i->service_concurrency_cap;
   if (customer_full || service_full) {
     *retry_ms = 1000;
     return ERR_CAP_REACHED;
   }
-  if (i->rate_cap <= 0) return ERR_NONE;
-  refill_bucket(c, now, i->rate_cap);
-  /* A request larger than the cap of a minute may run once the bucket is
-     full. */
-  double need = MIN((double)i->tokens, (double)i->rate_cap);
+  if (i->tokens_per_min_cap <= 0) return ERR_NONE;
+  refill_bucket(c, now, i->tokens_per_min_cap);
+  /* A request that needs more tokens than a full bucket holds, the cap of one
+     minute, is accepted when the bucket is full. */
+  double need = MIN((double)i->tokens, (double)i->tokens_per_min_cap);
   if (c->tokens >= need) return ERR_NONE;
-  *retry_ms = clamp_retry_ms((need - c->tokens) * 60 / (double)i->rate_cap);
+  *retry_ms =
+      clamp_retry_ms((need - c->tokens) * 60 / (double)i->tokens_per_min_cap);
   return ERR_CAP_REACHED;
 }
 
@@ -119,12 +130,13 @@
 }
 
 /* Whether `a` is served before `b`. */
-static bool goes_before(const Queue *q, const Item *a, const Item *b,
-                        double now) {
+static bool is_served_before(const Queue *q, const Item *a, const Item *b,
+                             double now) {
   if (q->fifo) return a->seq < b->seq;
   int x = aged_class(a, now), y = aged_class(b, now);
   if (x != y) return x < y;
-  /* Requests that aged into the class go ahead of those that arrived in it. */
+  /* Requests that moved up into the class are served before those that arrived
+     in it. */
   bool aged_a = x != a->q.class, aged_b = y != b->q.class;
   if (aged_a != aged_b) return aged_a;
   if (a->virtual_start != b->virtual_start)
@@ -133,17 +145,17 @@
 }
 
 static double predicted_wait(const Queue *q, const Item *i, double now,
-                             double rate) {
+                             double finished_per_s) {
   int ahead = 0;
   for (guint k = 0; k < q->items->len; k++) {
     const Item *x = q->items->pdata[k];
-    ahead += goes_before(q, x, i, now);
+    ahead += is_served_before(q, x, i, now);
   }
-  return rate > 0 ? (ahead + 1) / rate : INFINITY;
+  return finished_per_s > 0 ? (ahead + 1) / finished_per_s : INFINITY;
 }
 
-ErrKind queue_push(Queue *q, double now, const QueueItem *item, double rate,
-                   int *retry_ms) {
+ErrKind queue_push(Queue *q, double now, const QueueItem *item,
+                   double finished_per_s, int *retry_ms) {
   Customer *c = find_or_add_customer(q, item->customer);
   *retry_ms = 0;
   ErrKind refused = check_caps(q, c, now, item, retry_ms);
@@ -155,15 +167,16 @@
   i->deadline = now + item->max_wait_s;
   i->seq = ++q->seq;
   int k = i->q.class;
-  i->virtual_start = MAX(q->virtual_clock[k], c->finish[k]);
-  double wait = predicted_wait(q, i, now, rate);
+  i->virtual_start = MAX(q->virtual_clock[k], c->virtual_finish[k]);
+  double wait = predicted_wait(q, i, now, finished_per_s);
   if (q->items->len > 0 && wait > item->max_wait_s) {
     *retry_ms = clamp_retry_ms(wait - item->max_wait_s);
     g_free(i);
     return ERR_OVERLOADED;
   }
-  c->finish[k] = i->virtual_start + (double)item->tokens / MAX(item->weight, 1);
-  c->running++;
+  c->virtual_finish[k] =
+      i->virtual_start + (double)item->tokens / MAX(item->weight, 1);
+  c->open_requests++;
   add_service_requests(q, item->service, 1);
   c->tokens -= (double)item->tokens;
   g_ptr_array_add(q->items, i);
@@ -172,18 +185,20 @@
 
 void queue_done(Queue *q, const QueueItem *item, int64_t tokens) {
   Customer *c = find_or_add_customer(q, item->customer);
-  c->running = MAX(c->running - 1, 0);
+  c->open_requests = MAX(c->open_requests - 1, 0);
   add_service_requests(q, item->service, -1);
   c->tokens += (double)(item->tokens - tokens);
 }
 
-static bool pop_expired(Queue *q, double now, double rate, QueueDecision *out) {
+static bool pop_expired(Queue *q, double now, double finished_per_s,
+                        QueueDecision *out) {
   for (guint k = 0; k < q->items->len; k++) {
     Item *i = q->items->pdata[k];
     if (now < i->deadline) continue;
     out->handle = i->q.handle;
     out->refused = ERR_OVERLOADED;
-    out->retry_ms = clamp_retry_ms(predicted_wait(q, i, now, MAX(rate, 0.1)));
+    out->retry_ms =
+        clamp_retry_ms(predicted_wait(q, i, now, MAX(finished_per_s, 0.1)));
     queue_done(q, &i->q, 0);
     g_ptr_array_remove_index_fast(q->items, k);
     return true;
@@ -191,17 +206,17 @@
   return false;
 }
 
-bool queue_pop(Queue *q, double now, int room, double rate,
+bool queue_pop(Queue *q, double now, int free_slots, double finished_per_s,
                QueueDecision *out) {
   *out = (QueueDecision){0};
   /* Expired requests are refused first; otherwise, under constant load, they
      would not be refused until the queue is empty. */
-  if (pop_expired(q, now, rate, out)) return true;
+  if (pop_expired(q, now, finished_per_s, out)) return true;
   guint best = 0;
   bool found = false;
-  for (guint k = 0; room > 0 && k < q->items->len; k++) {
+  for (guint k = 0; free_slots > 0 && k < q->items->len; k++) {
     const Item *i = q->items->pdata[k];
-    if (!found || goes_before(q, i, q->items->pdata[best], now)) best = k;
+    if (!found || is_served_before(q, i, q->items->pdata[best], now)) best = k;
     found = true;
   }
   if (!found) return false;
--- a/packages/target/engine.c
+++ b/packages/target/engine.c
@@ -1,4 +1,4 @@
-/* engine.c: client of engines with the public chat completions API. */
+/* engine.c: client of engines that offer the public chat completions API. */
 #include "target/engine.h"
 
 #include <glib.h>
@@ -31,14 +31,15 @@
   return http_open(c, &http, false, a);
 }
 
-HttpStream *engine_resume(HttpClient *c, const char *id, int seen,
+HttpStream *engine_resume(HttpClient *c, const char *id, int n_events,
                           HttpAnswer *a) {
   char path[192];
-  snprintf(path, sizeof path, "/resume?id=%s&from=%d", id, seen);
+  snprintf(path, sizeof path, "/resume?id=%s&from=%d", id, n_events);
   return http_open(c, &(HttpCall){.method = "GET", .path = path}, false, a);
 }
 
-/* Makes a short call; returns the answer's JSON if its status is 200. */
+/* Makes a call with a short timeout. Returns the answer's JSON if its status is
+   200, else NULL; *status is 0 without an answer. */
 static json_t *control_call(const char *url, const HttpCall *call,
                             int *status) {
   HttpClient *c = http_client(url, CONTROL_TIMEOUT_S, CONTROL_TIMEOUT_S);
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -111,7 +111,7 @@
   QueueDecision out;
   int retry;
   QueueItem i = item(1, "c", 3);
-  i.running_cap = 1;
+  i.concurrency_cap = 1;
   push(q, 0, i);
   i.handle = 2;
   cr_assert_eq(queue_push(q, 0, &i, 10, &retry), ERR_CAP_REACHED);
@@ -130,7 +130,7 @@
   QueueDecision out;
   int retry;
   QueueItem i = item(1, "c", 3);
-  i.rate_cap = 150;
+  i.tokens_per_min_cap = 150;
   push(q, 0, i);
   cr_assert(queue_pop(q, 0, 1, 10, &out));
   i.handle = 2;
@@ -147,7 +147,7 @@
   QueueItem letter = item(1, "a", 7), other = item(9, "c", 3);
   int retry;
   snprintf(letter.service, sizeof letter.service, "letters");
-  letter.service_cap = 2;
+  letter.service_concurrency_cap = 2;
   push(q, 0, letter);
   snprintf(letter.customer, sizeof letter.customer, "b");
   push(q, 0, letter);
