--- a/packages/flow/asking.c
+++ b/packages/flow/asking.c
@@ -21,10 +21,10 @@
   uint64_t targets[TARGETS_MAX_QUERIED];
   TallyQuery a = {0};
   if (!uses_tallies(x)) return;
-  TargetRequest ask = run_target_criteria(x);
+  TargetRequest criteria = run_target_criteria(x);
   a.regions = x->regions;
   x->n_reports = 0;
-  x->n_queried = targets_to_query(r->targets, run_now(x), &ask, targets);
+  x->n_queried = targets_to_query(r->targets, run_now(x), &criteria, targets);
   x->query_id = a.number = ++r->last_query_id;
   a.parts.n = parts_names(&x->request, a.parts.names, TALLY_MAX_PARTS);
   g_hash_table_insert(r->runs_by_query, &x->query_id, x);
--- a/packages/flow/dispatch.c
+++ b/packages/flow/dispatch.c
@@ -271,7 +271,7 @@
   run_update_regions(x);
   return (TargetRequest){
       .service = x->service_name,
-      .ask = &x->request,
+      .info = &x->request,
       .engine = x->service && x->service->engine,
       .cold_rate_per_s = x->service ? x->service->cold_max_per_s : 0,
       .move_token_s = x->service ? x->service->move_s_per_token : 0,
@@ -318,7 +318,7 @@
   if (x->n_tried == 1) retries_note_first(r->retries, now, x->service_name);
   target_note_sent(c->target, now, &x->request, c);
   run_report_sent(x);
-  x->n_permits = 0;
+  x->n_permit_requests = 0;
   x->permit_run_id = 0;
   double fresh_s =
       is_repeatable(x) ? RUN_LINK_MAX_IDLE_S : ONCE_LINK_MAX_IDLE_S;
@@ -363,8 +363,8 @@
     fail_stale(x);
     return;
   }
-  TargetRequest ask = run_target_criteria(x);
-  TargetChoice c = targets_pick(x->relay->targets, run_now(x), &ask);
+  TargetRequest criteria = run_target_criteria(x);
+  TargetChoice c = targets_pick(x->relay->targets, run_now(x), &criteria);
   run_cancel_query(x);
   if (!c.target) {
     fail_without_target(x, &c);
--- a/packages/route/bounded.c
+++ b/packages/route/bounded.c
@@ -9,9 +9,9 @@
 QuotaBounds target_bounds(const Target *t, double now,
                           const TargetRequest *request) {
   const Targets *s = t->set;
-  double overrun = s->cold_overrun > 0 ? s->cold_overrun : 1;
+  double overrun = s->cold_overrun_ratio > 0 ? s->cold_overrun_ratio : 1;
   bool cold = request->cold_rate_per_s > 0 && now < t->cold_until;
-  double bound = request->cold_rate_per_s * overrun + s->cold_extra;
+  double bound = request->cold_rate_per_s * overrun + s->cold_extra_per_s;
   return (QuotaBounds){.cold_per_s = cold ? bound : 0, .limit = t->limit};
 }
 
--- a/packages/route/choose.c
+++ b/packages/route/choose.c
@@ -131,7 +131,7 @@
 /* Finds the two members of `list` with the highest weights. */
 static int find_top_homes(const Pick *p, const GPtrArray *list,
                           bool healthy_only, Target *homes[POOL_MAX_HOMES]) {
-  uint64_t key = parts_key(p->request->ask), top[POOL_MAX_HOMES] = {0};
+  uint64_t key = parts_key(p->request->info), top[POOL_MAX_HOMES] = {0};
   int n = 0;
   for (guint i = 0; i < list->len && key != 0; i++) {
     Target *t = list->pdata[i];
@@ -162,7 +162,7 @@
 /* Chooses the homes among `list`, or, in a large pool, once among all of its
    members. */
 static void choose_homes(Pick *p, const GPtrArray *list) {
-  uint64_t key = parts_key(p->request->ask);
+  uint64_t key = parts_key(p->request->info);
   if (!is_large(p->pool))
     p->n_homes = find_top_homes(p, list, p->querying, p->homes);
   else if (key != 0 && p->n_homes == 0)
@@ -181,14 +181,14 @@
    instances, at least `age_s` ago. */
 static int64_t cached_tokens_at(const Pick *p, const Target *t, double age_s) {
   if (!t->use) return 0;
-  return parts_cached_tokens(t->use->parts, p->request->ask, p->now, age_s);
+  return parts_cached_tokens(t->use->parts, p->request->info, p->now, age_s);
 }
 
 /* Tokens of the shared parts that a target other than a home would read. The
    next request does not look for them there, so it has to read them once
    more. */
 static int64_t count_stray_tokens(const Pick *p, const Target *t) {
-  const RequestInfo *a = p->request->ask;
+  const RequestInfo *a = p->request->info;
   const TallyReport *w = find_report(p, t);
   uint64_t key = parts_key(a);
   if (!w || key == 0 || is_home(p, t)) return 0;
@@ -196,7 +196,7 @@
 }
 
 static int64_t count_uncached_tokens(const Pick *p, const Target *t) {
-  const RequestInfo *a = p->request->ask;
+  const RequestInfo *a = p->request->info;
   const TallyReport *w = find_report(p, t);
   if (w) return parts_prompt_tokens(a) - parts_prefix_tokens(a, w->known_parts);
   int64_t all = parts_prompt_tokens(a), cached = cached_tokens_at(p, t, 0);
@@ -226,7 +226,7 @@
 static int64_t count_movable_tokens(const Pick *p, const Target *t) {
   const TallyReport *w = find_report(p, t);
   if (!is_healthy(p, t)) return 0;
-  if (w) return parts_prefix_tokens(p->request->ask, w->finished_parts);
+  if (w) return parts_prefix_tokens(p->request->info, w->finished_parts);
   return cached_tokens_at(p, t, DONOR_MIN_AGE_S);
 }
 
@@ -254,7 +254,7 @@
 
 /* Takes those tokens from the donor that the target itself lacks. */
 static void apply_donor(const Pick *p, TargetChoice *c) {
-  int64_t all = parts_prompt_tokens(p->request->ask);
+  int64_t all = parts_prompt_tokens(p->request->info);
   int64_t more = p->donor_tokens - (all - c->uncached_tokens);
   if (!p->donor || p->donor == c->target || more < MIN_MOVED_TOKENS) return;
   c->donor = p->donor;
@@ -267,7 +267,7 @@
 static bool is_long(const Pick *p) {
   const TargetRequest *a = p->request;
   if (!a->engine || a->max_pause_s <= 0) return false;
-  return (double)a->ask->prompt_tokens * p->prefill_s_per_token >
+  return (double)a->info->prompt_tokens * p->prefill_s_per_token >
          LONG_PROMPT_PAUSE_RATIO * a->max_pause_s;
 }
 
@@ -300,9 +300,9 @@
   const Target *t = c->target;
   double unread = (double)(c->load.tokens + c->uncached_tokens);
   if (!p->set->parts_are_exchanged)
-    return unread * p->prefill_s_per_token * target_pace(t, p->now);
-  double first = fit_value(&t->pool->first, unread);
-  return first * t->first_byte_ratio * target_pace(t, p->now) +
+    return unread * p->prefill_s_per_token * target_slowdown(t, p->now);
+  double first = fit_value(&t->pool->first_byte, unread);
+  return first * t->first_byte_ratio * target_slowdown(t, p->now) +
          (double)c->moved_tokens * p->request->move_token_s;
 }
 
@@ -312,7 +312,7 @@
   bool is_fresh = now - t->reported_at < LOAD_REPORT_MAX_AGE_S;
   int reported = is_fresh ? t->reported_running + t->reported_waiting : 0;
   int there = MAX(open, reported);
-  return took * target_pace(t, now) * (1 + (double)there / slots);
+  return took * target_slowdown(t, now) * (1 + (double)there / slots);
 }
 
 /* Reading and moving tokens costs a target more than the wait of the request
@@ -488,7 +488,7 @@
   bool beside_long = false;
   if (!pool) return best;
   Pick p = {.set = s, .pool = pool, .request = request, .now = now};
-  p.prefill_s_per_token = s->parts_are_exchanged ? fit_slope(&pool->first)
+  p.prefill_s_per_token = s->parts_are_exchanged ? fit_slope(&pool->first_byte)
                                                  : TARGETS_DEFAULT_TOKEN_S;
   p.long_prompt = is_long(&p);
   GPtrArray *list = candidates(&p);
--- a/packages/route/pool.c
+++ b/packages/route/pool.c
@@ -27,7 +27,7 @@
   p->members = g_ptr_array_new();
   p->division = division_new();
   p->hash = text_hash(service);
-  fit_init(&p->first, INITIAL_FIRST_BYTE_S, TARGETS_DEFAULT_TOKEN_S,
+  fit_init(&p->first_byte, INITIAL_FIRST_BYTE_S, TARGETS_DEFAULT_TOKEN_S,
            INITIAL_SPAN_TOKENS);
   return p;
 }
--- a/packages/route/pool.h
+++ b/packages/route/pool.h
@@ -1,8 +1,11 @@
-/* pool.h: all targets of a service, in an order that every instance shares,
-   and the homes of prompts among them; pure. A home of a prompt is a member
-   chosen by the hash of its shared parts. The work for one request or one
-   added target must not grow with the pool: instances know thousands of
-   targets. */
+/* pool.h: a pool holds all targets of a service, its members, in an order that
+   every instance computes alike, and selects the homes of a prompt among them;
+   pure. A home of a prompt is a member selected by the hash of the parts that
+   the prompt has in common with others; it probably has these parts cached.
+   The counting instance of a target or of a group of targets is the instance
+   that counts the requests of all instances there (tally.h). The work for one
+   request or one added target must not grow with the pool: instances know
+   thousands of targets. */
 #ifndef ROUTE_POOL_H
 #define ROUTE_POOL_H
 
@@ -17,11 +20,12 @@
 typedef struct Target Target;
 
 #define POOL_MAX_HOMES 2
-/* Up to this many members each has a counting instance of its own, and a
-   choice visits all members. In a larger pool adjacent members form a group
-   with one counting instance, and a prompt's homes and the other targets it is
-   offered are of one group. So a request needs one query, which takes two new
-   links in a fleet of a thousand instances instead of six. */
+/* In a pool of up to this many members each member has its own counting
+   instance, and the choice of a target visits all members. In a larger pool
+   adjacent members form a group with one counting instance, and all candidates
+   for a prompt, its homes included, belong to one group. So a request needs
+   one query, which opens two new connections in a fleet of a thousand
+   instances instead of six. */
 #define POOL_SMALL_MAX_MEMBERS 512
 #define POOL_GROUP_MIN_MEMBERS 8 /* lower bound of the average group size */
 
@@ -29,40 +33,41 @@
   char service[LIMIT_NAME_BYTES];
   GPtrArray
       *members;   /* Target*; use pool_sorted_members where the order matters */
-  guint n_sorted; /* number of members in order, from the first one on */
-  Fit first;      /* time until the first byte by tokens to read, in seconds */
+  guint n_sorted; /* the first n_sorted members are sorted by hash */
+  Fit first_byte; /* seconds until the first byte as a function of the tokens to
+                     read */
   Division *division;
-  uint64_t hash;        /* of the service */
-  double last_retry_at; /* when the last caller refused for lack of capacity is
-                           to retry */
-  uint64_t visits;      /* visits to members so far, a measure of the cost */
+  uint64_t hash;        /* text_hash of the service */
+  double last_retry_at; /* the retry time given to the last caller that was
+                           refused for lack of capacity */
+  uint64_t visits;      /* total accesses to members, a measure of the cost */
 } Pool;
 
-/* The initial line of `first` is set in pool.c; see fit.h. */
+/* pool.c sets the line that `first_byte` begins with; see fit.h. */
 Pool *pool_new(const char *service);
 void pool_free(gpointer p);
 void pool_add(Pool *p, Target *t);
 void pool_remove(Pool *p, Target *t);
-/* The members in the order of their hashes. */
+/* Sorts the members by their hashes and returns them. */
 GPtrArray *pool_sorted_members(Pool *p);
 
-/* Identifies the group of a member with that hash; all instances find its
-   counting instance by it. */
+/* Returns the identifier of the group to which a member with that hash belongs.
+   All instances find the group's counting instance by it. */
 uint64_t pool_group(const Pool *p, uint64_t hash);
 
 /* Whether a member may be a home. */
 typedef bool (*PoolFilter)(const void *ctx, const Target *t);
 
-/* The homes of a prompt with that key among the members that pass `filter`, all
-   of one group. Instances that know the same members agree without
+/* Puts the homes of a prompt with that key (parts_key) into `homes`, the
+   preferred one first, and returns how many there are. They pass `filter` and
+   are all of one group. Instances that know the same members agree without
    communication, and a member that is added or removed moves only its own
-   share of the prompts. Returns how many, the preferred one first. The cost is
-   logarithmic in the size of the pool. */
+   share of the prompts. The cost is logarithmic in the size of the pool. */
 int pool_homes(Pool *p, uint64_t key, PoolFilter filter, const void *ctx,
                Target *homes[POOL_MAX_HOMES]);
 
 /* Puts up to `max_members` other members of the group of `t` that pass `filter`
-   into `out`, in the order from `t` on. Returns how many. */
+   into `out`, beginning with those that follow `t`. Returns how many. */
 int pool_group_members(Pool *p, const Target *t, PoolFilter filter,
                        const void *ctx, Target **out, int max_members);
 
--- a/packages/route/state.h
+++ b/packages/route/state.h
@@ -11,56 +11,63 @@
 #include "route/quota.h"
 #include "route/targets.h"
 
-/* Assumed time to read a token until an answer was seen, and where other
-   instances' work is unknown: a line fitted there would include their
-   queues. */
+/* Assumed time in which a target reads a token of a prompt. It applies until
+   an answer has arrived, and where the work of other instances is unknown: a
+   line fitted to the measured times would include the time in their queues. */
 #define TARGETS_DEFAULT_TOKEN_S (1 / 45000.0)
 
-/* The last report of another instance. */
+/* The last report of another instance on its work at a target. */
 typedef struct OtherLoad {
-  int open;
-  int64_t tokens;
-  double at;
+  int open;       /* number of its requests there */
+  int64_t tokens; /* prompt tokens of these that are still to be read */
+  double reported_at;
 } OtherLoad;
 
-/* What we sent to a target and what other instances reported on it. Most
-   targets of a large fleet never have this: only their entries are known. */
+/* What this instance sent to a target and what other instances reported about
+   it. In a large fleet most targets have none, since an instance sends requests
+   to few of them. */
 typedef struct TargetUse {
-  QuotaSends sends; /* our own */
-  Parts *parts;
+  QuotaSends sends;   /* our own */
+  Parts *parts;       /* prompt parts that it probably has cached */
   GHashTable *others; /* hash of an instance -> OtherLoad */
 } TargetUse;
 
 struct Target {
-  Targets *set;
+  Targets *set; /* the set that it belongs to */
   Pool *pool;
   TargetInfo info;
   RegionSet region; /* region of its data centre; empty: unknown */
   uint64_t hash;    /* of its id and start time */
-  double leave_at;  /* no new work from then on; INFINITY: not leaving */
-  bool lapsed;    /* its entry is missing, perhaps only because of an outage */
-  bool evacuated; /* its data centre is evacuated */
+  double leave_at;  /* it gets no new work from then on; INFINITY: it stays */
+  bool lapsed;    /* its entry in the store is missing, perhaps only because the
+                     store is unavailable */
+  bool evacuated; /* its data centre is under evacuation: operators have
+                     excluded its targets */
   double cold_until;
-  /* Until then, as far as we know, the counting instance gives no permit
-     within the target's limit, or none at all. */
+  /* Before limit_until the counting instance probably gives no permit within
+     the target's limit; before full_until it probably gives none at all. */
   double limit_until, full_until;
-  double ejected_until, ejected_s;
-  double failure_ratio;    /* moving average, 0 to 1 */
-  double mean_answer_s;    /* moving average */
+  double ejected_until; /* an ejected target gets no requests */
+  double ejection_s; /* length of the last ejection of an unresponsive target;
+                        0: it has answered since */
+  double failure_ratio;    /* failed requests, moving average, 0 to 1 */
+  double mean_answer_s;    /* duration of a request, moving average */
   double first_byte_ratio; /* moving average of its first-byte times relative to
                               the pool's */
   int open;                /* number of our own requests there */
-  int waiting;             /* those of them without a first byte */
-  int64_t backlog_tokens;  /* prompt tokens of these */
-  int reported_running, reported_waiting;
+  int waiting;            /* number of those whose first byte has not arrived */
+  int64_t backlog_tokens; /* uncached prompt tokens of the waiting ones */
+  int reported_running, reported_waiting; /* by the target */
   double reported_at;
-  double pace;  /* how long work took there, relative to the usual time; 0: not
-                   reported */
-  double limit; /* requests per second that it accepts; QUOTA_UNLIMITED */
-  double limit_sent_at; /* by us, to the counting instance */
+  double slowdown; /* processing time / usual time, by its report; 0: not
+                      reported */
+  double limit;    /* requests per second that it accepts from all instances;
+                      QUOTA_UNLIMITED: it reports no limit */
+  double limit_sent_at; /* when we last sent it to the counting instance */
   bool limit_damaged;   /* the last limit it reported could not be parsed */
-  TargetUse *use;       /* NULL: none yet */
-  bool changed;         /* our work there changed since it was last sent */
+  TargetUse *use;       /* NULL: this instance has no information yet */
+  bool changed; /* our work there changed since we last reported it to the other
+                   instances */
 };
 
 struct Targets {
@@ -68,24 +75,28 @@
   const Regions *regions; /* NULL: unknown */
   RegionSet region;       /* our own */
   Evacuation *evacuation;
-  double cold_overrun, cold_extra;
-  QuotaShare share; /* for the bounds on targets */
-  GHashTable *by_id;
-  GHashTable *by_hash;  /* the same targets */
-  GHashTable *pools;    /* service -> Pool */
-  GPtrArray *retired;   /* earlier incarnations, which may have open requests */
-  GQueue changed;       /* Target* */
-  GQueue parts_to_send; /* TargetParts* */
-  bool any_left;        /* a target has left and is not forgotten yet */
-  bool parts_are_exchanged; /* with the other instances */
+  /* The bound on a cold target is cold_overrun_ratio times its rate plus
+     cold_extra_per_s; ratio 0 stands for 1. */
+  double cold_overrun_ratio, cold_extra_per_s;
+  QuotaShare share;    /* our share of the bounds on targets */
+  GHashTable *by_id;   /* id -> Target */
+  GHashTable *by_hash; /* Target.hash -> Target */
+  GHashTable *pools;   /* service -> Pool */
+  GPtrArray *retired;  /* Target* of earlier incarnations, which may have open
+                          requests */
+  GQueue changed_targets; /* Target* whose work is to be reported */
+  GQueue parts_to_send;   /* TargetParts* */
+  bool any_left; /* a target has left the fleet and still has an entry here */
+  bool parts_are_exchanged; /* instances report cached prompt parts to each
+                               other */
   GRand *rand;
 };
 
-/* The current bounds on the target for this request. */
+/* Returns the current bounds on the target for this request. */
 QuotaBounds target_bounds(const Target *t, double now,
                           const TargetRequest *request);
-/* How long work takes there now relative to the usual time, by the target's
-   report. */
-double target_pace(const Target *t, double now);
+/* Returns processing time / usual time at the target, by its last report; 1
+   when there is no recent one. */
+double target_slowdown(const Target *t, double now);
 
 #endif
--- a/packages/route/targets.c
+++ b/packages/route/targets.c
@@ -19,12 +19,13 @@
 /* The entry of a target that has ended disappears after three heartbeats;
    until then each attempt on it is a refused connection. */
 #define EJECT_ENDED_S 4.0
-/* A reported pace is clamped to this range, so that one wrong figure does not
-   decide for long. */
-#define PACE_MIN 0.5
-#define PACE_MAX 20.0
-#define EJECT_FULL_S 0.1       /* after it reported that it is full */
-#define PACE_MAX_AGE_S 0.3     /* a reported pace has no weight after this */
+/* A reported slowdown is clamped to this range, so that one wrong figure does
+   not decide for long. */
+#define SLOWDOWN_MIN 0.5
+#define SLOWDOWN_MAX 20.0
+#define EJECT_FULL_S 0.1 /* after it reported that it is full */
+#define SLOWDOWN_MAX_AGE_S                                                     \
+  0.3 /* a reported slowdown has no weight after this */
 #define ANSWER_TIME_WEIGHT 0.1 /* weight of one answer in the mean time */
 /* Weight of one first byte in a target's average. */
 #define FIRST_BYTE_WEIGHT 0.1
@@ -63,7 +64,7 @@
   s->by_hash = g_hash_table_new(g_int64_hash, g_int64_equal);
   s->pools = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, pool_free);
   s->retired = g_ptr_array_new_with_free_func(target_free);
-  g_queue_init(&s->changed);
+  g_queue_init(&s->changed_targets);
   g_queue_init(&s->parts_to_send);
   s->rand = g_rand_new_with_seed(seed);
   return s;
@@ -72,7 +73,7 @@
 void targets_free(Targets *s) {
   evacuation_free(s->evacuation);
   g_hash_table_destroy(s->by_hash);
-  g_queue_clear(&s->changed);
+  g_queue_clear(&s->changed_targets);
   g_queue_clear_full(&s->parts_to_send, g_free);
   g_hash_table_destroy(s->by_id);
   g_ptr_array_free(s->retired, TRUE);
@@ -217,8 +218,8 @@
 /* == cold targets == */
 
 void targets_set_cold_bound(Targets *s, double overrun, double extra) {
-  s->cold_overrun = overrun;
-  s->cold_extra = extra;
+  s->cold_overrun_ratio = overrun;
+  s->cold_extra_per_s = extra;
 }
 
 void targets_set_rank(Targets *s, double now, int rank, int of) {
@@ -270,7 +271,7 @@
   if (!is_forgettable(t, *(double *)now)) return FALSE;
   g_hash_table_remove(t->set->by_hash, &t->hash);
   pool_remove(t->pool, t);
-  g_queue_remove(&t->set->changed, t);
+  g_queue_remove(&t->set->changed_targets, t);
   return TRUE;
 }
 
@@ -285,7 +286,7 @@
   for (guint i = s->retired->len; i-- > 0;) {
     Target *t = s->retired->pdata[i];
     if (!is_forgettable(t, now)) continue;
-    g_queue_remove(&s->changed, t);
+    g_queue_remove(&s->changed_targets, t);
     g_ptr_array_remove_index_fast(s->retired, i);
   }
   s->any_left = s->retired->len > 0;
@@ -332,7 +333,7 @@
 static void queue_work_update(Target *t) {
   if (t->changed) return;
   t->changed = true;
-  g_queue_push_tail(&t->set->changed, t);
+  g_queue_push_tail(&t->set->changed_targets, t);
 }
 
 /* Removes tokens that were sent there but not read yet. */
@@ -342,23 +343,23 @@
   queue_work_update(t);
 }
 
-static void record_parts(Target *t, double now, const RequestInfo *ask,
+static void record_parts(Target *t, double now, const RequestInfo *request,
                          RegionSet regions) {
   Targets *s = t->set;
   TargetParts m = {.target = t->hash};
-  m.n = parts_note_prompt(ensure_use(t)->parts, ask, now, m.names);
+  m.n = parts_note_prompt(ensure_use(t)->parts, request, now, m.names);
   bool may_send = regions_admit(regions, s->region, REGIONS_PEERS);
   if (m.n > 0 && may_send)
     g_queue_push_tail(&s->parts_to_send, g_memdup2(&m, sizeof m));
 }
 
-void target_note_sent(Target *t, double now, const RequestInfo *ask,
+void target_note_sent(Target *t, double now, const RequestInfo *request,
                       const TargetChoice *c) {
   t->open++;
   t->waiting++;
   quota_note_send(&ensure_use(t)->sends, now);
   t->backlog_tokens += c->uncached_tokens;
-  record_parts(t, now, ask, c->regions);
+  record_parts(t, now, request, c->regions);
   division_note_prefill(t->pool->division, now, c->long_prompt,
                         c->uncached_tokens);
   queue_work_update(t);
@@ -370,7 +371,7 @@
 
 void target_note_first_byte(Target *t, int64_t uncached_tokens,
                             int64_t queued_tokens, double took_s) {
-  Fit *line = &t->pool->first;
+  Fit *line = &t->pool->first_byte;
   double x = (double)(uncached_tokens + queued_tokens),
          usual = fit_value(line, x);
   remove_backlog(t, uncached_tokens);
@@ -382,12 +383,12 @@
   fit_add(line, x, took_s);
 }
 
-/* Other workloads share the target's machine and its pace changes many times a
-   second, so a report loses weight with age. */
-double target_pace(const Target *t, double now) {
+/* Other workloads share the target's machine and its slowdown changes many
+   times a second, so a report loses weight with age. */
+double target_slowdown(const Target *t, double now) {
   double age = now - t->reported_at;
-  if (t->pace <= 0 || age >= PACE_MAX_AGE_S) return 1;
-  return 1 + (t->pace - 1) * (1 - age / PACE_MAX_AGE_S);
+  if (t->slowdown <= 0 || age >= SLOWDOWN_MAX_AGE_S) return 1;
+  return 1 + (t->slowdown - 1) * (1 - age / SLOWDOWN_MAX_AGE_S);
 }
 
 void target_note_done(Target *t, double now, TargetOutcome how, bool first,
@@ -398,9 +399,9 @@
   switch (how) {
   case TARGET_OK:
     update_mean(&t->failure_ratio, 0, FAILURE_WEIGHT);
-    update_mean(&t->mean_answer_s, took_s / target_pace(t, now),
+    update_mean(&t->mean_answer_s, took_s / target_slowdown(t, now),
                 t->mean_answer_s > 0 ? ANSWER_TIME_WEIGHT : 1);
-    t->ejected_s = 0;
+    t->ejection_s = 0;
     break;
   case TARGET_FULL: t->ejected_until = now + EJECT_FULL_S; break;
   case TARGET_FAILED:
@@ -410,9 +411,9 @@
     break;
   case TARGET_UNRESPONSIVE:
     update_mean(&t->failure_ratio, 1, FAILURE_WEIGHT);
-    t->ejected_s = CLAMP(t->ejected_s * 2, EJECT_UNRESPONSIVE_MIN_S,
-                         EJECT_UNRESPONSIVE_MAX_S);
-    t->ejected_until = now + t->ejected_s;
+    t->ejection_s = CLAMP(t->ejection_s * 2, EJECT_UNRESPONSIVE_MIN_S,
+                          EJECT_UNRESPONSIVE_MAX_S);
+    t->ejected_until = now + t->ejection_s;
     if (t->use)
       parts_clear(t->use->parts); /* a restarted target has an empty cache */
     break;
@@ -425,11 +426,11 @@
 }
 
 void target_set_load(Target *t, double now, int running, int waiting,
-                     double pace) {
+                     double slowdown) {
   t->reported_running = running;
   t->reported_waiting = waiting;
   t->reported_at = now;
-  t->pace = pace > 0 ? CLAMP(pace, PACE_MIN, PACE_MAX) : 0;
+  t->slowdown = slowdown > 0 ? CLAMP(slowdown, SLOWDOWN_MIN, SLOWDOWN_MAX) : 0;
 }
 
 /* == work of the other instances == */
@@ -443,7 +444,7 @@
   g_hash_table_iter_init(&it, t->use->others);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     const OtherLoad *o = v;
-    if (now - o->at > OTHERS_MAX_AGE_S) continue;
+    if (now - o->reported_at > OTHERS_MAX_AGE_S) continue;
     sum.open += o->open;
     sum.tokens += o->tokens;
   }
@@ -457,7 +458,7 @@
 }
 
 bool targets_next_work(Targets *s, TargetWork *w) {
-  Target *t = g_queue_pop_head(&s->changed);
+  Target *t = g_queue_pop_head(&s->changed_targets);
   if (!t) return false;
   t->changed = false;
   *w = (TargetWork){
@@ -527,5 +528,5 @@
     o = g_new0(OtherLoad, 1);
     g_hash_table_insert(reported, g_memdup2(&from, sizeof from), o);
   }
-  *o = (OtherLoad){.open = w->open, .tokens = w->tokens, .at = now};
+  *o = (OtherLoad){.open = w->open, .tokens = w->tokens, .reported_at = now};
 }
--- a/packages/route/targets.h
+++ b/packages/route/targets.h
@@ -83,7 +83,7 @@
 /* A request that needs a target. */
 typedef struct TargetRequest {
   const char *service;
-  const RequestInfo *ask;
+  const RequestInfo *info;
   bool engine;
   double cold_rate_per_s; /* of a cold target; 0: the same as of a warm one */
   double move_token_s; /* time to move the cached state of one token; 0: it is
@@ -91,7 +91,7 @@
   double max_pause_s;  /* lowest limit of pauses among the streams of the
                           service; 0: unknown */
   RegionSet regions;   /* regions the request is bound to */
-  bool permits_exhausted; /* it may ask for no more permits: bounded targets
+  bool permits_exhausted; /* it may request no more permits: bounded targets
                              count as full */
   bool isolate; /* it may end its target: choose the one with the fewest other
                    requests */
@@ -154,7 +154,7 @@
 int target_open(const Target *t); /* number of our own requests there */
 
 /* A request is sent to the chosen target. */
-void target_note_sent(Target *t, double now, const RequestInfo *ask,
+void target_note_sent(Target *t, double now, const RequestInfo *request,
                       const TargetChoice *c);
 /* Its first byte arrived after `took_s`; `queued_tokens` of other prompts were
    waiting to be read there when the request was sent. */
@@ -175,10 +175,10 @@
                       int64_t uncached_tokens, double took_s);
 /* The target has ended; its entry will disappear within seconds. */
 void target_note_ended(Target *t, double now);
-/* The load that the target reports. `pace`: how long work takes there now
-   relative to the usual time; 0: not reported. */
+/* The load that the target reports. `slowdown`: processing time there / usual
+   time; 0: not reported. */
 void target_set_load(Target *t, double now, int running, int waiting,
-                     double pace);
+                     double slowdown);
 /* The target reports that it remains cold for `left_s`. */
 void target_set_cold(Target *t, double now, double left_s);
 
--- a/packages/route/trials.c
+++ b/packages/route/trials.c
@@ -1,21 +1,24 @@
-/* trials.c: decisions by the trials in the store. */
+/* trials.c: keeps a copy of the trials in the store and decides by them whether
+   a suspect may be sent to a target. */
 #include "route/trials.h"
 
 #include "route/fair.h"
 
-/* Attempts that may have no result, because the caller left or the target
-   refused: each of them reaches a target, and three more may do so after the
-   third that ended. */
+/* A request is held back after this many attempts without a result, because the
+   caller disconnected or the target refused. Each of them reaches a target:
+   after the third target that ended, the request may reach three more. */
 #define MAX_INCONCLUSIVE_TRIES 2
-/* After this an instance that tries the request is lost or can't reach the
-   store, and another one may try it: the longest requests take 15 s. */
+/* An attempt that is open for longer no longer prevents another one: the
+   instance that made it is lost or can't reach the store, since the longest
+   requests take 15 s. */
 #define MAX_OPEN_S 30.0
-/* Objects in the store: one page of a listing has some five hundred. */
-#define MAX_OBJECTS 400
+/* Trials in the store, so that one page of a listing, about five hundred
+   objects, has them all. */
+#define MAX_STORED_TRIALS 400
 
 typedef struct TrialEntry {
   Trial trial;
-  double since; /* when we learned that it is open */
+  double updated_at; /* when we learned of this revision */
 } TrialEntry;
 
 struct Trials {
@@ -39,15 +42,15 @@
 }
 
 void trials_set(Trials *t, double now, const Trial *x) {
-  TrialEntry *k = find_entry(t, x->digest);
-  if (k && x->revision < k->trial.revision) return;
-  if (!k) {
-    k = g_new0(TrialEntry, 1);
-    k->trial.digest = x->digest;
-    g_hash_table_insert(t->entries, &k->trial.digest, k);
+  TrialEntry *entry = find_entry(t, x->digest);
+  if (entry && x->revision < entry->trial.revision) return;
+  if (!entry) {
+    entry = g_new0(TrialEntry, 1);
+    entry->trial.digest = x->digest;
+    g_hash_table_insert(t->entries, &entry->trial.digest, entry);
   }
-  if (x->revision > k->trial.revision) k->since = now;
-  k->trial = *x;
+  if (x->revision > entry->trial.revision) entry->updated_at = now;
+  entry->trial = *x;
 }
 
 void trials_remove(Trials *t, Digest digest) {
@@ -73,19 +76,20 @@
 
 TrialsVerdict trials_verdict(const Trials *t, double now, Digest digest,
                              bool suspect) {
-  const TrialEntry *k = find_entry(t, digest);
-  if (!k) return suspect ? TRIALS_TRY : TRIALS_FREE;
-  if (k->trial.open && now - k->since < MAX_OPEN_S) return TRIALS_BUSY;
-  if (k->trial.ended || k->trial.tries >= MAX_INCONCLUSIVE_TRIES)
+  const TrialEntry *entry = find_entry(t, digest);
+  if (!entry) return suspect ? TRIALS_TRY : TRIALS_FREE;
+  if (entry->trial.open && now - entry->updated_at < MAX_OPEN_S)
+    return TRIALS_BUSY;
+  if (entry->trial.ended || entry->trial.tries >= MAX_INCONCLUSIVE_TRIES)
     return TRIALS_HELD;
   return TRIALS_TRY;
 }
 
 Trial trials_begin(const Trials *t, Digest digest, uint64_t owner,
                    int64_t unix_ms) {
-  const TrialEntry *k = find_entry(t, digest);
+  const TrialEntry *entry = find_entry(t, digest);
   Trial x = {.digest = digest, .owner = owner, .began = unix_ms};
-  if (k) x = k->trial;
+  if (entry) x = entry->trial;
   x.open = true;
   x.tries++;
   return x;
@@ -106,7 +110,7 @@
 }
 
 bool trials_choose_evicted(const Trials *t, Trial *x) {
-  if (g_hash_table_size(t->entries) < MAX_OBJECTS) return false;
+  if (g_hash_table_size(t->entries) < MAX_STORED_TRIALS) return false;
   const TrialEntry *victim = fair_choose_evicted(t->entries, fair_entry_of);
   if (victim) *x = victim->trial;
   return victim != NULL;
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -106,7 +106,7 @@
 
 static void request(int who, double now) {
   RequestInfo prompt = {.prompt_tokens = 3000, .max_output_tokens = 100};
-  TargetRequest ask = {.service = "engines", .ask = &prompt};
+  TargetRequest ask = {.service = "engines", .info = &prompt};
   Tally *tally = sim.gets_no_answers[who] ? NULL : sim.tally[sim.side[who]];
   TargetChoice c =
       permits_choose(sim.set[who], tally, (uint64_t)who, now, &ask, &sim.runs);
@@ -347,7 +347,7 @@
   begin(1);
   RequestInfo prompt = {.prompt_tokens = 3000, .max_output_tokens = 100};
   TargetRequest ask = {.service = "engines",
-                       .ask = &prompt,
+                       .info = &prompt,
                        .engine = true,
                        .permits_exhausted = true};
   for (int i = 0; i < TARGETS; i++) {
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -37,7 +37,7 @@
 }
 
 static TargetChoice choose(Targets *s, double now, const RequestInfo *a) {
-  TargetRequest request = {.service = "svc", .ask = a, .engine = true};
+  TargetRequest request = {.service = "svc", .info = a, .engine = true};
   return targets_pick(s, now, &request);
 }
 
@@ -83,7 +83,7 @@
     uint64_t before = targets_visits(s);
     for (uint64_t i = 0; i < 100; i++) {
       a = prompt(i);
-      TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
+      TargetRequest request = {.service = "svc", .info = &a, .engine = true};
       cr_assert_geq(targets_to_query(s, 1, &request, queried), 1);
       cr_assert_not_null(choose(s, 1, &a).target);
     }
@@ -102,7 +102,7 @@
   for (int i = all - 1; i >= 0; i--) add(other, i);
   for (uint64_t k = 0; k < 200; k++) {
     RequestInfo a = prompt(k);
-    TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
+    TargetRequest request = {.service = "svc", .info = &a, .engine = true};
     uint64_t here[TARGETS_MAX_QUERIED], there[TARGETS_MAX_QUERIED];
     int n = targets_to_query(s, 1, &request, here);
     cr_assert_eq(targets_to_query(other, 1, &request, there), n);
@@ -123,7 +123,7 @@
     int whole = 0;
     for (uint64_t i = 0; i < 300; i++) {
       RequestInfo a = prompt(i);
-      TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
+      TargetRequest request = {.service = "svc", .info = &a, .engine = true};
       uint64_t queried[TARGETS_MAX_QUERIED];
       int n = targets_to_query(s, 1, &request, queried);
       whole += n == TARGETS_MAX_QUERIED;
@@ -160,7 +160,7 @@
   for (int k = 0; k < prompts; k++) {
     RequestInfo a = prompt((uint64_t)k);
     uint64_t queried[TARGETS_MAX_QUERIED];
-    TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
+    TargetRequest request = {.service = "svc", .info = &a, .engine = true};
     targets_to_query(s, 1, &request, queried);
     homes[k] = queried[0];
   }
@@ -216,7 +216,7 @@
 Test(pool, sampled_targets_share_the_work) {
   Targets *s = targets_with(2000, 3);
   RequestInfo a = {0};
-  TargetRequest request = {.service = "svc", .ask = &a};
+  TargetRequest request = {.service = "svc", .info = &a};
   int highest = 0;
   for (int i = 0; i < 4000; i++) {
     TargetChoice c = targets_pick(s, 1, &request);
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -139,8 +139,10 @@
 static void request(int who, double now) {
   RequestInfo a = {.prompt_tokens = 3000, .max_output_tokens = 100};
   TallyReport reports[TARGETS_MAX_QUERIED];
-  TargetRequest ask = {
-      .service = "engines", .ask = &a, .engine = true, .cold_rate_per_s = RATE};
+  TargetRequest ask = {.service = "engines",
+                       .info = &a,
+                       .engine = true,
+                       .cold_rate_per_s = RATE};
   ask.n_reports = query_counts(who, now, &ask, reports);
   ask.reports = reports;
   Tally *tally = gets_answers[who] ? tallies[side[who]] : NULL;
@@ -280,8 +282,10 @@
   begin(7, 1);
   Targets *s = deciders[0];
   RequestInfo a = {0};
-  TargetRequest ask = {
-      .service = "engines", .ask = &a, .engine = true, .cold_rate_per_s = 1e-9};
+  TargetRequest ask = {.service = "engines",
+                       .info = &a,
+                       .engine = true,
+                       .cold_rate_per_s = 1e-9};
   ask.permits_exhausted = true;
   Target *t = targets_pick(s, 1, &ask).target;
   cr_assert_str_eq(target_id(t), "t000", "the warm target");
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -152,7 +152,7 @@
   g->ask.parts[0] = (RequestPart){7, TOKENS - 1000};
   g->ask.parts[1] = (RequestPart){8, 1000};
   g->wanted = (TargetRequest){.service = "svc",
-                              .ask = &g->ask,
+                              .info = &g->ask,
                               .engine = true,
                               .move_token_s = 1e-6,
                               .regions = listed(g->regions, allowed)};
--- a/tests/test_tally.c
+++ b/tests/test_tally.c
@@ -167,7 +167,7 @@
                         int64_t shared, uint64_t number) {
   RequestInfo prompt = {.prompt_tokens = shared + 4000, .n_parts = 2};
   TallyReport reports[TARGETS_MAX_QUERIED];
-  TargetRequest a = {.service = "m", .ask = &prompt, .engine = true};
+  TargetRequest a = {.service = "m", .info = &prompt, .engine = true};
   prompt.parts[0] = (RequestPart){(uint64_t)session + 1, shared};
   prompt.parts[1] = (RequestPart){number + 1000000, 4000};
   if (s->tally) {
--- a/tests/test_targets.c
+++ b/tests/test_targets.c
@@ -24,7 +24,7 @@
 }
 
 static Target *pick(Targets *s, double now, const RequestInfo *a, bool engine) {
-  TargetRequest request = {.service = "svc", .ask = a, .engine = engine};
+  TargetRequest request = {.service = "svc", .info = a, .engine = engine};
   return targets_pick(s, now, &request).target;
 }
 
@@ -106,7 +106,7 @@
   Targets *s = targets_with(3);
   RequestInfo a = {0};
   TargetRequest isolated = {
-      .service = "svc", .ask = &a, .engine = true, .isolate = true};
+      .service = "svc", .info = &a, .engine = true, .isolate = true};
   Target *t = pick(s, 1, &a, true);
   note_sent(t, 1, &a, 0);
   for (int i = 0; i < 20; i++)
@@ -178,7 +178,7 @@
   a.parts[1] = (RequestPart){8, 1000};
   targets_set_parts_exchanged(s, true);
   targets_set_parts_exchanged(other, true);
-  TargetRequest request = {.service = "svc", .ask = &a, .engine = true};
+  TargetRequest request = {.service = "svc", .info = &a, .engine = true};
   TargetChoice c = targets_pick(other, 1, &request);
   cr_assert_eq(c.uncached_tokens, 9000, "no target has read it");
   target_note_sent(c.target, 1, &a, &c);
@@ -201,7 +201,7 @@
   a.parts[1] = (RequestPart){8, 1000};
   targets_set_parts_exchanged(s, true);
   TargetRequest request = {
-      .service = "svc", .ask = &a, .engine = true, .move_token_s = 2e-6};
+      .service = "svc", .info = &a, .engine = true, .move_token_s = 2e-6};
   TargetChoice first = targets_pick(s, 1, &request);
   cr_assert_null(first.donor, "no target has cached it");
   target_note_sent(first.target, 1, &a, &first);
@@ -238,7 +238,7 @@
     RequestInfo a = {.prompt_tokens = 9000, .n_parts = 1};
     a.parts[0] = (RequestPart){k, 9000};
     TargetRequest request = {
-        .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
+        .service = "svc", .info = &a, .engine = true, .max_pause_s = 0.3};
     TargetChoice c = targets_pick(s, 1, &request);
     cr_assert(c.long_prompt && c.serves_long);
     target_note_sent(c.target, 1, &a, &c);
@@ -248,7 +248,7 @@
     RequestInfo a = {.prompt_tokens = 400, .n_parts = 1};
     a.parts[0] = (RequestPart){k, 400};
     TargetRequest request = {
-        .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
+        .service = "svc", .info = &a, .engine = true, .max_pause_s = 0.3};
     TargetChoice c = targets_pick(s, 1, &request);
     cr_assert_not(c.long_prompt || c.serves_long);
     cr_assert_not(g_hash_table_contains(long_targets, target_id(c.target)));
@@ -265,7 +265,7 @@
   bool used[6] = {false};
   RequestInfo a = {.prompt_tokens = 400, .n_parts = 1};
   TargetRequest request = {.service = "svc",
-                           .ask = &a,
+                           .info = &a,
                            .engine = true,
                            .move_token_s = 2e-6,
                            .max_pause_s = 0.3};
@@ -287,7 +287,7 @@
   targets_set_parts_exchanged(s, true);
   RequestInfo a = {.prompt_tokens = 9000};
   TargetRequest request = {
-      .service = "svc", .ask = &a, .engine = true, .max_pause_s = 0.3};
+      .service = "svc", .info = &a, .engine = true, .max_pause_s = 0.3};
   for (int i = 0; i < 5; i++) {
     TargetChoice c = targets_pick(s, 1, &request);
     target_note_sent(c.target, 1, &a, &c);
@@ -420,7 +420,7 @@
   a.parts[0] = (RequestPart){77, 8000};
   a.parts[1] = (RequestPart){78, 1000};
   TargetRequest request = {
-      .service = "svc", .ask = &a, .engine = true, .move_token_s = 1e-6};
+      .service = "svc", .info = &a, .engine = true, .move_token_s = 1e-6};
   Target *home = targets_pick(s, 1, &request).target;
   note_sent(home, 1, &a, 9000);
   const char *dc = target_id(home)[2] >= '2' ? "b" : "a";
@@ -440,7 +440,7 @@
 Test(targets, choice_reports_that_all_targets_are_evacuated) {
   Targets *s = two_data_centres();
   RequestInfo a = {0};
-  TargetRequest request = {.service = "svc", .ask = &a};
+  TargetRequest request = {.service = "svc", .info = &a};
   targets_set_evacuated(s, "a", true);
   targets_set_evacuated(s, "b", true);
   cr_assert_null(targets_pick(s, 1, &request).target);
@@ -480,7 +480,7 @@
 
 /* The tokens of this prompt that its target would have to read. */
 static int64_t count_uncached(Targets *s, double now, const RequestInfo *a) {
-  TargetRequest request = {.service = "svc", .ask = a, .engine = true};
+  TargetRequest request = {.service = "svc", .info = a, .engine = true};
   return targets_pick(s, now, &request).uncached_tokens;
 }
 
@@ -573,7 +573,7 @@
 Test(targets, reported_pace_is_clamped) {
   static const double paces[] = {0, 1, 1e9, 1e-9};
   RequestInfo a = {0};
-  TargetRequest request = {.service = "svc", .ask = &a};
+  TargetRequest request = {.service = "svc", .info = &a};
   for (size_t k = 0; k < G_N_ELEMENTS(paces); k++) {
     Targets *s = targets_with(1);
     Target *t = pick(s, 1, &a, false);
