--- a/packages/flow/ask.h
+++ b/packages/flow/ask.h
@@ -1,5 +1,5 @@
-/* ask.h: a caller's request and a target's answer, as decoded by platform/
-   from their header fields. */
+/* ask.h: a caller's request and a target's answer, as decoded from their header
+   fields (wire.h). */
 #ifndef FLOW_ASK_H
 #define FLOW_ASK_H
 
@@ -8,26 +8,28 @@
 
 #include "kernel/limits.h"
 
-#define REQUEST_MAX_PARTS 12 /* parts of a prompt that are decoded */
-#define REQUEST_NO_EVENT (-1)
+#define REQUEST_MAX_PARTS 12  /* parts of a prompt that are decoded */
+#define REQUEST_NO_EVENT (-1) /* last_event: none is stated */
 
 /* A part of a prompt, used to find targets that have it cached. Parts with
-   equal ids have equal text and follow equal parts. */
+   equal ids have equal text, and the parts before them are equal too. */
 typedef struct RequestPart {
   uint64_t id;
   int64_t tokens;
 } RequestPart;
 
+/* What the header of a caller's request states. */
 typedef struct RequestInfo {
   char id[LIMIT_ID_BYTES * 2]; /* of this attempt; the answer echoes it */
   char host[256];
   const char *key;   /* of the customer, from the caller's header; "": none */
-  double deadline_s; /* how long the caller waits; 0: not given */
+  double deadline_s; /* seconds that the caller waits; 0: not given */
   int64_t prompt_tokens; /* 0: no prompt */
   int64_t max_output_tokens;
   RequestPart parts[REQUEST_MAX_PARTS];
   int n_parts;
-  int64_t last_event; /* last event of the stream that the caller has */
+  int64_t last_event; /* number of the last event of the answer that the caller
+                         has received; REQUEST_NO_EVENT */
 } RequestInfo;
 
 /* Whether an answer states the rate of requests that its target accepts. */
@@ -37,30 +39,35 @@
   ANSWER_LIMIT_INVALID, /* the value is not a number */
 } AnswerLimitStatus;
 
+/* What the header of a target's answer states. */
 typedef struct AnswerInfo {
   bool id_matches;      /* it echoes the id of the attempt */
   bool is_signed;       /* it carries a target's signature */
   bool not_run;         /* the target states that it did not run the request */
   bool is_wrong_target; /* another target now has the address */
-  bool is_encoded;      /* the body is encoded, which targets don't do */
+  bool is_encoded;      /* it has a content encoding, which targets don't use */
   bool is_closing;      /* the target closes the connection */
-  double cold_s; /* remaining time that the target is cold; 0: not given */
+  double cold_s; /* the target remains cold for this much longer: it has just
+                    started and is slow; 0: not given */
   bool has_load; /* the next three fields are set */
-  int running, waiting, slots;
+  int running, waiting; /* numbers of requests at the target */
+  int slots;            /* requests that it runs at the same time */
   AnswerLimitStatus limit_status;
-  double limit_per_s; /* requests that it accepts from all instances */
+  double limit_per_s; /* requests per second that it accepts from all
+                         instances together */
   double slowdown;    /* current processing time / usual time; 0: not given */
 } AnswerInfo;
 
 /* What is added to a caller's request when it is sent to a target. */
 typedef struct RequestForward {
-  const char *target; /* name of the intended target */
+  const char *target; /* id of the target that the request is meant for */
   const char *donor;  /* address of a target to fetch cached parts of the prompt
                          from; NULL: none */
   const char *customer; /* NULL: none */
   double remaining_s;   /* until the deadline */
-  int priority;         /* 0 is served first; -1: not sent */
-  int64_t last_event;   /* REQUEST_NO_EVENT: as the caller sent it */
+  int priority;         /* 0 is served first; -1: the header is not sent */
+  int64_t last_event;   /* event after which the answer is to continue;
+                           REQUEST_NO_EVENT: the caller's own value is sent */
 } RequestForward;
 
 #endif
--- a/packages/flow/permits.c
+++ b/packages/flow/permits.c
@@ -4,17 +4,20 @@
 #include "kernel/count.h"
 #include "kernel/log.h"
 
-/* A permit is valid only at once. This process may have been paused, and a
-   permit that it reads later than this counts for a time that has passed. */
+/* A permit is valid only for the time at which it was requested. This process
+   may be paused before it reads the answer; a permit older than this is
+   ignored. */
 #define PERMIT_MAX_AGE_S 0.1
-/* The counter did not answer: the target is avoided for this time. */
+/* Time for which a target is avoided when its counter did not answer and our
+   own share of the limit allows no request. */
 #define NO_ANSWER_BACKOFF_S 0.25
-/* Permits that a run may request before it is sent. */
+/* Permits that a run may request before it is sent to a target. */
 #define MAX_PERMIT_REQUESTS 10
 
 /* == permit requests == */
 
-/* Decides by this instance's own share of the limit. */
+/* Sends the request if this instance's own fixed share of the limit allows it,
+   or chooses another target. For when the counter gives no decision. */
 static void use_own_share(Run *x) {
   Target *t = x->choice.target;
   double now = run_now(x);
@@ -26,7 +29,7 @@
   run_choose_target(x);
 }
 
-static void on_no_answer(struct ev_loop *loop, ev_timer *w, int revents) {
+static void on_permit_timeout(struct ev_loop *loop, ev_timer *w, int revents) {
   (void)loop;
   (void)revents;
   Run *x = w->data;
@@ -36,7 +39,7 @@
 }
 
 bool run_may_request_permit(const Run *x) {
-  return x->n_permits < MAX_PERMIT_REQUESTS;
+  return x->n_permit_requests < MAX_PERMIT_REQUESTS;
 }
 
 void run_request_permit(Run *x, const TargetChoice *c) {
@@ -44,14 +47,14 @@
   double now = run_now(x);
   TallyPermitRequest a = target_permit_request(c, now);
   x->choice = *c;
-  x->n_permits++;
-  x->total_permits++;
+  x->n_permit_requests++;
+  x->total_permit_requests++;
   x->permit_requested_at = now;
   x->awaits_permit = true;
   x->query_id = a.number = ++r->last_query_id;
   x->permit_run_id = a.run = ++r->last_run_id;
   g_hash_table_insert(r->runs_by_query, &x->query_id, x);
-  ev_timer_init(&x->query_timer, on_no_answer, RUN_ANSWER_TIMEOUT_S, 0);
+  ev_timer_init(&x->query_timer, on_permit_timeout, RUN_ANSWER_TIMEOUT_S, 0);
   x->query_timer.data = x;
   ev_timer_start(r->loop, &x->query_timer);
   cluster_permit_ask(r->cluster, &a);
@@ -82,12 +85,13 @@
     return;
   }
   bool given_limit = a->limit_status == ANSWER_LIMIT_GIVEN;
-  /* An answer without its signature may have lost the limit's field too. */
+  /* If the answer has no signature, header fields may have been lost, that of
+     the limit among them. */
   if (!given_limit && !a->is_signed) return;
   double limit = given_limit ? a->limit_per_s : QUOTA_UNLIMITED;
-  TargetLimitChange news = target_set_limit(t, run_now(x), limit);
-  if (news != TARGET_LIMIT_KNOWN) send_limit(x, limit);
-  if (news != TARGET_LIMIT_CHANGED) return;
+  TargetLimitChange change = target_set_limit(t, run_now(x), limit);
+  if (change != TARGET_LIMIT_KNOWN) send_limit(x, limit);
+  if (change != TARGET_LIMIT_CHANGED) return;
   count_add(COUNT_LIMITS, 1);
   log_limit(t, x->request.id, given_limit ? "named" : "ended", limit);
 }
--- a/packages/flow/run.c
+++ b/packages/flow/run.c
@@ -90,8 +90,8 @@
        x->choice.wait_s, "first", x->first_event_s, "pause", x->max_pause_s,
        "aim", x->route ? x->route->slo_s : 0, "pause_aim",
        x->route ? x->route->max_pause_s : 0, "seconds",
-       now - x->http_request->received_at, "permits", x->total_permits, "conf",
-       (json_int_t)(x->conf ? x->conf->version : 0));
+       now - x->http_request->received_at, "permits", x->total_permit_requests,
+       "conf", (json_int_t)(x->conf ? x->conf->version : 0));
 }
 
 /* Does everything but the answer: budget, target, log. */
--- a/packages/flow/run.h
+++ b/packages/flow/run.h
@@ -1,8 +1,12 @@
 /* run.h: a run is one request while the relay handles it. Internal to relay.c
    and the other files named below.
 
-   A request under which targets ended is a suspect. A trial, kept in the store,
-   lets one instance at a time try a suspect again. */
+   A target ends when its process ends. A request is a suspect when targets
+   ended while they ran it. A trial, kept in the store, lets one instance at a
+   time send a suspect to a target. A permit lets an instance send one request
+   to a target that limits its rate; the instance that counts the target's
+   requests issues it (route/tally.h). A reservation reserves tokens of the
+   customer's budget. */
 #ifndef FLOW_RUN_H
 #define FLOW_RUN_H
 
@@ -13,13 +17,13 @@
 #include "route/suspects.h"
 #include "route/trials.h"
 
-#define RUN_LINK_MAX_IDLE_S 30.0 /* of an idle connection to a target */
-#define RUN_MAX_TARGETS 8        /* that one request is sent to */
+#define RUN_LINK_MAX_IDLE_S 30.0 /* then an idle connection is closed */
+#define RUN_MAX_TARGETS 8        /* targets that one request is sent to */
 /* How long a request waits for answers of other instances, which take a network
    round trip and a turn of their event loop. It continues without those that
    are still missing. */
 #define RUN_ANSWER_TIMEOUT_S 0.02
-#define RUN_RETRY_SOON_MS 200 /* Retry-After for short conditions */
+#define RUN_RETRY_SOON_MS 200 /* Retry-After for conditions that end soon */
 /* Retry-After while all remaining targets are under evacuation, that is,
    operators have excluded them for a time. The duration is unknown; evacuations
    last for tens of seconds, and callers wait for at most a third of their
@@ -40,51 +44,57 @@
   const ConfRoute *route;
   const ConfService *service; /* NULL: not in the configuration */
   const char *service_name;
-  const ConfCustomer *customer; /* NULL: an open route */
-  RegionSet regions;            /* that may serve it */
-  Digest digest;                /* run_digest */
+  const ConfCustomer *customer; /* NULL: the route is open to all callers */
+  RegionSet regions;            /* regions whose targets may serve it */
+  Digest digest;                /* set by run_digest */
   bool has_digest;
-  struct Try *try; /* of a suspect; NULL: not a suspect */
-  double deadline;
+  struct Try *try; /* the attempt on a suspect; NULL: it is not a suspect */
+  double deadline; /* the run fails if there is no answer by then */
   ev_timer timer;
   /* budget */
   int64_t reserved_tokens;
-  uint64_t reservation; /* its number; 0: none */
+  uint64_t reservation; /* number of the reservation; 0: none */
   bool awaits_budget;   /* the reservation is not decided yet */
   /* target */
   const Target *tried[RUN_MAX_TARGETS];
-  int n_tried, sends;
+  int n_tried;
+  int sends; /* how often it was sent to a target */
   Target *target;
   TargetChoice choice; /* of `target` */
   double sent_at;
-  /* query for the number of requests at candidate targets */
+  /* The pending query for the work at candidate targets, or permit request. */
   ev_timer query_timer;
-  uint64_t query_id;   /* of the pending query; 0: none */
-  bool awaits_reports; /* the choice waits for reports */
+  uint64_t query_id;   /* of the pending query or permit request; 0: none */
+  bool awaits_reports; /* the choice of a target waits for the reports */
   int n_queried, n_reports;
   TallyReport reports[TARGETS_MAX_QUERIED];
-  /* permit for the target of `choice` */
-  bool awaits_permit; /* the pending query is for a permit */
+  /* The permit for the target of `choice`. */
+  bool awaits_permit; /* the pending query is a permit request */
   double permit_requested_at;
-  int n_permits, total_permits; /* requested: since it was last sent, in all */
-  uint64_t permit_run_id; /* number of the run in its permit request; 0: none */
+  int n_permit_requests; /* permits requested since the run was last sent */
+  int total_permit_requests;
+  /* Number of the run in its permit request; its report has the same number, so
+     that the counter counts it once. 0: no permit was requested. */
+  uint64_t permit_run_id;
   uint64_t run_id;      /* number of the run in its reports; 0: not reported */
-  uint64_t counter;     /* instance that counts the target's work */
-  bool has_first_byte;  /* of the answer */
-  double first_byte_at; /* from this target */
-  Link *link;
+  uint64_t counter;     /* hash of the instance that counts the target's work */
+  bool has_first_byte;  /* the target's answer has begun to arrive */
+  double first_byte_at; /* when it did */
+  Link *link;           /* the exchange with `target`; NULL: none */
   double paused_at; /* reading of the answer is paused since; 0: not paused */
-  bool refused;     /* the current answer states that it did not run */
-  bool maybe_ran;   /* a target may have run it */
+  bool refused;   /* the current answer states that the target did not run it */
+  bool maybe_ran; /* a target may have run it */
   /* answer */
   int status;
-  GString *fields, *body;
-  bool stream, head_sent;
-  double first_event_s; /* until the first data was passed on; 0: none */
-  double forwarded_at;  /* time of the last data passed on; 0: never */
-  double max_pause_s;   /* longest time between two passed on */
+  GString *fields, *body; /* header fields and body to send to the caller */
+  bool stream;            /* the answer is an event stream */
+  bool head_sent;         /* the answer's head was sent to the caller */
+  double first_event_s;   /* from the request's arrival until the first data was
+                             forwarded to the caller; 0: none was */
+  double forwarded_at;    /* when data was last forwarded; 0: never */
+  double max_pause_s;     /* longest time between two forwardings of data */
   Events events;
-  struct Run *prev, *next;
+  struct Run *prev, *next; /* in the relay's list */
 };
 
 struct Relay {
@@ -100,90 +110,97 @@
   Ends *ends;
   Suspects *suspects;
   Trials *trials;
-  GPtrArray *tries;          /* Try*, until the store has their outcome */
+  GPtrArray *tries;          /* Try*, kept until the store has their outcome */
   GHashTable *runs_by_query; /* query id -> Run */
   uint64_t last_query_id, last_run_id;
   Conf *conf;
-  int64_t max_held_body_bytes;
+  int64_t max_held_body_bytes; /* of request bodies in memory */
   Run *first_run;
   int n_runs;
-  bool refusing, stale;
+  bool refusing; /* new requests are refused: the instance is stopping */
+  bool stale;    /* our state is out of date, since the process was paused */
 };
 
 /* == run.c: start and end of a run == */
 
 Run *run_new(Relay *r, Caller *c, const CallerRequest *req);
 double run_now(const Run *x);
-/* Ends the use of the current target, if any. */
+/* Ends the exchange with the current target, if any, with outcome `how`. */
 void run_release_target(Run *x, TargetOutcome how);
 /* Ends the run with an error answer, or breaks off an answer that has begun. */
 void run_fail(Run *x, Err *e);
-/* Ends the run after its answer was passed on. */
+/* Ends the run after its answer was forwarded to the caller. */
 void run_end_served(Run *x);
 /* Ends the run without an answer, after the caller disconnected. */
 void run_end_disconnected(Run *x);
 
 /* == relay.c: allowed regions == */
 
-/* Restricts the run to the regions of the current configuration as well, if
-   that changed since the request arrived. */
+/* If the configuration has changed since the request arrived, restricts the run
+   to the regions that both the old and the new one allow. */
 void run_update_regions(Run *x);
 
 /* == asking.c: requests of all instances at targets == */
 
-/* Queries the number of requests at candidate targets ahead of the choice. */
+/* Sends queries for the work of all instances at candidate targets, before one
+   is chosen. */
 void run_query_tallies(Run *x);
-/* Stops waiting for answers to a query or permit request. */
+/* Stops waiting for the answers to a query or permit request. */
 void run_cancel_query(Run *x);
-/* Report that the target was sent the request, has begun to answer, and has
-   ended. */
+/* Report to the counter of the target that the request was sent, that the
+   answer has begun, and that the request has ended there. */
 void run_report_sent(Run *x);
 void run_report_prompt_read(Run *x);
 void run_report_done(Run *x);
 
 /* == permits.c: targets that limit their rate == */
 
-/* Whether the run has not been refused too many permits. */
+/* Whether the run may request another permit before it is sent. */
 bool run_may_request_permit(const Run *x);
-/* Records the rate limit that the target's answer states. */
+/* Records the rate limit that the target's answer states, and reports it to the
+   target's counter if needed. */
 void run_record_limit(Run *x, const AnswerInfo *a);
-/* Requests a permit for the chosen target, then sends the request there or
-   chooses another target. */
+/* Requests a permit for the chosen target. When the answer arrives or the time
+   for it has passed, sends the request there or chooses another target. */
 void run_request_permit(Run *x, const TargetChoice *c);
 
 /* == breaks.c: targets that end, and the requests involved == */
 
-/* Digest of method, host, path, customer and body: equal for this request and
-   its repetitions. */
+/* Returns the digest of method, host, path, customer and body, which is equal
+   for this request and its repetitions. */
 Digest run_digest(Run *x);
-/* Hash of the customer's name. */
+/* Returns the hash of the customer's name. */
 uint64_t run_customer_hash(const Run *x);
-/* Whether the request began to run at its target recently, or not yet. */
+/* Whether the target has not begun to answer, or began only recently: the
+   request may then be the cause if the target ends. */
 bool run_is_recently_started(const Run *x);
-/* The exchange with `t` broke and was ended. */
+/* Records that the exchange with `t` broke, after it was ended.
+   `recently_started`: run_is_recently_started was true. */
 void run_record_broken(Run *x, Target *t, bool recently_started);
-/* The run ends before the exchange with its target. */
+/* Records that the run ends during the exchange with its target. */
 void run_record_cut_off(Run *x);
-/* The exchange ended with an answer of the target. */
+/* Records that the exchange ended with a complete answer of the target. */
 void run_record_completed(Run *x);
-/* Result of an attempt to connect to `addr`; `ctx` is the relay. */
+/* Handles the result of a connection attempt to `addr`; `ctx` is the relay. */
 void relay_on_connect(void *ctx, const char *addr, LinkConnectResult how);
 
-/* Resumes reading the answer, after the caller has received enough of it. */
+/* Resumes reading the answer from the target, after the caller has received
+   enough of it. */
 void run_resume_answer(Run *x);
 /* Ends runs whose callers read so slowly that the targets would be affected. */
 void relay_end_slow_callers(Relay *r);
 
 /* == trying.c: suspects == */
 
-/* Calls `proceed` at once or, for a suspect, once the store has its trial; or
+/* Calls `proceed` at once or, for a suspect, once the store has its trial, or
    refuses the request. */
 void run_admit(Run *x, void (*proceed)(Run *x));
-/* The run ends; `sent`: it was sent to a target. */
+/* Ends the run's part in its trial, if it has one. `sent`: it was sent to a
+   target. */
 void run_end_trial(Run *x, bool sent);
-/* A target ended under the request with digest `d`. */
+/* Records that a target ended while it ran the request with digest `d`. */
 void relay_on_trial_target_ended(Relay *r, Digest d);
-/* An attempt of that request was answered. */
+/* Records that an attempt of that request was answered. */
 void relay_on_trial_succeeded(Relay *r, Digest d);
 /* Writes the outcomes of tries that are over to the store. */
 void relay_close_tries(Relay *r);
@@ -191,14 +208,16 @@
 
 /* == dispatch.c: targets and their answers == */
 
-/* Criteria for the choice of a target. */
+/* Returns the criteria for the choice of a target. */
 TargetRequest run_target_criteria(Run *x);
+/* Chooses a target by the reports that have arrived, and sends the request
+   there, requests a permit for it, or fails. */
 void run_choose_target(Run *x);
 /* Sends the request to the target of `choice`. */
 void run_send(Run *x);
 
-/* Chooses a target, after awaiting reports if any are missing, and sends the
-   request there, or fails. */
+/* Queries the work at candidate targets, waits for the reports, and calls
+   run_choose_target. */
 void run_dispatch(Run *x);
 
 #endif
