--- a/packages/flow/ask.h
+++ b/packages/flow/ask.h
@@ -50,8 +50,9 @@
   double cold_s; /* the target remains cold for this much longer: it has just
                     started and is slow; 0: not given */
   bool has_load; /* the next three fields are set */
-  int running, waiting; /* numbers of requests at the target */
-  int slots;            /* requests that it runs at the same time */
+  /* Numbers of requests at the target; `slots`: that it runs at the same
+     time. */
+  int running, waiting, slots;
   AnswerLimitStatus limit_status;
   double limit_per_s; /* requests per second that it accepts from all
                          instances together */
--- a/packages/flow/run.h
+++ b/packages/flow/run.h
@@ -57,8 +57,7 @@
   bool awaits_budget;   /* the reservation is not decided yet */
   /* target */
   const Target *tried[RUN_MAX_TARGETS];
-  int n_tried;
-  int sends; /* how often it was sent to a target */
+  int n_tried, sends; /* sends: how often it was sent to a target */
   Target *target;
   TargetChoice choice; /* of `target` */
   double sent_at;
@@ -71,8 +70,8 @@
   /* The permit for the target of `choice`. */
   bool awaits_permit; /* the pending query is a permit request */
   double permit_requested_at;
-  int n_permit_requests; /* permits requested since the run was last sent */
-  int total_permit_requests;
+  /* Permits requested: since the run was last sent, and in all. */
+  int n_permit_requests, total_permit_requests;
   /* Number of the run in its permit request; its report has the same number, so
      that the counter counts it once. 0: no permit was requested. */
   uint64_t permit_run_id;
@@ -87,12 +86,12 @@
   /* answer */
   int status;
   GString *fields, *body; /* header fields and body to send to the caller */
-  bool stream;            /* the answer is an event stream */
-  bool head_sent;         /* the answer's head was sent to the caller */
-  double first_event_s;   /* from the request's arrival until the first data was
-                             forwarded to the caller; 0: none was */
-  double forwarded_at;    /* when data was last forwarded; 0: never */
-  double max_pause_s;     /* longest time between two forwardings of data */
+  /* The answer is an event stream; its head was sent to the caller. */
+  bool stream, head_sent;
+  double first_event_s; /* from the request's arrival until the first data was
+                           forwarded to the caller; 0: none was */
+  double forwarded_at;  /* when data was last forwarded; 0: never */
+  double max_pause_s;   /* longest time between two forwardings of data */
   Events events;
   struct Run *prev, *next; /* in the relay's list */
 };
@@ -117,8 +116,9 @@
   int64_t max_held_body_bytes; /* of request bodies in memory */
   Run *first_run;
   int n_runs;
-  bool refusing; /* new requests are refused: the instance is stopping */
-  bool stale;    /* our state is out of date, since the process was paused */
+  /* refusing: new requests are refused, since the instance is stopping. stale:
+     our state is out of date, since the process was paused. */
+  bool refusing, stale;
 };
 
 /* == run.c: start and end of a run == */
--- a/packages/place/place.c
+++ b/packages/place/place.c
@@ -54,14 +54,12 @@
   bool home;
   PlaceFaults faults;
   Phase phase;
-  Plan *plan;    /* as stored at `version` */
-  Plan *pending; /* being written, in phase WRITING */
-  uint64_t version;
-  uint64_t seq; /* of the last store call */
-  double now;
-  double retry_at;       /* no store call before this time, after one failed */
-  double load_change_at; /* last change because of load */
-  double plan_read_at;
+  Plan *plan;            /* as stored at `version` */
+  Plan *pending;         /* being written, in phase WRITING */
+  uint64_t version, seq; /* seq: of the last store call */
+  /* After a failed store call, none is made before retry_at. load_change_at:
+     last change because of load. */
+  double now, retry_at, load_change_at, plan_read_at;
   GHashTable *demands; /* adapter -> Demand */
   GHashTable *orders;  /* target -> Order */
   GHashTable *leaving; /* "target;adapter" -> double, when it was first seen to
--- a/packages/place/place.h
+++ b/packages/place/place.h
@@ -23,8 +23,9 @@
   char name[LIMIT_NAME_BYTES], url[LIMIT_NAME_BYTES];
   char configured[LIMIT_ADAPTERS_BYTES]; /* adapters set in the configuration
                                             table */
-  int slots;            /* requests that it runs at the same time */
-  int max_adapters;     /* max adapters that the plan may assign to it */
+  /* Requests that it runs at the same time; adapters that the plan may assign
+     to it. */
+  int slots, max_adapters;
   int running, waiting; /* numbers of requests */
   bool live;            /* neither shutting down nor ejected */
 } PlaceTarget;
--- a/packages/queue/queue.c
+++ b/packages/queue/queue.c
@@ -15,8 +15,7 @@
 /* A waiting request. */
 typedef struct Item {
   QueueItem q;
-  double arrived_at;
-  double deadline;      /* refused if still waiting then */
+  double arrived_at, deadline; /* refused if still waiting at the deadline */
   double virtual_start; /* start time in the virtual time of its class; the
                            lowest is served first */
   uint64_t seq;         /* increases in order of arrival */
--- a/packages/route/state.h
+++ b/packages/route/state.h
@@ -47,9 +47,9 @@
   /* Before limit_until the counting instance probably gives no permit within
      the target's limit; before full_until it probably gives none at all. */
   double limit_until, full_until;
-  double ejected_until; /* an ejected target gets no requests */
-  double ejection_s; /* length of the last ejection of an unresponsive target;
-                        0: it has answered since */
+  /* An ejected target gets no requests. ejection_s: length of the last ejection
+     of an unresponsive target; 0: it has answered since. */
+  double ejected_until, ejection_s;
   double failure_ratio;    /* failed requests, moving average, 0 to 1 */
   double mean_answer_s;    /* duration of a request, moving average */
   double first_byte_ratio; /* moving average of its first-byte times relative to
