--- a/packages/flow/ask.h
+++ b/packages/flow/ask.h
@@ -1,5 +1,5 @@
-/* ask.h: a caller's request and a target's answer, as decoded from their header
-   fields (wire.h). */
+/* ask.h: a caller's request and a target's answer, as platform/wire.c decodes
+   them from their header fields. */
 #ifndef FLOW_ASK_H
 #define FLOW_ASK_H
 
--- a/packages/flow/asking.c
+++ b/packages/flow/asking.c
@@ -1,7 +1,7 @@
-/* asking.c: in a large fleet each target has an instance that counts the
-   requests of all instances there. A run queries these counts for a few
-   targets, and reports its own work to the counter of the target that it is
-   sent to. */
+/* asking.c: queries and reports to counters. In a large fleet each target has a
+   counter, an instance that counts the requests of all instances there. A run
+   queries these counts for a few targets, and reports its own work to the
+   counter of the target that it is sent to. */
 #include "flow/run.h"
 #include "route/parts.h"
 
--- a/packages/flow/dispatch.c
+++ b/packages/flow/dispatch.c
@@ -99,7 +99,8 @@
            "begun", x->has_first_byte ? now - x->first_byte_at : -1);
 }
 
-/* The target did not run the request: nothing was sent, or it said so. */
+/* The target did not run the request: nothing was sent, or its answer states
+   so. */
 static void handle_not_run(Run *x, bool sent) {
   Err e;
   log_failure(x, sent ? "refused" : "unreachable");
--- a/packages/flow/intake.h
+++ b/packages/flow/intake.h
@@ -1,5 +1,5 @@
 /* intake.h: detects that callers send this instance more than its network link
-   can carry. The code makes no calls to the system.
+   can carry. The code makes no system calls.
 
    The load balancer sends all connections of a caller to one instance, and some
    customers have a single caller. An instance with a link of 10 Mbit/s, one of
--- a/packages/flow/link.c
+++ b/packages/flow/link.c
@@ -141,9 +141,9 @@
 static double keep_alive_s(const Link *l) {
   const char *v = headers_get(&l->headers, "Keep-Alive");
   const char *t = v ? strstr(v, "timeout=") : NULL;
-  double most = l->set->o.max_idle_s;
-  if (!t) return most;
-  return MIN(most, atof(t + strlen("timeout=")) * KEEP_ALIVE_RATIO);
+  double max_s = l->set->o.max_idle_s;
+  if (!t) return max_s;
+  return MIN(max_s, atof(t + strlen("timeout=")) * KEEP_ALIVE_RATIO);
 }
 
 static int on_head(http_parser *p) {
--- a/packages/route/division.c
+++ b/packages/route/division.c
@@ -35,7 +35,7 @@
   double faded_at;    /* when `own` was last faded */
   GHashTable *others; /* hash of an instance -> OtherReport */
   bool divided;
-  int border; /* the last result, for `border_of` targets */
+  int border; /* the last result, for `border_count` targets */
   int border_count;
 };
 
--- a/packages/route/ends.c
+++ b/packages/route/ends.c
@@ -9,7 +9,7 @@
    name is in the store within a second, and known here a quarter of a second
    later. */
 #define END_WAIT_S 2.0
-/* Most requests kept for one target, which runs 64 and queues some. */
+/* Max number of requests kept for one target, which runs 64 and queues some. */
 #define MAX_BROKEN_REQUESTS 256
 
 typedef struct Break {
--- a/packages/route/ends.h
+++ b/packages/route/ends.h
@@ -1,10 +1,10 @@
-/* ends.h: which targets have ended, and under which requests; pure, for one
-   instance. A broken exchange is little evidence: connections are reset,
-   answers are lost, and a target may fail part of its work. A target has ended
-   when an exchange with it broke, the next connection to it is refused and no
-   other exchange with it goes on, or when it restarts under its name. That is
-   known some milliseconds after the break; until then the requests that broke
-   are kept. */
+/* ends.h: detects which targets have ended, and which requests they ran at that
+   time; pure, for one instance. A target ends when its process ends. A broken
+   exchange is little evidence: connections are reset, answers are lost, and a
+   target may fail part of its work. A target has ended when an exchange with it
+   broke, the next connection to it is refused and no other exchange with it
+   continues, or when it restarts under its name. That is known some
+   milliseconds after the break; until then the requests that broke are kept. */
 #ifndef ROUTE_ENDS_H
 #define ROUTE_ENDS_H
 
@@ -26,21 +26,22 @@
 void ends_free(Ends *e);
 
 /* The functions that return a bool return true if the target is now known to
-   have ended. `open`: number of our exchanges with it that go on. */
+   have ended. `open`: number of our exchanges with it that continue. */
 
 /* An exchange with the target broke. `recently_started`: the request of `mark`
    had just begun to run there, or had not begun yet. */
 bool ends_note_break(Ends *e, double now, const EndsMark *mark,
                      bool recently_started, int open);
-/* We aborted an exchange with the target because its caller left or ran out of
-   time. If the target ends, its request counts like those that broke. */
+/* We aborted an exchange with the target because its caller disconnected or its
+   deadline passed. If the target ends, its request counts like those that
+   broke. */
 void ends_note_abandoned(Ends *e, double now, const EndsMark *mark);
 /* Whether to probe the target with a connection, since an exchange broke and
    it is unknown whether the target has ended. True once for each break. */
 bool ends_start_probe(Ends *e, double now, uint64_t target);
 /* A connection attempt was refused. */
 bool ends_note_refused(Ends *e, double now, uint64_t target, int open);
-/* A connection was accepted: the target goes on unless a restart is
+/* A connection was accepted: the target has not ended unless a restart is
    reported. */
 void ends_note_connected(Ends *e, double now, uint64_t target);
 /* The target has restarted under its name. */
--- a/packages/route/evacuation.h
+++ b/packages/route/evacuation.h
@@ -7,8 +7,8 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/* Most data centres; the largest known site has eight. More are wrong input
-   and would only use memory. */
+/* Max number of data centres; the largest known site has eight. More are wrong
+   input and would only use memory. */
 #define EVACUATION_MAX_DCS 64
 
 typedef struct Evacuation Evacuation;
--- a/packages/route/fit.c
+++ b/packages/route/fit.c
@@ -3,7 +3,7 @@
 
 #include <glib.h>
 
-/* Weight that a point keeps when the next one comes. */
+/* Weight that a point keeps when the next one is added. */
 #define POINT_KEEP_RATIO 0.98
 /* Points that each end of the initial line counts for. */
 #define INITIAL_WEIGHT 6
--- a/packages/route/loads.c
+++ b/packages/route/loads.c
@@ -1,5 +1,5 @@
 /* loads.c: assigns the queries by rendezvous hashing and replaces messages
-   that don't come. */
+   that don't arrive. */
 #include "route/loads.h"
 
 #include <string.h>
--- a/packages/route/parts.h
+++ b/packages/route/parts.h
@@ -14,7 +14,7 @@
 void parts_free(Parts *p);
 /* The target is sent this prompt. Stores the hashes of its shared parts that
    were not sent to the other instances recently in `to_send` (room for
-   ASK_PARTS) and returns how many. */
+   REQUEST_MAX_PARTS) and returns how many. */
 int parts_note_prompt(Parts *p, const RequestInfo *a, double now,
                       uint64_t *to_send);
 /* Another instance sent these parts there. */
--- a/packages/route/quota.c
+++ b/packages/route/quota.c
@@ -8,12 +8,12 @@
    the same time. */
 #define COLD_COUNTED_RATIO 0.85
 #define COLD_FIXED_RATIO 0.1
-/* The bound applies to arrivals within one second; the rest allows for late
+/* The bound applies to arrivals within one second; the rest allows for delayed
    timers. */
 #define COLD_WINDOW_S 1.02
 
-/* Window over which a limit is kept, and the most requests in it: a higher
-   limit shortens the window. */
+/* Length of the window over which a limit is kept, and the max number of
+   requests in it: a higher limit shortens the window. */
 #define LIMIT_WINDOW_S 4.0
 #define LIMIT_MAX_SENDS 48
 /* A target with next to no capacity is still sent one request in this time:
@@ -25,13 +25,14 @@
    instances. */
 #define LIMIT_OVERRUN_RATIO 1.5
 #define LIMIT_EXTRA_SENDS 5
-/* Allowance for late timers and network paths of unequal length. */
+/* Allowance for delayed timers and network paths of unequal length. */
 #define LIMIT_TIMER_SLACK_S 0.1
 #define LIMIT_COUNTED_RATIO 0.75
 #define LIMIT_FIXED_RATIO 0.2
 
-/* Instances that are gone may be cut off and go on using their shares. They
-   are included for this long: regions can lose each other for minutes. */
+/* Instances that are not reachable may be cut off and continue to use their
+   shares. They are included for this long: regions can lose each other for
+   minutes. */
 #define RANK_KEEP_S 600.0
 /* Instances that were cut off had a count of their own until just before they
    return: during this time only the previous fraction is given out. */
--- a/packages/route/quota.h
+++ b/packages/route/quota.h
@@ -18,7 +18,7 @@
 
 /* No limit on the requests per second. */
 #define QUOTA_UNLIMITED HUGE_VAL
-/* Most requests in one window, whatever the bound. */
+/* Max number of requests in one window, whatever the bound. */
 #define QUOTA_MAX_SENDS 64
 
 /* The bounds on a target. */
--- a/packages/route/regions.h
+++ b/packages/route/regions.h
@@ -12,7 +12,7 @@
 typedef uint64_t RegionSet;
 #define REGIONS_ANY ((RegionSet)0) /* of a request without restriction */
 #define REGIONS_BOUND ((RegionSet)1 << 63)
-#define REGIONS_MAX 63 /* most regions of one fleet */
+#define REGIONS_MAX 63 /* max number of regions of one fleet */
 
 typedef struct Regions Regions;
 
--- a/packages/route/suspects.c
+++ b/packages/route/suspects.c
@@ -7,8 +7,8 @@
 #include "route/fair.h"
 
 #define MARKS_TO_NAME 2 /* number of targets that ended under a suspect */
-/* Most requests kept as a home and as suspects, 100 bytes each. They don't
-   expire, since the harmful one may return after an hour. */
+/* Max number of requests kept as a home, and of suspects, 100 bytes each. They
+   don't expire, since the harmful one may return after an hour. */
 #define MAX_COUNTS 4096
 #define MAX_NAMED 1024
 /* Last attempts that ended well: half a minute of the busiest instance, with
--- a/packages/route/suspects.h
+++ b/packages/route/suspects.h
@@ -13,8 +13,8 @@
    run it keeps coming to any instance, beside dozens of other requests at each
    target. In 40 ends under it, it was marked 40 times, its neighbours once or
    twice. Where targets end by themselves, 19 times in 15 s among ten targets,
-   and one harmless request comes ten times a second, attempts that end well
-   lie between nearly all of its marks. */
+   and one harmless request is sent ten times a second, attempts that end well
+   separate nearly all of its marks. */
 #ifndef ROUTE_SUSPECTS_H
 #define ROUTE_SUSPECTS_H
 
--- a/packages/route/tally.h
+++ b/packages/route/tally.h
@@ -6,9 +6,9 @@
    milliseconds, while a target's own report is some hundred milliseconds old.
 
    The load that this is for: 295 instances with two requests per second each
-   share 160 engines. No instance knows what the others send, equal prompts go
-   to one engine for their common parts, and while all prompts are new many are
-   late on engines that are hardly in use.
+   share 160 engines. No instance knows what the others send, equal prompts are
+   sent to one engine for their common parts, and while all prompts are new many
+   are delayed on engines that are hardly in use.
 
    The same count determines what a bounded target (quota.h) may still get: in
    a fleet of any size an instance requests a permit, the permission to send
--- a/packages/route/targets.h
+++ b/packages/route/targets.h
@@ -42,7 +42,8 @@
    requests and its cache is empty. */
 bool targets_set(Targets *s, double now, const TargetInfo *t);
 /* Whether the entry is newer than the known one. Several instances read the
-   store, so this tells an update from a repeat of one already received. */
+   store, so this distinguishes an update from a repetition of one already
+   received. */
 bool targets_is_newer(const Targets *s, const TargetInfo *t);
 /* The target's entry disappeared. `lapsed`: perhaps only because the store was
    unavailable; the target then stays usable for LAPSED_USE_S. */
