--- a/packages/entry/exchange.c
+++ b/packages/entry/exchange.c
@@ -117,10 +117,10 @@
   q->weight = (double)x->customer.share;
   q->tokens = x->reserved_tokens;
   q->max_wait_s = x->service.max_wait_s;
-  q->running_cap = (int)cap_per_instance(x, x->customer.max_running);
-  q->rate_cap = cap_per_instance(x, x->customer.max_tokens_per_min);
+  q->concurrency_cap = (int)cap_per_instance(x, x->customer.max_running);
+  q->tokens_per_min_cap = cap_per_instance(x, x->customer.max_tokens_per_min);
   g_strlcpy(q->service, x->service.name, sizeof q->service);
-  q->service_cap = (int)cap_per_instance(x, x->service.max_running);
+  q->service_concurrency_cap = (int)cap_per_instance(x, x->service.max_running);
   x->ticket.route_request.adapter = x->service.adapter;
   x->ticket.route_request.version = x->service.version;
   x->ticket.route_request.dcs = x->service.dcs;
