--- a/packages/ledger/holder.c
+++ b/packages/ledger/holder.c
@@ -1,29 +1,33 @@
-/* holder.c: reservations and settlements against this instance's accounts. */
+/* holder.c: reservations and settlements against this instance's accounts. An
+   account is the part of a grant that this instance may spend. */
 #include "ledger/state.h"
 
 #include <assert.h>
 #include <math.h>
 #include <string.h>
 
-#define DEMAND_AVERAGE_S 10.0 /* seconds over which demand is averaged */
+#define DEMAND_AVERAGE_S 10.0 /* time constant of the average of demand */
 /* An account of a home that is not the first choice stays open while that home
    has sent an ALLOT within this time. */
 #define ACTIVE_HOME_S 5.0
 #define RECENT_ANSWER_S                                                        \
   1.0 /* a home that answered within this time is reachable */
-#define MAX_HOME_CHOICES 4  /* homes that are tried one after the other */
-#define RETRY_AFTER_MS 1000 /* while holders are returning tokens */
-#define RETRY_AFTER_OUTAGE_MS 5000 /* store outages last 4 to 9 s */
+#define MAX_HOME_CHOICES 4 /* homes that are tried one after the other */
+#define RETRY_AFTER_MS                                                         \
+  1000 /* sent with a refusal while other holders return tokens */
+#define RETRY_AFTER_OUTAGE_MS                                                  \
+  5000 /* sent with a refusal during a store outage, which lasts 4 to 9 s */
 #define FIRST_CHOICE_RETRY_S                                                   \
-  3.0 /* time until the first choice is tried again */
-/* After this time without a request an instance keeps no tokens for a customer
-   that sent many: the caller has moved to another instance, which lacks the
-   tokens kept here, and they are lost if this instance dies. */
+  3.0 /* time after which a DRAW goes to the first choice again */
+/* After this time without a request an instance keeps no tokens for a budget,
+   even if its demand was high: the caller has moved to another
+   instance, which lacks the tokens kept here, and they are lost if this
+   instance dies. */
 #define IDLE_BUDGET_S 1.0
-/* Tokens are requested in advance at most once in this part of the time that
-   an account covers. With half of it, an instance with all requests of a
-   customer ran out of tokens each second. */
-#define PREFETCH_SHARE 0.125
+/* Shortest time between two requests for tokens in advance, as a part of the
+   time that an account covers. With 0.5, an instance that received all requests
+   of a customer ran out of tokens once per second. */
+#define PREFETCH_INTERVAL_SHARE 0.125
 
 /* == accounts == */
 
@@ -31,10 +35,13 @@
   return a->granted - a->returned - a->spent - a->reserved;
 }
 
-static bool is_acked(const Account *a) {
+static bool counts_are_acked(const Account *a) {
   return a->acked_returned >= a->returned && a->acked_spent >= a->spent;
 }
 
+/* Reports the account's counts to its home, if the view has it, and to the
+   instance that receives reports on grants of this region, if that is another
+   one. */
 static void send_report(Ledger *l, const HolderBudget *b, Account *a) {
   LedgerMsg m = ledger_make_msg(LEDGER_REPORT, b->name, a->grant);
   m.returned = a->returned;
@@ -109,16 +116,16 @@
   g_free(b);
 }
 
-/* Tokens that an account should have beyond those for the waiting requests. For
-   a budget that is seldom used here it is none: they would be missing elsewhere
-   near the end of the budget, and are lost if the instance dies. With some kept
-   for 40 customers at each of 295 instances, a power failure of all of them
-   lost them all. */
+/* Returns how many free tokens an account should keep beyond those for the
+   waiting requests. For a budget that is seldom used here it is 0: other
+   instances would lack these tokens near the end of the budget, and they are
+   lost if this instance dies. When each of 295 instances kept tokens for 40
+   customers, a power failure of all instances lost all of these tokens. */
 static int64_t tokens_to_keep(const Ledger *l, const HolderBudget *b) {
-  int64_t flow = (int64_t)(b->demand_per_s * l->account_cover_s);
-  if (b->demand_per_s < 1 || flow < b->typical_tokens) return 0;
+  int64_t cover_tokens = (int64_t)(b->demand_per_s * l->account_cover_s);
+  if (b->demand_per_s < 1 || cover_tokens < b->typical_tokens) return 0;
   if (l->now - b->reserve_called_at >= IDLE_BUDGET_S) return 0;
-  return b->typical_tokens + flow;
+  return b->typical_tokens + cover_tokens;
 }
 
 /* == reservations == */
@@ -155,8 +162,9 @@
   drop_waiter(l, b, link);
 }
 
-/* Serves every waiter that fits. A large request at the head doesn't block
-   small ones behind it; its own wait is bounded. */
+/* Serves every waiter whose amount is free in an account. A large request at
+   the head doesn't block small ones behind it; its own wait ends at its
+   deadline. */
 static void serve_waiters(Ledger *l, HolderBudget *b) {
   for (GList *i = b->waiters.head, *next; i; i = next) {
     next = i->next;
@@ -165,8 +173,9 @@
   }
 }
 
-/* Requests tokens from a home. After two tries without an answer the request
-   goes to the next choice, which can act as a home too. */
+/* Sends a DRAW, which requests tokens, to a home. After two DRAWs without an
+   answer the next one goes to the next choice, as every instance can act as a
+   home. */
 static void send_draw(Ledger *l, HolderBudget *b) {
   if (b->draw_sent_at == 0 &&
       l->now - b->first_choice_at > FIRST_CHOICE_RETRY_S)
@@ -201,9 +210,9 @@
   ledger_send(l, home->id, &m);
 }
 
-/* Seconds until an unanswered DRAW is sent again, after two to the next choice.
-   A home that has answered recently is busy, not gone: another home in its
-   place would only compete with it for the store. */
+/* Returns the time in seconds after which send_draw follows an unanswered DRAW.
+   It is longer for a home that has answered recently, which is busy, not gone:
+   a second home would only compete with it for the store. */
 static double draw_resend_s(const Ledger *l, const HolderBudget *b) {
   bool answered_recently =
       b->draw_answered_at > 0 && l->now - b->draw_answered_at < RECENT_ANSWER_S;
@@ -232,7 +241,7 @@
     send_draw(l, b);
 }
 
-static GList *waiter_link(HolderBudget *b, uint64_t handle) {
+static GList *find_waiter_link(HolderBudget *b, uint64_t handle) {
   for (GList *i = b->waiters.head; i; i = i->next)
     if (((Waiter *)i->data)->handle == handle) return i;
   return NULL;
@@ -240,9 +249,9 @@
 
 void holder_settle(Ledger *l, uint64_t handle, int64_t used) {
   assert(used >= 0);
-  HolderBudget *waiting_in = g_hash_table_lookup(l->waiting, &handle);
-  if (waiting_in) {
-    drop_waiter(l, waiting_in, waiter_link(waiting_in, handle));
+  HolderBudget *waiting_budget = g_hash_table_lookup(l->waiting, &handle);
+  if (waiting_budget) {
+    drop_waiter(l, waiting_budget, find_waiter_link(waiting_budget, handle));
     return;
   }
   Reservation *r = g_hash_table_lookup(l->reservations, &handle);
@@ -260,9 +269,9 @@
 
 /* == messages from homes == */
 
-/* Selects the choice after `from`, which can't reach the store; another
-   instance may reach it, unless the store is down for all. False when there is
-   no further choice. */
+/* Makes the next DRAW go to the choice after `from`, a home that can't reach
+   the store; another instance may reach it, unless the store is down for all.
+   Returns false when there is no further choice. */
 static bool skip_to_next_home(const Ledger *l, HolderBudget *b,
                               const char *from) {
   int choices = l->store_down ? 1 : MIN(l->region_members, MAX_HOME_CHOICES);
@@ -275,9 +284,11 @@
   return false;
 }
 
-/* A home's answer to the first waiter becomes the refusal cause of the other
-   waiters too, as it shows that the home was reached. But that a request of
-   `amount` can never be covered does not hold for a smaller one. */
+/* Sets the cause with which the waiters are refused at their deadline. A home
+   answers for the first waiter, of `amount` tokens, but the answer shows that
+   the home was reached, so its cause applies to all. The exception is
+   ERR_BUDGET_EMPTY: that `amount` can never be covered does not hold for fewer
+   tokens. */
 static void set_waiter_causes(HolderBudget *b, ErrKind cause, int64_t amount) {
   if (cause == ERR_NONE) cause = ERR_BUDGET_HELD;
   for (GList *i = b->waiters.head; i; i = i->next) {
@@ -334,8 +345,8 @@
   if (!a) return;
   if (m->returned > a->acked_returned) a->acked_returned = m->returned;
   if (m->spent > a->acked_spent) a->acked_spent = m->spent;
-  bool is_done =
-      a->closing && a->reserved == 0 && free_tokens(a) <= 0 && is_acked(a);
+  bool is_done = a->closing && a->reserved == 0 && free_tokens(a) <= 0 &&
+                 counts_are_acked(a);
   if (m->final && is_done) close_account(l, b, a);
 }
 
@@ -362,7 +373,7 @@
   for (guint i = 0; i < b->accounts->len; i++) {
     Account *a = b->accounts->pdata[i];
     bool is_current = !home || strcmp(home->id, a->home) == 0;
-    /* Without a home in the view, the accounts stay in use. */
+    /* While the view has no home for the shard, the accounts stay in use. */
     a->closing =
         l->draining || a->superseded || (!is_current && !home_is_active(l, a));
     b->needs_tick |= a->closing;
@@ -377,7 +388,7 @@
     if (!a->closing && !will_report_soon && b->waiters.length == 0 &&
         free_tokens(a) > max_free)
       return_tokens(l, b, a, free_tokens(a) - keep);
-    bool pending = !is_acked(a) || a->closing;
+    bool pending = !counts_are_acked(a) || a->closing;
     double wait = a->closing ? LEDGER_RESEND_S : LEDGER_REPORT_INTERVAL_S;
     if (pending && l->now - a->reported_at >= wait) send_report(l, b, a);
   }
@@ -397,13 +408,14 @@
     if (b->draw_sent_at == 0 || elapsed >= draw_resend_s(l, b)) send_draw(l, b);
     return;
   }
-  /* Requests tokens in advance, so that a reservation need not wait for a
-     message. */
+  /* Requests tokens in advance, so that a reservation need not wait for an
+     ALLOT. */
   const Account *a = account_with_most_free(b);
-  int64_t low = (int64_t)(b->demand_per_s * l->account_cover_s / 2);
-  if (l->draining || !tokens_to_keep(l, b) || (a && free_tokens(a) >= low))
+  int64_t min_free = (int64_t)(b->demand_per_s * l->account_cover_s / 2);
+  if (l->draining || !tokens_to_keep(l, b) || (a && free_tokens(a) >= min_free))
+    return;
+  if (l->now - b->prefetched_at < l->account_cover_s * PREFETCH_INTERVAL_SHARE)
     return;
-  if (l->now - b->prefetched_at < l->account_cover_s * PREFETCH_SHARE) return;
   b->prefetched_at = l->now;
   send_draw(l, b);
 }
@@ -414,8 +426,8 @@
   g_hash_table_iter_init(&it, l->holder_budgets);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     HolderBudget *b = v;
-    bool at_rest = !b->needs_tick && !b->waiters.head && !l->draining;
-    if (at_rest && l->now - b->ticked_at < LEDGER_IDLE_CHECK_S) continue;
+    bool is_idle = !b->needs_tick && !b->waiters.head && !l->draining;
+    if (is_idle && l->now - b->ticked_at < LEDGER_IDLE_CHECK_S) continue;
     b->demand_per_s *= exp(-(l->now - b->ticked_at) / DEMAND_AVERAGE_S);
     b->ticked_at = l->now;
     tick_accounts(l, b);
@@ -426,8 +438,9 @@
   }
 }
 
+/* All tokens were returned or spent, and a home has acknowledged it. */
 static bool is_released(const Account *a) {
-  return free_tokens(a) <= 0 && a->reserved == 0 && is_acked(a);
+  return free_tokens(a) <= 0 && a->reserved == 0 && counts_are_acked(a);
 }
 
 bool holder_has_released(Ledger *l, const char *budget, uint64_t grant) {
--- a/packages/ledger/ledger.c
+++ b/packages/ledger/ledger.c
@@ -47,7 +47,7 @@
 }
 
 /* Computes a shard's home on first use in a view: views change more often than
-   most shards are used, and each home costs a pass over all members. */
+   most shards are used, and finding a home takes a pass over all members. */
 static const Member *cached_home(const Ledger *l, int shard) {
   Ledger *writable = (Ledger *)l;
   if (l->first_home_epoch[shard] == l->view_epoch) return l->first_homes[shard];
--- a/packages/ledger/stored.c
+++ b/packages/ledger/stored.c
@@ -49,8 +49,8 @@
     const PendingSeal *s = h->seals->pdata[i];
     ShardGrant *g = shard_find_grant(b, s->grant);
     if (!g || g->sealed || !s->is_answered) continue;
-    /* Only the witness that the document names knows the limit. One that the
-       home has replaced since may have agreed to less than was allotted. */
+    /* Only the limit of the witness that the document names is valid. A witness
+       that the home has replaced may have agreed to less than was allotted. */
     if (strcmp(g->witness, s->witness) != 0) continue;
     shard_seal_grant(g, s->limit, s->returned_to_home, false, l->unix_s);
     changed = true;
--- a/packages/ledger/witness.c
+++ b/packages/ledger/witness.c
@@ -1,7 +1,7 @@
-/* witness.c: limits on what a home may allot. A witness is another instance
-   that keeps the limit of a grant, so that a successor can learn the limit when
-   the home is gone. The home requests higher limits ahead of need, and replaces
-   a witness that is gone. */
+/* witness.c: limits on what a home may allot. The witness of a grant is another
+   instance that stores the grant's limit, so that a successor of the home can
+   read the limit when the home is gone. The home requests higher limits ahead
+   of need, and replaces a witness that is gone. */
 #include "ledger/state.h"
 
 #include <string.h>
@@ -19,8 +19,9 @@
   return w;
 }
 
-/* The limit only grows, and not at all once sealed: a home never allots more
-   under this witness than the limit that the witness reports to a successor. */
+/* The limit only grows, and stays as it is once the grant is sealed, so that a
+   home never allots more under this witness than the limit that the witness
+   reports to a successor. */
 void witness_on_raise(Ledger *l, const char *from, const LedgerMsg *m) {
   WitnessedGrant *w = ensure_witnessed(l, m->grant);
   bool must_refuse = w->sealed && !l->faults.no_witness_check;
@@ -78,17 +79,19 @@
   HomeGrant *g = h->home_grant;
   LedgerMsg m = ledger_make_msg(LEDGER_RAISE, h->name, g->id);
   m.limit = g->limit_requested;
-  m.returned = g->returned_by_holders; /* these need not be written off if this
-                                          home dies */
+  m.returned = g->returned_by_holders; /* a successor need not write these off
+                                          if this home dies */
   g->raise_sent_at = l->now;
   if (g->unanswered_since == 0) g->unanswered_since = l->now;
   ledger_send(l, to, &m);
 }
 
-/* Returns true, and marks the witness as unresponsive, when it has not answered
-   in time. The home doesn't wait until such a witness has left the view,
-   because callers wait for the answer; another witness is safe at any time. */
-static bool note_unresponsive(const Ledger *l, HomeGrant *g, const char *id) {
+/* Returns true, and records the witness `id` as unresponsive, when it has not
+   answered in time. The home doesn't wait until such a witness has left the
+   view, because callers wait for the tokens; replacing a witness is safe at any
+   time. */
+static bool mark_if_unresponsive(const Ledger *l, HomeGrant *g,
+                                 const char *id) {
   if (g->unanswered_since == 0 ||
       l->now - g->unanswered_since < WITNESS_TIMEOUT_S)
     return false;
@@ -101,9 +104,9 @@
   HomeGrant *g = h->home_grant;
   if (g->replacing_witness || !g->witness[0]) return;
   int64_t ahead = (int64_t)(h->demand_per_s * l->witness_ahead_s);
-  /* The headroom agreed in advance is written off if this home dies. So it is
-     little for a small budget, and for a large one enough that not every
-     allotment needs a message. */
+  /* Tokens up to the limit are written off if this home dies, so the home
+     requests few in advance for a small budget. For a large budget it requests
+     enough that not every allotment needs a RAISE. */
   ahead = MAX(ahead, MIN(LEDGER_MIN_DRAW_TOKENS, h->remaining / 2048));
   ahead = MIN(ahead, MAX(home_free_tokens(g) - n, 0));
   if (g->limit_requested - g->allotted >= n + ahead / 2) return;
@@ -111,26 +114,27 @@
   send_raise(l, h, g->witness);
 }
 
-static bool needs_headroom(const HomeBudget *h) {
+static bool has_draw_over_limit(const HomeBudget *h) {
   for (guint i = 0; i < h->draws->len; i++)
     if (((Draw *)h->draws->pdata[i])->need > witness_headroom(h->home_grant))
       return true;
   return false;
 }
 
-/* Starts to replace the grant's witness: the next one agrees to what was
-   allotted so far, then the document names it. Until then nothing is allotted
-   above the old limit. */
+/* Starts to replace the grant's witness: the next witness agrees to a limit
+   that covers what was allotted so far, then the shard's document is written
+   with its name. Until then the home allots nothing above the old limit. */
 static void replace_witness(Ledger *l, HomeBudget *h) {
   HomeGrant *g = h->home_grant;
   char next[LIMIT_ID_BYTES];
   witness_choose(l, g->id, g->unresponsive, next);
   if (strcmp(next, g->witness) == 0) return;
   if (!next[0]) {
-    /* No other instance is left, so the last limit holds. While the store is
-       up, the grant can be exchanged for one without a witness. */
+    /* No other instance is left to be the witness, so the limit can't be
+       raised. While the store is up, the grant can be exchanged for one without
+       a witness. */
     bool store_is_down = shard_of(l, h)->down_since > 0;
-    if (!store_is_down && needs_headroom(h)) home_freeze_grant(l, h);
+    if (!store_is_down && has_draw_over_limit(h)) home_freeze_grant(l, h);
     return;
   }
   if (!g->witness[0]) g->limit = g->allotted;
@@ -184,7 +188,7 @@
   if (g->replacing_witness) {
     const Member *m = view_find(l->view, g->next_witness);
     bool is_lost = !g->next_witness_agreed &&
-                   (!m || note_unresponsive(l, g, g->next_witness));
+                   (!m || mark_if_unresponsive(l, g, g->next_witness));
     if (is_lost) {
       g->replacing_witness = false;
       replace_witness(l, h);
@@ -195,9 +199,10 @@
     return;
   }
   const Member *m = g->witness[0] ? view_find(l->view, g->witness) : NULL;
-  bool is_unresponsive = m && note_unresponsive(l, g, g->witness);
+  bool is_unresponsive = m && mark_if_unresponsive(l, g, g->witness);
   if (!g->stored && g->limit == 0 && (!m || is_unresponsive)) {
-    /* No document names the witness yet, so another one may replace it. */
+    /* The stored document doesn't name the witness yet, so this home may choose
+       another at once. */
     witness_choose(l, g->id, g->unresponsive, g->witness);
     g->limit_requested = 0; /* the next draw sends a RAISE to the new one */
     return;
@@ -207,7 +212,7 @@
     if (g->replacing_witness) return;
   }
   if (!g->witness[0]) return;
-  bool is_open = g->limit_requested > g->limit;
-  if (is_open && l->now - g->raise_sent_at >= LEDGER_RESEND_S)
+  bool raise_is_pending = g->limit_requested > g->limit;
+  if (raise_is_pending && l->now - g->raise_sent_at >= LEDGER_RESEND_S)
     send_raise(l, h, g->witness);
 }
