--- a/packages/store/jobs.c
+++ b/packages/store/jobs.c
@@ -1,4 +1,5 @@
-/* jobs.c: a small thread pool with two queues and two rate limits. */
+/* jobs.c: a small thread pool with a queue for urgent jobs and one for the
+   others, and rate limits for reads and for writes. */
 #include "store/jobs.h"
 
 #include <errno.h>
@@ -22,9 +23,9 @@
   pthread_t threads[MAX_THREADS];
 };
 
-/* Takes the first job that its rate limit allows now. If there is none, lowers
-   `wait_s` to the shortest time until one is allowed. */
-static Job *take_allowed(GQueue *q, Jobs *j, bool urgent, double *wait_s) {
+/* Removes and returns the first job that its rate limit allows now. If there is
+   none, lowers *wait_s to the shortest time until a job is allowed. */
+static Job *take_allowed_job(GQueue *q, Jobs *j, bool urgent, double *wait_s) {
   double now = clock_now();
   for (GList *i = q->head; i; i = i->next) {
     Job *job = i->data;
@@ -53,8 +54,8 @@
   pthread_mutex_lock(&j->lock);
   while (!j->stop && !job) {
     double wait_s = 1.0;
-    job = take_allowed(&j->urgent, j, true, &wait_s);
-    if (!job) job = take_allowed(&j->background, j, false, &wait_s);
+    job = take_allowed_job(&j->urgent, j, true, &wait_s);
+    if (!job) job = take_allowed_job(&j->background, j, false, &wait_s);
     if (!job) wait_for_job(j, wait_s);
   }
   pthread_mutex_unlock(&j->lock);
@@ -110,24 +111,25 @@
   return j;
 }
 
-/* The rate of one instance: in a small fleet the max, as all instances together
-   stay within the fleet's rate, else an equal part of that. */
-static double rate_of_instance(double max_rate, double fleet_rate,
-                               int instances) {
-  return MIN(max_rate, fleet_rate / MAX(instances, 1));
+/* Returns the rate of one instance: an equal part of the fleet's rate, so that
+   all instances together stay within it, but not more than `max_per_s`, which
+   applies in a small fleet. */
+static double instance_rate_per_s(double max_per_s, double fleet_per_s,
+                                  int instances) {
+  return MIN(max_per_s, fleet_per_s / MAX(instances, 1));
 }
 
 void jobs_set_instances(Jobs *j, int instances) {
   double now = clock_now();
   pthread_mutex_lock(&j->lock);
-  pace_set_rate(
-      &j->writes,
-      rate_of_instance(STORE_WRITES_PER_S, STORE_FLEET_WRITES_PER_S, instances),
-      now);
-  pace_set_rate(
-      &j->reads,
-      rate_of_instance(STORE_READS_PER_S, STORE_FLEET_READS_PER_S, instances),
-      now);
+  pace_set_rate(&j->writes,
+                instance_rate_per_s(STORE_WRITES_PER_S,
+                                    STORE_FLEET_WRITES_PER_S, instances),
+                now);
+  pace_set_rate(&j->reads,
+                instance_rate_per_s(STORE_READS_PER_S, STORE_FLEET_READS_PER_S,
+                                    instances),
+                now);
   pthread_mutex_unlock(&j->lock);
 }
 
