--- a/packages/once/bill.h
+++ b/packages/once/bill.h
@@ -1,7 +1,7 @@
-/* bill.h: encodes and decodes a batch of bills, stored as one object. The bills
-   are grouped by budget, because repeated names would make up most of the
-   object. The same request may appear in two batches: readers deduplicate by
-   key. */
+/* bill.h: encodes and decodes a batch of bills, which is stored as one object.
+   A bill records the tokens that a request used. The bills are grouped by
+   budget, because repeated names would make up most of the object. The bill of
+   a request may be in two batches: readers deduplicate by key. */
 #ifndef ONCE_BILL_H
 #define ONCE_BILL_H
 
@@ -15,7 +15,7 @@
   int64_t unix_s; /* completion time */
 } BillItem;
 
-/* Returns JSON; the caller frees it with g_free. */
+/* Returns the JSON of `n` bills; the caller frees it with g_free. */
 char *bill_encode_batch(const BillItem *list, int n);
 /* Calls `fn` for each bill. Returns false if the text is not a batch. */
 bool bill_decode_batch(const char *text,
--- a/packages/once/claim.c
+++ b/packages/once/claim.c
@@ -265,7 +265,7 @@
                          const char *text) {
   ClaimPart *p = find_part(s, id);
   bool ok = p && text && claimdoc_decode_part(p, text);
-  if (ok) p->first_seen = o->now;
+  if (ok) p->first_read_at = o->now;
   s->part_failed |= !ok;
   if (--s->parts_reading > 0) {
     s->phase = SHARD_READING_PARTS;
--- a/packages/once/claimdoc.c
+++ b/packages/once/claimdoc.c
@@ -254,7 +254,7 @@
       ClaimPart *q = old->parts->pdata[k];
       if (q->id != p->id) continue;
       p->entries = g_steal_pointer(&q->entries);
-      p->first_seen = q->first_seen;
+      p->first_read_at = q->first_read_at;
     }
   }
 }
@@ -271,7 +271,7 @@
 ClaimPart *claimdoc_seal_head(ClaimDoc *d, uint64_t id, double now) {
   ClaimPart *p = g_new0(ClaimPart, 1);
   p->id = id;
-  p->first_seen = now;
+  p->first_read_at = now;
   p->entries = d->entries;
   set_part_summary(p);
   d->entries = entries_new();
@@ -293,7 +293,7 @@
     g_hash_table_iter_init(&it, p->entries);
     while (g_hash_table_iter_next(&it, NULL, &v))
       add_entry(all->entries, entry_copy(v));
-    all->first_seen = MAX(all->first_seen, p->first_seen);
+    all->first_read_at = MAX(all->first_read_at, p->first_read_at);
   }
   set_part_summary(all);
   g_ptr_array_remove_range(d->parts, first, n);
--- a/packages/once/claimdoc.h
+++ b/packages/once/claimdoc.h
@@ -32,11 +32,11 @@
 } ClaimEntry;
 
 typedef struct ClaimPart {
-  uint64_t id;         /* random; part of the object's name */
-  guint count;         /* number of entries */
-  int64_t unix_s;      /* time of the newest entry */
-  double first_seen;   /* local time of the first read; not stored */
-  GHashTable *entries; /* OnceKey -> ClaimEntry; NULL: not read yet */
+  uint64_t id;          /* random; part of the object's name */
+  guint count;          /* number of entries */
+  int64_t unix_s;       /* time of the newest entry */
+  double first_read_at; /* local time of the first read; not stored */
+  GHashTable *entries;  /* OnceKey -> ClaimEntry; NULL: not read yet */
 } ClaimPart;
 
 typedef struct ClaimDoc {
--- a/packages/once/keeper.c
+++ b/packages/once/keeper.c
@@ -215,7 +215,7 @@
   (void)from;
   KeeperRecord *r = g_hash_table_lookup(o->records, &m->key);
   if (!r || r->nonce != m->nonce || r->finished) return;
-  r->unknown = true; /* the next runner that asks may run it */
+  r->unknown = true; /* the next runner that sends BEGIN may run it */
 }
 
 /* == batches of bills == */
--- a/packages/once/once.h
+++ b/packages/once/once.h
@@ -3,10 +3,11 @@
 
    The runner is the instance that runs a request. A keeper, an instance chosen
    by rendezvous hashing of the request's key within the region, remembers runs
-   and answers for a while and makes bills durable. A request that must not run
-   twice also needs a claim in the platform's store before it is dispatched; the
-   first claim of a key wins permanently. The home of a claim is the instance
-   that writes the claim's shard. docs/ONCE.md. */
+   and answers for a while, and writes bills to the platform's store; a bill
+   records the tokens that a request used. A request that must not run twice
+   also needs a claim in the platform's store before it is dispatched; the first
+   claim of a key wins permanently. The home of a claim is the instance that
+   writes the claim's shard. docs/ONCE.md. */
 #ifndef ONCE_ONCE_H
 #define ONCE_ONCE_H
 
@@ -20,7 +21,7 @@
 #include "member/view.h"
 
 typedef struct OnceKey {
-  uint64_t hi, lo; /* hash of the customer and the caller's key */
+  uint64_t hi, lo; /* hash of the customer and the key that the caller sent */
 } OnceKey;
 
 OnceKey once_make_key(const char *customer, const char *key);
@@ -35,7 +36,7 @@
   size_t len;
 } OnceAnswer;
 
-/* What one request costs. */
+/* The tokens that one request used, and the budget that they are charged to. */
 typedef struct OnceBill {
   char customer[LIMIT_NAME_BYTES];
   char budget[LIMIT_NAME_BYTES];
@@ -43,21 +44,24 @@
 } OnceBill;
 
 typedef enum {
-  ONCE_BEGIN,        /* runner -> keeper: may this key run? */
+  ONCE_BEGIN,        /* runner -> keeper: requests a verdict on this key */
   ONCE_BEGIN_REPLY,  /* keeper -> runner: verdict */
   ONCE_FINISH,       /* runner -> keeper: bill and answer */
   ONCE_FINISH_ACK,   /* keeper -> runner: bill accepted; `duplicate`: the
                      key was billed before */
   ONCE_BILL_DURABLE, /* keeper -> runner: the bill is in the store */
   ONCE_ABORT,        /* runner -> keeper: the request did not run */
-  ONCE_COPY_BILL,    /* keeper -> another instance: hold a copy of the bill */
-  ONCE_COPY_ACK,     /* that instance -> keeper: copy held */
-  ONCE_DISPATCHED,   /* runner -> keeper: the target it was sent to */
-  ONCE_CLAIM,        /* runner -> home: store this claim */
+  ONCE_COPY_BILL,  /* keeper -> another instance: requests to hold a copy of the
+                      bill */
+  ONCE_COPY_ACK,   /* that instance -> keeper: copy held */
+  ONCE_DISPATCHED, /* runner -> keeper: `target`, which runs the request */
+  ONCE_CLAIM,      /* runner -> home: requests to store this claim */
   ONCE_CLAIM_REPLY,  /* home -> runner: verdict */
-  ONCE_CLAIM_QUEUED, /* home -> runner: queued for a write of the shard */
+  ONCE_CLAIM_QUEUED, /* home -> runner: the query waits for a write of the shard
+                      */
   ONCE_OUTCOME,      /* runner -> home: result of the claimed run */
-  ONCE_RELEASE, /* runner -> home: the run was not dispatched and will not be */
+  ONCE_RELEASE, /* runner -> home: the run was not dispatched and will not be,
+                   so the key may be claimed again */
   ONCE_OUTCOME_STORED, /* home -> runner: OUTCOME or RELEASE is stored */
   ONCE_MSG_KIND_COUNT
 } OnceMsgKind;
@@ -66,7 +70,8 @@
   ONCE_RUN,             /* may run */
   ONCE_REPLAY,          /* ran before: use the kept answer */
   ONCE_PENDING,         /* another run is in progress */
-  ONCE_OUTCOME_UNKNOWN, /* was dispatched; whether it ran is not known */
+  ONCE_OUTCOME_UNKNOWN, /* an earlier run was dispatched; whether it completed
+                           is not known */
   ONCE_MISMATCH,        /* same key, but a different request */
   ONCE_NO_CLAIM         /* the claim could not be stored; must not run */
 } OnceVerdict;
@@ -74,8 +79,8 @@
 typedef struct OnceMsg {
   OnceMsgKind kind;
   OnceKey key;
-  uint64_t nonce; /* identifies this run */
-  uint64_t digest;
+  uint64_t nonce;  /* identifies this run */
+  uint64_t digest; /* hash of the request; detects a key reused for another */
   OnceVerdict verdict;
   bool duplicate;
   OnceBill bill;
@@ -86,12 +91,15 @@
 
 typedef enum {
   ONCE_DO_SEND,   /* send `msg` to `to` */
-  ONCE_DO_GET,    /* read the object `name` of a claim shard */
-  ONCE_DO_PUT,    /* write it, conditional on `version` */
-  ONCE_DO_DELETE, /* delete it; no result is reported back */
+  ONCE_DO_GET,    /* read the object `name` of a claim shard; the caller reports
+                     the result with once_claim_stored */
+  ONCE_DO_PUT,    /* write `text` to it if it is at `version`; 0: if it does not
+                     exist; reported likewise */
+  ONCE_DO_DELETE, /* delete it; the caller does not report the result */
   ONCE_DO_BILL,   /* create the object `name` with `text` */
-  ONCE_DO_ANSWER, /* verdict on once_begin */
-  ONCE_DO_DONE    /* the keeper holds the finish, or did not reply in time */
+  ONCE_DO_ANSWER, /* `verdict` is the result of once_begin for `handle` */
+  ONCE_DO_DONE    /* the keeper acknowledged the FINISH of `handle`, or did not
+                     reply in time */
 } OnceActionKind;
 
 typedef struct OnceAction {
@@ -99,7 +107,8 @@
   char to[LIMIT_ID_BYTES];
   OnceMsg msg; /* SEND: the caller owns msg.answer.body */
   int shard;
-  uint64_t part; /* GET, PUT, DELETE: part id; 0 is the shard's head */
+  uint64_t part; /* GET, PUT, DELETE: id of a part, which holds older claims of
+                    the shard; 0: the shard's head, which lists the parts */
   uint64_t version;
   char *text; /* free with g_free */
   char name[LIMIT_NAME_BYTES + LIMIT_ID_BYTES];
@@ -107,7 +116,7 @@
   OnceVerdict verdict;
   OnceAnswer answer; /* REPLAY: the kept answer, owned by the caller */
   char target[LIMIT_NAME_BYTES]; /* RUN: target where a lost run may still be
-                                  * running
+                                    running
                                   */
   bool duplicate;
 } OnceAction;
@@ -115,7 +124,7 @@
 /* Faults that tests inject. */
 typedef struct OnceFaults {
   bool skip_claims;     /* dispatch without a claim */
-  bool ignore_parts;    /* look up claims in the head only */
+  bool ignore_parts;    /* look up claims in the head alone, not in the parts */
   bool bill_duplicates; /* do not detect duplicate bills */
 } OnceFaults;
 
@@ -124,20 +133,21 @@
 Once *once_new(const char *self, const char *region, uint32_t seed);
 void once_free(Once *o);
 void once_set_faults(Once *o, OnceFaults f);
-/* Sets the number of head entries that are sealed into a part, and the number
-   of small parts that are merged into one. For tests. */
+/* For tests: sets the number of head entries at which they are moved into a new
+   part, and the number of small parts at which they are merged into one. */
 void once_set_claim_sizes(Once *o, guint seal, guint merge);
 void once_set_view(Once *o, double now, const View *v);
 
-/* Requests a verdict on whether `handle` may run. `has_caller_key`: a caller
-   may retry with this key, so the keeper is queried; otherwise that step is
-   skipped. `repeatable`: the request may run twice and needs no claim. */
+/* Requests a verdict on whether the request `handle` may run. `has_caller_key`:
+   the caller sent the key and may retry with it, so the keeper is queried;
+   otherwise that step is skipped. `repeatable`: the request may run twice and
+   needs no claim. */
 void once_begin(Once *o, double now, uint64_t handle, OnceKey key,
                 uint64_t digest, bool has_caller_key, bool repeatable);
 /* Reports that the request was dispatched to `target`. If this instance fails,
    a retry may continue there. */
 void once_dispatched(Once *o, double now, uint64_t handle, const char *target);
-/* Reports that the request ran, with its bill and answer. Copies the answer. */
+/* Reports that the request ran, with its bill and answer, which are copied. */
 void once_finish(Once *o, double now, uint64_t handle, const OnceBill *bill,
                  const OnceAnswer *answer);
 /* Reports that the request was dispatched but its outcome is not known, or that
@@ -157,9 +167,11 @@
 void once_tick(Once *o, double now, int64_t unix_s);
 void once_drain(Once *o, double now);
 bool once_is_drained(const Once *o);
+/* Removes the next action to perform and copies it to `a`. Returns false if
+   there is none. */
 bool once_next_action(Once *o, OnceAction *a);
 void once_action_clear(OnceAction *a);
-/* Releases what a message owns. */
+/* Frees what a message owns. */
 void once_message_clear(OnceMsg *m);
 
 #endif
--- a/packages/once/owed.c
+++ b/packages/once/owed.c
@@ -14,8 +14,8 @@
   if (x && x->summary.nonce == m->nonce) g_hash_table_remove(o->owed, &m->key);
 }
 
-/* Holds a copy of another keeper's bill. If that keeper goes, the bill is sent
-   to the next one. */
+/* Holds a copy of another keeper's bill. If that keeper is lost, the bill is
+   sent to the next one. */
 void owed_hold_copy(Once *o, const char *from, const OnceMsg *m) {
   OwedBill *x = g_new0(OwedBill, 1);
   x->summary = once_bill_from_msg(o, m);
--- a/packages/once/wish.c
+++ b/packages/once/wish.c
@@ -122,7 +122,7 @@
     assign_home(o, add_query(o, r, ONCE_RELEASE), pick_home(o, r->key, ""));
     return;
   }
-  query->kind = ONCE_RELEASE; /* goes first to the home that has the claim */
+  query->kind = ONCE_RELEASE; /* sent first to the home that has the claim */
   assign_home(o, query, query->to);
 }
 
