--- a/packages/table/merge.c
+++ b/packages/table/merge.c
@@ -56,7 +56,11 @@
 
 /* == merge == */
 
-/* Merges one cell of the edit with the head's. Returns false on a conflict. */
+/* Here `mine` is the edited table, `base` the version that the edit was made
+on, and `head` the current version. */
+
+/* Sets *out to the merged content of column `c`. Returns false on a conflict.
+   `base` may be NULL: the row was not in that version. */
 static bool merge_cell(const TableRow *base, const TableRow *mine,
                        const TableRow *head, int c, const char **out) {
   const char *b = base ? base->cells[c] : "";
@@ -71,12 +75,14 @@
                          column);
 }
 
+/* Adds the merged row to `out`; NULL: the row is not in that version. Returns
+   false on a conflict, and sets *conflict and *conflict_version. */
 static bool merge_row(Table *out, const TableRow *base, const TableRow *mine,
                       const TableRow *head, uint64_t version, char **conflict,
                       uint64_t *conflict_version) {
   TableRow r = *mine;
   bool changed = !head;
-  if (base && !head) { /* edited by this edit, removed in head */
+  if (base && !head) { /* removed in head */
     bool edited = false;
     for (int i = 0; i < TABLE_COLUMN_COUNT; i++)
       edited = edited || strcmp(base->cells[i], mine->cells[i]) != 0;
@@ -104,7 +110,7 @@
   return true;
 }
 
-static bool is_same_row(const TableRow *a, const TableRow *b) {
+static bool rows_are_equal(const TableRow *a, const TableRow *b) {
   for (int i = 0; i < TABLE_COLUMN_COUNT; i++)
     if (strcmp(a->cells[i], b->cells[i]) != 0) return false;
   return true;
@@ -128,7 +134,7 @@
     const TableRow *b = table_find_row(base, h->kind, h->name);
     if (!b) { /* added to head since base */
       table_share_row(out, h);
-    } else if (!is_same_row(b, h)) { /* removed by this edit, edited in head */
+    } else if (!rows_are_equal(b, h)) { /* removed by this edit */
       *conflict = describe_conflict(h, "all (this edit removes the row)");
       *conflict_version = h->version;
       ok = false;
--- a/packages/table/rollout.c
+++ b/packages/table/rollout.c
@@ -9,14 +9,15 @@
 #include <xxhash.h>
 
 #define HISTORY_MAX_EDITS                                                      \
-  64                 /* edits remembered; an edit on an older base is refused */
-#define MAX_TRIES 20 /* lost races and lost answers in one apply */
+  64 /* an edit that is based on an older version is refused */
+#define MAX_TRIES                                                              \
+  20 /* writes of one object that fail, conflict or lose their reply */
 
 /* == head == */
 
-/* The head has the version, the names of the parts, and a history. Each history
-   entry keeps the part names that its edit replaced, so that recent versions
-   can be reconstructed. */
+/* Returns a head of version 0. A head has the version, the names of the parts
+   ("": no rows), and a history. Each entry of the history has the part names
+   that its edit replaced, so that recent versions can be reconstructed. */
 static json_t *new_head(void) {
   json_t *parts = json_array();
   for (int i = 0; i < TABLE_PART_COUNT; i++)
@@ -28,9 +29,12 @@
   return (uint64_t)json_integer_value(json_object_get(head, "version"));
 }
 
-static json_t *read_head(const RolloutStore *s, uint64_t *version, Err *e) {
+/* `object_version` receives the version of the stored object, for the
+   conditional update; it is not the table's version. */
+static json_t *read_head(const RolloutStore *s, uint64_t *object_version,
+                         Err *e) {
   PlatformAnswer a = s->get(s->ctx, ROLLOUT_HEAD);
-  *version = 0;
+  *object_version = 0;
   if (a.kind == ERR_STORE_ABSENT) return new_head();
   if (a.kind != ERR_NONE) {
     err_retry(e, a.kind, 1000, "the platform's store did not give the table");
@@ -38,7 +42,7 @@
   }
   json_t *head = json_loads(a.text, 0, NULL);
   g_free(a.text);
-  *version = a.version;
+  *object_version = a.version;
   if (!json_is_object(head))
     err_set(e, ERR_TABLE, "%s is not a table head", ROLLOUT_HEAD);
   return head;
@@ -66,15 +70,16 @@
 
 /* == parts == */
 
-/* Returns the names of the parts in `version`, or NULL if it is too old. */
+/* Returns the names of the parts in `version`, or NULL if the history does not
+   reach back to it. */
 static json_t *parts_at_version(json_t *head, uint64_t version) {
   json_t *parts = json_copy(json_object_get(head, "parts"));
   json_t *history = json_object_get(head, "history"), *old;
   const char *index;
   uint64_t at = head_version(head);
   for (size_t i = json_array_size(history); i-- > 0 && at > version; at--) {
-    json_t *was = json_object_get(json_array_get(history, i), "was");
-    json_object_foreach(was, index, old)
+    json_t *replaced = json_object_get(json_array_get(history, i), "was");
+    json_object_foreach(replaced, index, old)
         json_array_set(parts, (size_t)atoi(index), old);
   }
   if (at == version) return parts;
@@ -97,7 +102,8 @@
                    "table part %s can't be read", name);
 }
 
-/* Shares the rows of `cached` in parts that are unchanged; reads the others. */
+/* Loads the table with these parts. Shares the rows of parts that `cached` has
+   too; reads the other parts. */
 static Table *load_parts(const RolloutStore *s, json_t *parts, uint64_t version,
                          const Table *cached, Err *e) {
   Table *t = table_new();
@@ -112,9 +118,10 @@
       table_share_row(t, r);
   }
   for (int i = 0; ok && i < TABLE_PART_COUNT; i++) {
-    bool kept =
+    bool is_cached =
         cached && g_strcmp0(cached->part_names[i], t->part_names[i]) == 0;
-    if (t->part_names[i][0] && !kept) ok = read_part(s, t, t->part_names[i], e);
+    if (t->part_names[i][0] && !is_cached)
+      ok = read_part(s, t, t->part_names[i], e);
   }
   table_sort_rows(t);
   if (ok) return t;
@@ -122,7 +129,8 @@
   return NULL;
 }
 
-/* Loads a version that the head's history reaches. Version 0 is empty. */
+/* Loads a version of the table, or fails if the history does not reach back to
+   it. Version 0 is empty. */
 static Table *load_version(const RolloutStore *s, json_t *head,
                            uint64_t version, const Table *cached, Err *e) {
   if (version == 0) return table_new();
@@ -145,12 +153,14 @@
     a = s->put(s->ctx, name, 0, text);
     g_free(a.text);
   }
-  /* Parts are named by the hash of their content: one that exists is equal. */
+  /* The name of a part is the hash of its content, so an object that already
+     exists has the same content. */
   if (a.kind == ERR_NONE || a.kind == ERR_STORE_CONFLICT) return true;
   return err_retry(e, a.kind, 1000, "the store did not take the table");
 }
 
-/* Writes the parts that differ from the head's. Returns the names of all. */
+/* Writes the parts of `t` that differ from the head's. Returns the names of all
+   parts of `t`. */
 static json_t *write_parts(const RolloutStore *s, json_t *head, const Table *t,
                            Err *e) {
   json_t *before = json_object_get(head, "parts"), *parts = json_array();
@@ -177,15 +187,15 @@
 
 Table *rollout_load(const RolloutStore *s, const Table *cached, bool *unchanged,
                     Err *e) {
-  uint64_t version;
-  json_t *head = read_head(s, &version, e);
+  uint64_t object_version;
+  json_t *head = read_head(s, &object_version, e);
   *unchanged = false;
   if (!head) return NULL;
   uint64_t v = head_version(head);
   Table *t = NULL;
   if (cached && cached->version > 0 && v <= cached->version)
-    *unchanged =
-        true; /* this covers stale reads: the version never decreases */
+    *unchanged = true; /* also if a stale head was read, as the version never
+                          decreases */
   else
     t = load_version(s, head, v, cached, e);
   json_decref(head);
@@ -206,21 +216,23 @@
 /* Returns the table that results from the edit, or NULL on a conflict. */
 static Table *merge_edit(const RolloutStore *s, json_t *head, const Table *mine,
                          const RolloutEdit *edit, Err *e) {
-  uint64_t now = head_version(head), conflict_version = 0;
-  uint64_t from_version =
-      edit->base_version == UINT64_MAX ? now : edit->base_version;
-  if (from_version > now) {
+  uint64_t current_version = head_version(head), conflict_version = 0;
+  uint64_t merge_base_version =
+      edit->base_version == UINT64_MAX ? current_version : edit->base_version;
+  if (merge_base_version > current_version) {
     err_set(e, ERR_TABLE_RACE, "the fleet has version %llu, not yet %llu",
-            (unsigned long long)now, (unsigned long long)from_version);
+            (unsigned long long)current_version,
+            (unsigned long long)merge_base_version);
     return NULL;
   }
-  Table *present = load_version(s, head, now, NULL, e);
+  Table *current = load_version(s, head, current_version, NULL, e);
   Table *base =
-      present ? load_version(s, head, from_version, present, e) : NULL;
+      current ? load_version(s, head, merge_base_version, current, e) : NULL;
   Table *t = NULL;
   char *what = NULL;
   if (base)
-    t = table_merge(base, mine, present, now + 1, &what, &conflict_version);
+    t = table_merge(base, mine, current, current_version + 1, &what,
+                    &conflict_version);
   if (base && !t) set_conflict_error(head, what, conflict_version, e);
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
   if (t && !table_check(t, errors)) {
@@ -232,37 +244,37 @@
   g_ptr_array_free(errors, TRUE);
   g_free(what);
   table_free(base);
-  table_free(present);
+  table_free(current);
   return t;
 }
 
 static void add_history_entry(json_t *head, const RolloutEdit *edit,
                               json_t *parts) {
-  json_t *history = json_object_get(head, "history"), *was = json_object();
+  json_t *history = json_object_get(head, "history"), *replaced = json_object();
   json_t *before = json_object_get(head, "parts");
   uint64_t v = head_version(head) + 1;
   for (int i = 0; i < TABLE_PART_COUNT; i++) {
     char index[8];
     if (strcmp(part_name(before, i), part_name(parts, i)) == 0) continue;
     snprintf(index, sizeof index, "%d", i);
-    json_object_set(was, index, json_array_get(before, (size_t)i));
+    json_object_set(replaced, index, json_array_get(before, (size_t)i));
   }
   json_object_set_new(head, "version", json_integer((json_int_t)v));
   json_object_set_new(head, "parts", parts);
-  json_array_append_new(history, json_pack("{s:I,s:s,s:s,s:I,s:o}", "version",
-                                           (json_int_t)v, "id", edit->id, "who",
-                                           edit->author, "t",
-                                           (json_int_t)time(NULL), "was", was));
+  json_array_append_new(
+      history, json_pack("{s:I,s:s,s:s,s:I,s:o}", "version", (json_int_t)v,
+                         "id", edit->id, "who", edit->author, "t",
+                         (json_int_t)time(NULL), "was", replaced));
   while (json_array_size(history) > HISTORY_MAX_EDITS)
     json_array_remove(history, 0);
 }
 
 uint64_t rollout_apply(const RolloutStore *s, const Table *mine,
                        const RolloutEdit *edit, Err *e) {
-  RolloutEdit fixed = *edit;
+  RolloutEdit pinned = *edit;
   for (int n = 0; n < MAX_TRIES; n++) {
-    uint64_t version;
-    json_t *head = read_head(s, &version, e);
+    uint64_t object_version;
+    json_t *head = read_head(s, &object_version, e);
     if (!head) continue; /* retry: the store may have recovered */
     json_t *applied = find_history_entry_of_edit(head, edit->id);
     if (applied) { /* an earlier write succeeded, but its reply was lost */
@@ -272,9 +284,9 @@
       return v;
     }
     /* A retry merges from the same base version, not from a newer one. */
-    if (fixed.base_version == UINT64_MAX)
-      fixed.base_version = head_version(head);
-    Table *t = merge_edit(s, head, mine, &fixed, e);
+    if (pinned.base_version == UINT64_MAX)
+      pinned.base_version = head_version(head);
+    Table *t = merge_edit(s, head, mine, &pinned, e);
     json_t *parts = t ? write_parts(s, head, t, e) : NULL;
     table_free(t);
     if (!parts) {
@@ -284,7 +296,7 @@
     add_history_entry(head, edit, parts);
     uint64_t v = head_version(head);
     char *text = json_dumps(head, JSON_COMPACT);
-    PlatformAnswer a = s->put(s->ctx, ROLLOUT_HEAD, version, text);
+    PlatformAnswer a = s->put(s->ctx, ROLLOUT_HEAD, object_version, text);
     free(text);
     g_free(a.text);
     json_decref(head);
@@ -295,8 +307,8 @@
 }
 
 char *rollout_history(const RolloutStore *s, Err *e) {
-  uint64_t version;
-  json_t *head = read_head(s, &version, e);
+  uint64_t object_version;
+  json_t *head = read_head(s, &object_version, e);
   if (!head) return NULL;
   json_t *list = json_array();
   size_t i;
@@ -306,8 +318,8 @@
     json_object_del(copy, "was");
     json_array_append_new(list, copy);
   }
-  char *s1 = json_dumps(list, JSON_COMPACT), *text = g_strdup(s1);
-  free(s1);
+  char *json = json_dumps(list, JSON_COMPACT), *text = g_strdup(json);
+  free(json);
   json_decref(list);
   json_decref(head);
   return text;
--- a/packages/table/rollout.h
+++ b/packages/table/rollout.h
@@ -1,7 +1,9 @@
-/* rollout.h: loading and changing the table in the platform's store. An edit
-   writes the changed parts first and then the head with one conditional update,
-   so that many rows change atomically. The history in the head shows whether an
-   edit whose reply was lost was applied. */
+/* rollout.h: loading and changing the table in the platform's store. The table
+   is stored as parts, which are objects with some of its rows each, and a head,
+   which names the current parts. An edit first writes the changed parts and
+   then the head with one conditional update, so that many rows change
+   atomically. The history in the head shows whether an edit was applied when
+   the store's reply was lost. */
 #ifndef TABLE_ROLLOUT_H
 #define TABLE_ROLLOUT_H
 
@@ -9,13 +11,14 @@
 #include "store/platform.h"
 #include "table/table.h"
 
+/* Name of the head's object. */
 #define ROLLOUT_HEAD "table/head"
 
 typedef struct RolloutEdit {
-  char id[40];     /* identifies the edit; the same id is applied once only */
+  char id[40];     /* identifies the edit, which is applied at most once */
   char author[64]; /* recorded in the history */
-  uint64_t
-      base_version; /* version that it changes; UINT64_MAX: the current one */
+  uint64_t base_version; /* table version that it was made on; UINT64_MAX: the
+                            current one */
 } RolloutEdit;
 
 /* Store calls, replaceable so that tests can lose replies. */
@@ -26,13 +29,14 @@
   void *ctx;
 } RolloutStore;
 
-/* Loads the current table; if there is none, the table is empty and has version
-   0. Parts that `cached` (may be NULL) already has are not read again. If the
-   stored table is not newer than `cached`, returns NULL and sets *unchanged. */
+/* Loads the current table; if there is none, returns an empty table with
+   version 0. Parts that `cached` (may be NULL) already has are not read again.
+   If the stored table is not newer than `cached`, returns NULL and sets
+   *unchanged; on an error, returns NULL without it. */
 Table *rollout_load(const RolloutStore *s, const Table *cached, bool *unchanged,
                     Err *e);
-/* Merges `mine` into the stored table. Returns the version that contains the
-   edit, or 0 on failure. */
+/* Merges `mine`, the edited table, into the stored one. Returns the first
+   version that contains the edit, or 0 on failure. */
 uint64_t rollout_apply(const RolloutStore *s, const Table *mine,
                        const RolloutEdit *edit, Err *e);
 /* Returns the history as a JSON array, newest last. Free with g_free. */
