--- a/packages/conf/conf.c
+++ b/packages/conf/conf.c
@@ -89,9 +89,9 @@
   return m < n ? 1 : m > n ? -1 : 0;
 }
 
-/* Streams of one service share its targets, so the shortest max_pause_s of its
-   stream routes applies to the service. */
-static void set_min_pause(Conf *c, const ConfRoute *r) {
+/* Applies a stream route's max_pause_s to its services. Streams of one service
+   share its targets, so the shortest of its stream routes counts. */
+static void apply_route_pause(Conf *c, const ConfRoute *r) {
   for (int i = 0; i < r->n_splits && r->kind == CONF_STREAM; i++) {
     ConfService *s = g_hash_table_lookup(c->services, r->splits[i].service);
     if (s)
@@ -104,7 +104,7 @@
   GHashTableIter it;
   gpointer v;
   for (guint i = 0; i < c->routes->len; i++)
-    set_min_pause(c, c->routes->pdata[i]);
+    apply_route_pause(c, c->routes->pdata[i]);
   g_hash_table_iter_init(&it, c->hosts);
   while (g_hash_table_iter_next(&it, NULL, &v))
     g_ptr_array_sort(v, compare_prefixes);
--- a/packages/conf/conf.h
+++ b/packages/conf/conf.h
@@ -8,26 +8,33 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define CONF_MAX_SPLITS 8 /* services of one route */
-#define CONF_NO_BUDGET -1 /* value for a customer without a budget */
+#define CONF_MAX_SPLITS 8 /* services that one route may be split between */
+#define CONF_NO_BUDGET -1 /* budget_tokens of a customer without a budget */
 
 /* Whether a request may be sent again while its outcome is not known. */
-typedef enum { CONF_SAFE, CONF_UNSAFE, CONF_STREAM } ConfRouteKind;
+typedef enum {
+  CONF_SAFE,   /* yes */
+  CONF_UNSAFE, /* no */
+  CONF_STREAM  /* only if the route is `resumable`; the answer is a stream */
+} ConfRouteKind;
 
 /* Properties of a service's targets; 0: not specified. */
 typedef struct ConfService {
   char *name;
-  bool engine;           /* the targets are model engines */
+  bool engine;           /* the targets are engines that run a language model */
   int batch_slots;       /* engine: requests in one batch */
   int tokens_per_event;  /* engine: tokens in one event of a stream */
-  double cold_max_per_s; /* requests per second that a cold target, one that is
-                            still slow, can serve; 0: as a warm one */
-  double move_s_per_token; /* engine: time to move the memory of one token to
-                              another target; 0: it can't be moved */
+  double cold_max_per_s; /* requests per second that a cold target, which is
+                            still slow after its start, can serve; 0: as many as
+                            a warm one */
+  double move_s_per_token; /* engine: time to move a stream's state to another
+                              target, per token; 0: it can't be moved */
   double max_pause_s;      /* shortest max_pause_s of its stream routes; 0: it
                               has none */
 } ConfService;
 
+/* A service of a route, and its share of the requests: its weight divided by
+   the sum of the route's weights. */
 typedef struct ConfSplit {
   char *service;
   double weight;
@@ -37,13 +44,13 @@
   char *name, *host, *prefix;
   ConfRouteKind kind;
   bool resumable;     /* a stream can be continued after its last event */
-  bool is_public;     /* needs no key */
+  bool is_public;     /* a caller needs no key */
   double timeout_s;   /* time limit of a request */
   double slo_s;       /* time within which an answer has its full value */
   double max_pause_s; /* longest acceptable pause of a stream */
   int priority;       /* 0 is served first */
-  int max_attempts;   /* number of targets that a request may be sent to */
-  char **regions; /* regions that may serve it, NULL-terminated; NULL: any */
+  int max_attempts; /* number of times that a request may be sent to a target */
+  char **regions;   /* regions that may serve it, NULL-terminated; NULL: any */
   ConfSplit splits[CONF_MAX_SPLITS];
   int n_splits;
 } ConfRoute;
@@ -71,13 +78,13 @@
 Conf *conf_new(void);
 Conf *conf_ref(Conf *c);
 void conf_unref(Conf *c);
-/* Add parts to a new configuration. It takes ownership of routes, services and
+/* These add to a new configuration. It takes ownership of routes, services and
    customers, and copies keys. */
 void conf_add_route(Conf *c, ConfRoute *r);
 void conf_add_service(Conf *c, ConfService *s);
 void conf_add_customer(Conf *c, ConfCustomer *u);
 void conf_add_key(Conf *c, const char *key, ConfCustomer *u);
-/* Completes the configuration after all parts were added: sorts the routes of
+/* Completes the configuration after everything was added: sorts the routes of
    each host and sets max_pause_s of the services. */
 void conf_finish(Conf *c);
 
@@ -87,7 +94,8 @@
                                  const char *path);
 const ConfCustomer *conf_find_customer(const Conf *c, const char *key);
 const ConfService *conf_find_service(const Conf *c, const char *name);
-/* Chooses the service of a split route by weight; `fraction` is from 0 to 1. */
+/* Chooses a service of the route by weight. `fraction` is a random number from
+   0 to below 1. Returns NULL if the route has no service. */
 const char *conf_choose_service(const ConfRoute *r, double fraction);
 
 #endif
