--- a/packages/fleet/cluster.c
+++ b/packages/fleet/cluster.c
@@ -227,7 +227,7 @@
 }
 
 static void take_conf(Cluster *c, const char *from, const CodecConfig *m) {
-  if (m->text.size > 0) {
+  if (m->text.text_bytes > 0) {
     if (m->version > c->conf) unpack_conf(c, from, m);
     return;
   }
@@ -549,7 +549,7 @@
   const Member *m = view_find(c->view, id);
   CodecFeed copy = *feed;
   if (!m) return;
-  spread_single_end(m, copy.until);
+  spread_empty_range_end(m, copy.until);
   peer_send_feed(c->peer, m->peer, m->id, &copy);
 }
 
--- a/packages/member/catchup.h
+++ b/packages/member/catchup.h
@@ -31,7 +31,8 @@
 void catchup_note_answer(Catchup *c);
 
 bool catchup_is_lagging(const Catchup *c);
-/* Every reader that sends reports says that the store does not answer. */
+/* Every reader that sends reports has reported that the store does not answer.
+ */
 bool catchup_store_is_unavailable(const Catchup *c, double now);
 /* This instance need not read the store at present. */
 bool catchup_can_skip_store(const Catchup *c, double now);
--- a/packages/member/gossip.c
+++ b/packages/member/gossip.c
@@ -208,7 +208,7 @@
 /* In our data centre, the members that follow the points half the circle on, a
    quarter, an eighth and so on, down to the next member. The points are fixed,
    so that while a fleet starts neighbours change a few times, not with each new
-   member: each change costs a new link. */
+   member: each change needs a new link. */
 static void add_near(Gossip *g, guint from, guint end) {
   const Entry *next = after_point(g, from, end, g->self->hash + 1);
   uint64_t step = (uint64_t)1 << 63;
@@ -402,7 +402,7 @@
   if (e->generation == n->generation && e->state == n->state)
     note_sender(e, from);
   if (hash != from) return;
-  if (!is_live(e)) { /* tell it that it counts as dead */
+  if (!is_live(e)) { /* report to it that it counts as dead */
     send_update(g, n->m.peer, hash, e);
     return;
   }
@@ -525,7 +525,8 @@
   }
 }
 
-/* Extends all deadlines by a pause of our own, which says nothing of others. */
+/* Extends all deadlines by a pause of this process, in which it could not have
+   received what others sent. */
 static void extend_deadlines(Gossip *g, double pause_s) {
   for (guint i = 0; i < g->probes->len; i++)
     g_array_index(g->probes, Probe, i).sent += pause_s;
--- a/packages/member/gossip.h
+++ b/packages/member/gossip.h
@@ -30,7 +30,7 @@
 typedef enum {
   GOSSIP_PING,
   GOSSIP_ACK,
-  GOSSIP_PING_REQUEST, /* asks the receiver to probe `subject` */
+  GOSSIP_PING_REQUEST, /* requests that the receiver probes `subject` */
   GOSSIP_INDIRECT_ACK, /* `subject` answered the receiver of a PING_REQUEST */
   GOSSIP_FULL_STATE,   /* ends a run of updates about all known members */
   GOSSIP_KINDS
--- a/packages/member/handover.h
+++ b/packages/member/handover.h
@@ -5,7 +5,7 @@
    A starting instance requests the list from the neighbour that forwards it
    readers' reports, so that the list follows the tree of the reports: no
    instance serves more requesters than the few that it forwards to. A neighbour
-   without a list says so, and the next report triggers the next attempt. A
+   without a list replies so, and the next report triggers the next attempt. A
    neighbour that does not reply is lost, or runs a build without this request.
  */
 #ifndef MEMBER_HANDOVER_H
@@ -17,7 +17,8 @@
 #include "kernel/limits.h"
 
 /* A part that does not arrive is requested again after this many seconds, once.
-   Then another neighbour is asked, and after two unresponsive ones the store.
+   Then the request goes to another neighbour, and after two unresponsive ones
+   to the store.
  */
 #define HANDOVER_RETRY_S 0.6
 #define HANDOVER_MAX_TRIES 2
--- a/packages/member/member.c
+++ b/packages/member/member.c
@@ -18,9 +18,9 @@
 
 typedef struct Peer {
   Member m;
-  double heard_at;
+  double heartbeat_at;   /* when its last heartbeat arrived */
   double table_moved_at; /* its table was last as new as ours, or advanced */
-  bool list_leaving;     /* the platform's list says that it leaves */
+  bool list_leaving;     /* it is leaving according to the platform's list */
   int greetings_left;
 } Peer;
 
@@ -34,7 +34,8 @@
 
 struct MemberSet {
   Member self;
-  bool self_leaving;    /* the platform's list says that we leave */
+  bool self_leaving;    /* this instance is leaving according to the platform's
+                           list */
   GHashTable *peers;    /* id -> Peer */
   GPtrArray *seeds;     /* Seed* of instances */
   bool greet_pending;   /* some peer has greetings left */
@@ -106,7 +107,7 @@
   if (m->table > p->m.table || m->table >= s->self.table)
     p->table_moved_at = now;
   p->m = *m;
-  p->heard_at = now;
+  p->heartbeat_at = now;
   return changed;
 }
 
@@ -119,7 +120,8 @@
     Peer *p = v;
     if (p->m.table >= s->self.table) p->table_moved_at = now;
     double interval_s = MAX(p->m.heartbeat_interval_s, MEMBER_HEARTBEAT_S);
-    if (now - p->heard_at < interval_s * MEMBER_MAX_MISSED_HEARTBEATS) continue;
+    if (now - p->heartbeat_at < interval_s * MEMBER_MAX_MISSED_HEARTBEATS)
+      continue;
     g_hash_table_iter_remove(&it);
     changed = true;
   }
--- a/packages/member/member.h
+++ b/packages/member/member.h
@@ -1,6 +1,7 @@
 /* member.h: membership of a small fleet; the pure core. Heartbeats between the
-   instances decide which are live; the platform's list gives their addresses
-   and says which are leaving. No safety rule depends on the view being right.
+   instances decide which are live; the platform's list contains their addresses
+   and which of them are leaving. No safety rule depends on the view being
+   right.
  */
 #ifndef MEMBER_MEMBER_H
 #define MEMBER_MEMBER_H
--- a/packages/member/spread.c
+++ b/packages/member/spread.c
@@ -1,5 +1,5 @@
-/* spread.c: splits a range of the ring into SPREAD_FANOUT parts, each of which
-   is split again by its first member. */
+/* spread.c: splits a range of the ring into at most SPREAD_FANOUT parts, each
+   of which is split again by its first member. */
 #include "member/spread.h"
 
 #include <glib.h>
@@ -11,8 +11,8 @@
 } Place;
 
 struct Spread {
-  GArray
-      *ring; /* Place of the others of our region, in ring order after ours */
+  GArray *ring; /* Places of the other members of this region, in ring order
+                   from `self` on */
   char self[SPREAD_PLACE_BYTES];
 };
 
@@ -20,12 +20,14 @@
   g_snprintf(out, SPREAD_PLACE_BYTES, "%s/%s", m->dc, m->id);
 }
 
-void spread_single_end(const Member *to, char out[SPREAD_PLACE_BYTES]) {
+void spread_empty_range_end(const Member *to, char out[SPREAD_PLACE_BYTES]) {
   format_place(to, out);
-  g_strlcat(out, "!", SPREAD_PLACE_BYTES); /* no place sorts between */
+  g_strlcat(out, "!",
+            SPREAD_PLACE_BYTES); /* no place sorts between `to` and this end */
 }
 
-/* Ring order as seen from `self`: the places after it come first. */
+/* Compares places in ring order from `self` on: those that sort after `self`
+   precede those that sort before it. */
 static gint compare_from_self(gconstpointer a, gconstpointer b, gpointer self) {
   const Place *x = a, *y = b;
   bool x_after = strcmp(x->name, self) > 0, y_after = strcmp(y->name, self) > 0;
@@ -54,7 +56,7 @@
   g_free(s);
 }
 
-/* Number of members between us and `until`. */
+/* Returns the number of members between `self` and `until`. */
 static guint count_before(const Spread *s, const char *until) {
   Place end = {0};
   if (!until[0]) return s->ring->len;
--- a/packages/member/view.h
+++ b/packages/member/view.h
@@ -17,15 +17,14 @@
   char http[LIMIT_NAME_BYTES]; /* ip:port for callers and operators */
   bool leaving;
   uint64_t table;              /* table version in force there */
-  double heartbeat_interval_s; /* its next heartbeat comes within this
-                                  time */
-  double table_stale_s;        /* seconds that it has kept an older table than
-                                  ours, without any newer one; not sent */
+  double heartbeat_interval_s; /* time until its next heartbeat, at most */
+  double table_stale_s; /* seconds since its table last advanced or was as new
+                           as this instance's; 0: it is as new now; not sent */
 } Member;
 
 typedef struct View {
   int n;
-  Member list[]; /* by id */
+  Member list[]; /* sorted by id */
 } View;
 
 #define VIEW_MAX_HOMES 16 /* max choices of view_homes */
@@ -33,22 +32,25 @@
 View *view_new(const Member *list, int n);
 View *view_copy(const View *v);
 void view_free(View *v);
-/* The same members with the same `leaving`, which is all that homes depend on;
-   table versions may differ. */
+/* True when both have the same members with the same `leaving`. Homes depend on
+   nothing else, so table versions may differ. */
 bool view_same_members(const View *a, const View *b);
 const Member *view_find(const View *v, const char *id);
-/* The `rank`-th choice (0 first) for `key` among members that are not leaving,
-   within `region` (NULL: any). NULL when there are too few. A member that joins
-   or is lost moves only its own share of the keys. */
+/* Returns the `rank`-th choice (0: the first) for the home of `key` among the
+   members of `region` (NULL: any) that are not leaving, or NULL when there are
+   too few. When a member joins or is lost, only its own share of the keys gets
+   another home. */
 const Member *view_home(const View *v, const char *region, uint64_t key,
                         int rank);
-/* Writes the first `max` choices to `out` and returns their number. It makes
-   one pass over the members, where view_home makes one for each rank. */
+/* Writes the first `max` choices, up to VIEW_MAX_HOMES, to `out` and returns
+   their number. Takes one pass over the members, where view_home takes one for
+   each call. */
 int view_homes(const View *v, const char *region, uint64_t key,
                const Member **out, int max);
-/* Number of regions that have a member. */
+/* Returns the number of regions that have a member. */
 int view_count_regions(const View *v);
-/* Members of `region` (NULL: any) that are not leaving. */
+/* Returns the number of members of `region` (NULL: any) that are not leaving.
+ */
 int view_count_members(const View *v, const char *region);
 
 #endif
--- a/packages/node/giving.c
+++ b/packages/node/giving.c
@@ -89,11 +89,11 @@
 
 void giving_note(Giving *g, const CodecFeed *m) {
   if (g->at == 0 || m->revision <= m->from) return;
-  if (g->bytes + m->changes.n > WORDS_MOST) {
+  if (g->bytes + m->changes.data_bytes > WORDS_MOST) {
     forget(g);
     return;
   }
-  g->bytes += m->changes.n;
+  g->bytes += m->changes.data_bytes;
   g_queue_push_tail(&g->words, codec_feed_copy(m));
 }
 
--- a/packages/peer/decode.c
+++ b/packages/peer/decode.c
@@ -120,12 +120,12 @@
 }
 
 static Packed get_packed(Reader *r) {
-  Packed p = {.size = (uint32_t)get_u64(r)};
+  Packed p = {.text_bytes = (uint32_t)get_u64(r)};
   const msgpack_object *o = next_value(r);
   r->damaged |= !o || o->type != MSGPACK_OBJECT_BIN;
   if (r->damaged || o->via.bin.size == 0) return (Packed){0};
-  p.n = o->via.bin.size;
-  p.data = g_memdup2(o->via.bin.ptr, p.n);
+  p.data_bytes = o->via.bin.size;
+  p.data = g_memdup2(o->via.bin.ptr, p.data_bytes);
   return p;
 }
 
@@ -145,8 +145,8 @@
   m->pool = get_u64(r);
   m->report.long_tokens = get_count(r);
   m->report.short_tokens = get_count(r);
-  m->report.streams = get_count(r) / FORMAT_THOUSAND;
-  m->report.stalled = get_count(r) / FORMAT_THOUSAND;
+  m->report.streams = get_count(r) / FORMAT_FRACTION_SCALE;
+  m->report.stalled = get_count(r) / FORMAT_FRACTION_SCALE;
 }
 
 static void get_parts(Reader *r, TargetParts *m) {
@@ -210,7 +210,7 @@
   m->msg.digest.lo = get_u64(r);
   m->msg.owner = get_u64(r);
   m->msg.target = get_u64(r);
-  m->msg.first_mark_age_s = get_count(r) / FORMAT_THOUSAND;
+  m->msg.first_mark_age_s = get_count(r) / FORMAT_FRACTION_SCALE;
 }
 
 static double get_limit(Reader *r) {
@@ -218,7 +218,7 @@
     next_value(r);
     return QUOTA_UNLIMITED;
   }
-  return get_count(r) / FORMAT_THOUSAND;
+  return get_count(r) / FORMAT_FRACTION_SCALE;
 }
 
 static void get_permit_request(Reader *r, TallyPermitRequest *m) {
@@ -226,10 +226,10 @@
   m->target = get_u64(r);
   m->counter = get_u64(r);
   m->run = get_u64(r);
-  m->bounds.cold_per_s = get_count(r) / FORMAT_THOUSAND;
+  m->bounds.cold_per_s = get_count(r) / FORMAT_FRACTION_SCALE;
   m->bounds.limit = get_limit(r);
   m->bounds.over_limit = get_small(r, 2);
-  m->reachable_share = get_count(r) / FORMAT_THOUSAND;
+  m->reachable_share = get_count(r) / FORMAT_FRACTION_SCALE;
   r->damaged |= m->reachable_share > 1;
 }
 
@@ -237,7 +237,7 @@
   m->number = get_u64(r);
   m->target = get_u64(r);
   m->verdict = (TallyVerdict)get_small(r, TALLY_VERDICTS);
-  m->wait_s = get_count(r) / FORMAT_THOUSAND;
+  m->wait_s = get_count(r) / FORMAT_FRACTION_SCALE;
   m->limit = get_limit(r);
 }
 
@@ -380,7 +380,7 @@
 
 CodecFeed *codec_feed_copy(const CodecFeed *m) {
   CodecFeed *copy = g_memdup2(m, sizeof *m);
-  copy->changes.data = g_memdup2(m->changes.data, m->changes.n);
+  copy->changes.data = g_memdup2(m->changes.data, m->changes.data_bytes);
   return copy;
 }
 
--- a/packages/peer/encode.c
+++ b/packages/peer/encode.c
@@ -83,11 +83,11 @@
 void codec_put_once(msgpack_sbuffer *b, const OnceMsg *m) {
   msgpack_packer p;
   msgpack_packer_init(&p, b, msgpack_sbuffer_write);
-  bool answer = m->answer.status != 0;
-  bool bill = m->kind == ONCE_FINISH || m->kind == ONCE_COPY_BILL;
-  bool target = m->target[0] != '\0';
-  msgpack_pack_array(&p,
-                     8 + (bill ? 3 : 0) + (target ? 1 : 0) + (answer ? 3 : 0));
+  bool has_answer = m->answer.status != 0;
+  bool has_bill = m->kind == ONCE_FINISH || m->kind == ONCE_COPY_BILL;
+  bool has_target = m->target[0] != '\0';
+  msgpack_pack_array(&p, 8 + (has_bill ? 3 : 0) + (has_target ? 1 : 0) +
+                             (has_answer ? 3 : 0));
   msgpack_pack_uint8(&p, CODEC_ONCE);
   msgpack_pack_uint8(&p, (uint8_t)m->kind);
   msgpack_pack_uint64(&p, m->key.hi);
@@ -95,15 +95,15 @@
   msgpack_pack_uint64(&p, m->nonce);
   msgpack_pack_uint64(&p, m->digest);
   msgpack_pack_uint8(&p, (uint8_t)m->verdict);
-  msgpack_pack_uint8(
-      &p, (uint8_t)(m->duplicate | bill << 1 | answer << 2 | target << 3));
-  if (bill) {
+  msgpack_pack_uint8(&p, (uint8_t)(m->duplicate | has_bill << 1 |
+                                   has_answer << 2 | has_target << 3));
+  if (has_bill) {
     put_str(&p, m->bill.customer);
     put_str(&p, m->bill.budget);
     msgpack_pack_int64(&p, m->bill.tokens);
   }
-  if (target) put_str(&p, m->target);
-  if (!answer) return;
+  if (has_target) put_str(&p, m->target);
+  if (!has_answer) return;
   msgpack_pack_int(&p, m->answer.status);
   put_str(&p, m->answer.type);
   if (!m->answer.body) {
@@ -126,9 +126,9 @@
 }
 
 static void put_packed(msgpack_packer *p, const Packed *text) {
-  msgpack_pack_uint32(p, text->size);
-  msgpack_pack_bin(p, text->n);
-  msgpack_pack_bin_body(p, text->data, text->n);
+  msgpack_pack_uint32(p, text->text_bytes);
+  msgpack_pack_bin(p, text->data_bytes);
+  msgpack_pack_bin_body(p, text->data, text->data_bytes);
 }
 
 void codec_put_config(msgpack_sbuffer *b, uint64_t version,
@@ -151,9 +151,10 @@
   msgpack_pack_int64(&p, m->tokens);
 }
 
-/* Counts of streams are sent in thousandths, since they decay over time. */
+/* Converts a number with a fraction, such as a time, a rate or a decaying count
+   of streams, to the integer that is sent for it. */
 static int64_t thousandths(double v) {
-  return (int64_t)round(v * FORMAT_THOUSAND);
+  return (int64_t)round(v * FORMAT_FRACTION_SCALE);
 }
 
 void codec_put_pool(msgpack_sbuffer *b, const TargetsPoolReport *m) {
@@ -249,7 +250,7 @@
   msgpack_pack_int64(&p, thousandths(m->msg.first_mark_age_s));
 }
 
-/* The absence of a limit is sent as nil. */
+/* Encodes a rate limit per second; nil: no limit. */
 static void put_limit(msgpack_packer *p, double limit) {
   if (limit < QUOTA_UNLIMITED)
     msgpack_pack_int64(p, thousandths(MIN(limit, LIMIT_TARGET_RATE_PER_S)));
--- a/packages/peer/format.h
+++ b/packages/peer/format.h
@@ -2,8 +2,8 @@
 #ifndef PEER_FORMAT_H
 #define PEER_FORMAT_H
 
-#define FORMAT_VERSION 1 /* of a frame */
-/* Fractions are sent in thousandths. */
-#define FORMAT_THOUSAND 1000.0
+#define FORMAT_VERSION 1 /* version of the frame format, sent in its head */
+/* Numbers with a fraction are multiplied by this and sent as integers. */
+#define FORMAT_FRACTION_SCALE 1000.0
 
 #endif
--- a/packages/peer/packed.h
+++ b/packages/peer/packed.h
@@ -1,6 +1,6 @@
-/* packed.h: a text as it is sent between instances, compressed where that makes
-   it shorter: a configuration of thousands of routes, or the list of targets,
-   would exceed the capacity of a link uncompressed. */
+/* packed.h: a text as it is sent between instances, compressed if that makes it
+   shorter. Without compression, a configuration of thousands of routes or the
+   list of targets would exceed the capacity of a link. */
 #ifndef PEER_PACKED_H
 #define PEER_PACKED_H
 
@@ -8,14 +8,15 @@
 #include <stdint.h>
 
 typedef struct Packed {
-  uint32_t size; /* bytes of the text; 0: no text */
-  uint32_t n;    /* bytes of `data`; equal to `size`: not compressed */
-  uint8_t *data;
+  uint32_t text_bytes; /* length of the text; 0: no text */
+  uint32_t data_bytes; /* length of `data` */
+  uint8_t *data;       /* compressed unless `data_bytes` equals `text_bytes` */
 } Packed;
 
-/* `text` may be NULL: no text. */
+/* Packs `text`; NULL: no text. Free the result with packed_free. */
 Packed packed_new(const char *text);
-/* The text, to be freed with g_free; NULL: no text, or damaged data. */
+/* Returns the text, which the caller frees with g_free, or NULL if there is
+   none or the data is damaged. */
 char *packed_text(const Packed *p);
 void packed_free(Packed *p);
 
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -248,8 +248,9 @@
   Packed p = packed_new(text);
   msgpack_sbuffer b;
   CodecMsg m;
-  cr_assert_gt(p.size, 200000);
-  cr_assert_lt(p.n, p.size / 10, "%u of %u", p.n, p.size);
+  cr_assert_gt(p.text_bytes, 200000);
+  cr_assert_lt(p.data_bytes, p.text_bytes / 10, "%u of %u", p.data_bytes,
+               p.text_bytes);
   msgpack_sbuffer_init(&b);
   codec_put_config(&b, 7, &p);
   cr_assert(decodes_whole(&b, &m));
@@ -266,14 +267,14 @@
 Test(codec, a_damaged_text_is_rejected) {
   char *text = make_routes(100);
   Packed p = packed_new(text);
-  p.data[p.n / 2] ^= 0x55;
-  p.data[p.n / 2 + 1] ^= 0x55;
+  p.data[p.data_bytes / 2] ^= 0x55;
+  p.data[p.data_bytes / 2 + 1] ^= 0x55;
   cr_assert_null(packed_text(&p));
   packed_free(&p);
   p = packed_new(text);
-  p.size += 1;
+  p.text_bytes += 1;
   cr_assert_null(packed_text(&p), "the length differs");
-  p.size = UINT32_MAX;
+  p.text_bytes = UINT32_MAX;
   cr_assert_null(packed_text(&p), "exceeds the max length");
   packed_free(&p);
   g_free(text);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -82,19 +82,20 @@
 }
 
 static void put_config(msgpack_sbuffer *b) {
-  Packed text = {.size = 10, .n = 3, .data = (void *)"abc"};
+  Packed text = {.text_bytes = 10, .data_bytes = 3, .data = (void *)"abc"};
   codec_put_config(b, 7, &text);
 }
 
 static void put_feed(msgpack_sbuffer *b) {
-  CodecFeed m = {.reader = 1,
-                 .until = "d n.1",
-                 .store_result = (ReadersStoreResult)1,
-                 .kind = 2,
-                 .from = 3,
-                 .revision = 4,
-                 .lapsed = true,
-                 .changes = {.size = 10, .n = 3, .data = (void *)"abc"}};
+  CodecFeed m = {
+      .reader = 1,
+      .until = "d n.1",
+      .store_result = (ReadersStoreResult)1,
+      .kind = 2,
+      .from = 3,
+      .revision = 4,
+      .lapsed = true,
+      .changes = {.text_bytes = 10, .data_bytes = 3, .data = (void *)"abc"}};
   codec_put_feed(b, &m);
 }
 
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -46,7 +46,7 @@
   for (*bytes = 0; more; parts++) {
     char *text = roster_part(from, NOW, &at, &more);
     Packed p = packed_new(text);
-    *bytes += p.n;
+    *bytes += p.data_bytes;
     cr_assert(roster_read(text, set_target, to));
     packed_free(&p);
     free(text);
