--- a/bin/loftpathd.c
+++ b/bin/loftpathd.c
@@ -205,7 +205,7 @@
 
 /* Under a settings file of the users' machines it is an instance there. */
 int main(int argc, char **argv) {
-  if (getenv(SETTINGS_FILE)) return node_run(argc, argv);
+  if (getenv(SETTINGS_FILE_ENV)) return node_run(argc, argv);
   Err e = {0};
   bool ok = settings_read(settings, argc, argv,
                           "loftpathd -- one instance of the router fleet", &e);
--- a/packages/kernel/settings.c
+++ b/packages/kernel/settings.c
@@ -124,7 +124,7 @@
   struct argp argp = {.options = options, .parser = parse_option, .doc = about};
   if (argp_parse(&argp, argc, argv, 0, NULL, list) != 0)
     return err_set(e, ERR_SETTING, "the flags can't be read");
-  const char *path = getenv(SETTINGS_FILE);
+  const char *path = getenv(SETTINGS_FILE_ENV);
   for (int i = 0; i < n; i++)
     if (!list[i].value) list[i].value = getenv(list[i].env);
   if (path && !read_file(list, path, e)) return false;
