--- a/packages/conf/conf.h
+++ b/packages/conf/conf.h
@@ -21,14 +21,14 @@
 /* Properties of a service's targets; 0: not specified. */
 typedef struct ConfService {
   char *name;
-  bool engine;           /* the targets are engines that run a language model */
-  int batch_slots;       /* engine: requests in one batch */
-  int tokens_per_event;  /* engine: tokens in one event of a stream */
-  double cold_max_per_s; /* requests per second that a cold target, which is
-                            still slow after its start, can serve; 0: as many as
-                            a warm one */
-  double move_s_per_token; /* engine: time to move a stream's state to another
-                              target, per token; 0: it can't be moved */
+  bool engine;             /* the targets are engines, which run a model */
+  int batch_slots;         /* engine: requests in one batch */
+  int tokens_per_event;    /* engine: tokens in one event of a stream */
+  double cold_max_per_s;   /* requests per second that a cold target, which is
+                              still slow after its start, can serve; 0: as many as
+                              a warm one */
+  double move_s_per_token; /* engine: time to move the cached state of one token
+                              to another target; 0: it can't be moved */
   double max_pause_s;      /* shortest max_pause_s of its stream routes; 0: it
                               has none */
 } ConfService;
