--- a/bin/loftpathd.c
+++ b/bin/loftpathd.c
@@ -206,7 +206,7 @@
 /* If the environment names a settings file, as on the users' machines, node_run
    runs the instance; otherwise this file does. */
 int main(int argc, char **argv) {
-  if (getenv(SETTINGS_FILE)) return node_run(argc, argv);
+  if (getenv(SETTINGS_FILE_ENV)) return node_run(argc, argv);
   Err e = {0};
   bool ok = settings_read(settings, argc, argv,
                           "loftpathd -- one instance of the router fleet", &e);
--- a/packages/node/giving.c
+++ b/packages/node/giving.c
@@ -91,11 +91,11 @@
 
 void giving_add_update(Giving *g, const CodecFeed *m) {
   if (g->revision == 0 || m->revision <= m->from) return;
-  if (g->update_bytes + m->changes.n > UPDATES_MAX_BYTES) {
+  if (g->update_bytes + m->changes.data_bytes > UPDATES_MAX_BYTES) {
     discard_list(g);
     return;
   }
-  g->update_bytes += m->changes.n;
+  g->update_bytes += m->changes.data_bytes;
   g_queue_push_tail(&g->updates, codec_feed_copy(m));
 }
 
