--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,31 +1,32 @@
-/* claim.pml: claims of one key, kept by homes in a head and sealed parts.
+/* claim.pml: claims of one key, stored by homes in a head and sealed parts.
 
-   Two runners ask for the same key. Either of two homes may serve them: being
-   the home is no privilege, a paused one wakes up with what it read long ago.
-   The head changes by conditional update only; a home may seal what the head
-   holds into a part that never changes, and lists it in the head. Answers of
-   the store are lost, homes lose all they know, words of homes come late.
+   Two runners request a claim of the same key. Either of two homes may serve
+   them: the home has no exclusive right, and one that resumes after a pause acts
+   on an old read. The head, the mutable object of recent claims, changes by
+   conditional update only. A home may seal the head's claims into a part, which
+   is immutable, and lists the part in the head. Responses of the store are lost,
+   homes lose their state, and replies of homes arrive late.
 
-   claim values: 0 none, n claimed by runner n, n + GONE given up by runner n.
+   Claim values: 0 none, n claimed by runner n, n + RELEASED released by runner n.
 
-   Invariants: the key runs at most once; who was told "not run" did not run.
-   Switches that must break them: NO_VERSION, NO_PARTS (what was sealed is not
-   looked at), CLEAR_FIRST (the head is emptied before the part is written),
-   SPEAK_FIRST (a home answers before the store did), LATE_RUN (a runner that
-   gave up takes a late word). */
+   Invariants: the key runs at most once; a runner that answered "not run" did not
+   run it. Switches that must break them: NO_VERSION, NO_PARTS (sealed claims are
+   not checked), CLEAR_FIRST (the head is emptied before the part is written),
+   SPEAK_FIRST (a home replies before the store responded), LATE_RUN (a runner
+   that gave up accepts a late reply). */
 
-#define GONE 4
+#define RELEASED 4
 #define HOMES 2
 
-byte head, part; /* the store: part is 0 until one is listed */
-bool current[HOMES]; /* no write since this home read: its version still holds */
+byte head, part; /* the store; part is 0 until one is listed */
+bool current[HOMES]; /* no write since this home's read: its version matches */
 byte runs;
-bool asked[6];    /* asked[2 * home + runner - 1]: a claim is on its way */
-bool released[6]; /* the same, to take it back */
-bool told_run[3], told_no[3];
-bool said_not_run[3], ran[3];
+bool claim_requested[6];   /* [2 * home + runner - 1]: a claim request is under way */
+bool release_requested[6]; /* the same index: a release is under way */
+bool reply_run[3], reply_refused[3];
+bool answered_not_run[3], ran[3];
 
-inline conditional(new_head, new_part) {
+inline conditional_write(new_head, new_part) {
   if
 #ifdef NO_VERSION
   :: true ->
@@ -34,70 +35,71 @@
 #endif
      head = new_head; part = new_part; current[0] = false; current[1] = false;
      if
-     :: skip            /* the answer came */
-     :: goto fresh      /* it was lost, and took effect */
+     :: skip             /* the response arrived */
+     :: goto reread      /* the response was lost; the write took effect */
      fi
-  :: else -> goto fresh /* lost the race */
+  :: else -> goto reread /* lost the race */
   fi
 }
 
-/* What a home knows is as old as its last read; each step acts on it at once. */
+/* A home's state is that of its last read; each step acts on it atomically. */
 proctype Home(byte me) {
   byte h, p, known, n;
-fresh:
+reread:
   atomic { current[me] = true; h = head; p = part; known = 0; n = 0 }
 serve:
   atomic {
     known = 0; n = 0;
     if
-    :: !current[me] -> goto fresh /* lost all it knew, or read again */
-    :: asked[2 * me] -> n = 1; goto take
-    :: asked[2 * me + 1] -> n = 2; goto take
-    :: released[2 * me] -> n = 1; goto give
-    :: released[2 * me + 1] -> n = 2; goto give
+    :: !current[me] -> goto reread /* lost its state, or reads again */
+    :: claim_requested[2 * me] -> n = 1; goto handle_claim
+    :: claim_requested[2 * me + 1] -> n = 2; goto handle_claim
+    :: release_requested[2 * me] -> n = 1; goto handle_release
+    :: release_requested[2 * me + 1] -> n = 2; goto handle_release
     :: h != 0 -> goto seal
     :: goto end_home
     fi;
-take:
+handle_claim:
 #ifdef NO_PARTS
     known = h;
 #else
     known = (h != 0 -> h : p);
 #endif
     if
-    :: known == n -> asked[2 * me + n - 1] = false; told_run[n] = true; goto serve
-    :: known == n + GONE || (known != 0 && known < GONE && known != n) ->
-       asked[2 * me + n - 1] = false; told_no[n] = true; goto serve
+    :: known == n ->
+       claim_requested[2 * me + n - 1] = false; reply_run[n] = true; goto serve
+    :: known == n + RELEASED || (known != 0 && known < RELEASED && known != n) ->
+       claim_requested[2 * me + n - 1] = false; reply_refused[n] = true; goto serve
     :: else -> skip
     fi;
 #ifdef SPEAK_FIRST
-    told_run[n] = true;
+    reply_run[n] = true;
 #endif
-    conditional(n, p);
-    asked[2 * me + n - 1] = false;
-    told_run[n] = true;
-    goto fresh;
-give:
+    conditional_write(n, p);
+    claim_requested[2 * me + n - 1] = false;
+    reply_run[n] = true;
+    goto reread;
+handle_release:
     known = (h != 0 -> h : p);
     if
     :: known == n || known == 0 -> skip
-    :: else -> released[2 * me + n - 1] = false; goto serve
+    :: else -> release_requested[2 * me + n - 1] = false; goto serve
     fi;
-    conditional(n + GONE, p);
-    released[2 * me + n - 1] = false;
-    goto fresh;
+    conditional_write(n + RELEASED, p);
+    release_requested[2 * me + n - 1] = false;
+    goto reread;
 seal:
 #ifdef CLEAR_FIRST
-    conditional(0, p);
+    conditional_write(0, p);
   }
   if
-  :: atomic { part = h; goto fresh }
-  :: goto fresh /* it is lost before it wrote */
+  :: atomic { part = h; goto reread }
+  :: goto reread /* the home loses its state before it writes */
   fi;
 #else
-    /* The part was written under a name of its own before this. */
-    conditional(0, h);
-    goto fresh
+    /* The part was written under a unique name before this. */
+    conditional_write(0, h);
+    goto reread
   }
 #endif
 end_home:
@@ -105,34 +107,34 @@
 }
 
 proctype Runner(byte me) {
-  bool gone_up = false;
-  asked[me - 1] = true;
-wait:
+  bool gave_up = false;
+  claim_requested[me - 1] = true;
+await_reply:
   if
-  :: told_run[me] -> goto go
-  :: told_no[me] -> said_not_run[me] = true; goto end_run
-  :: asked[2 + me - 1] = true; goto wait1 /* the other home */
+  :: reply_run[me] -> goto run_request
+  :: reply_refused[me] -> answered_not_run[me] = true; goto end_run
+  :: claim_requested[2 + me - 1] = true; goto await_second_reply /* the other home */
   :: goto give_up
   :: goto end_run /* crash */
   fi;
-wait1:
+await_second_reply:
   if
-  :: told_run[me] -> goto go
-  :: told_no[me] -> said_not_run[me] = true; goto end_run
+  :: reply_run[me] -> goto run_request
+  :: reply_refused[me] -> answered_not_run[me] = true; goto end_run
   :: goto give_up
   :: goto end_run
   fi;
 give_up:
-  said_not_run[me] = true;
+  answered_not_run[me] = true;
   if
-  :: released[me - 1] = true
-  :: released[2 + me - 1] = true
+  :: release_requested[me - 1] = true
+  :: release_requested[2 + me - 1] = true
   fi;
 #ifdef LATE_RUN
-  told_run[me] -> goto go;
+  reply_run[me] -> goto run_request;
 #endif
   goto end_run;
-go:
+run_request:
   if
   :: goto end_run
   :: atomic { runs++; ran[me] = true }
@@ -141,13 +143,13 @@
   skip
 }
 
-active proctype Watch() {
+active proctype CheckSingleRun() {
   atomic { runs > 1 -> assert(false) }
 }
 
-active proctype Truth() {
+active proctype CheckNotRunAnswers() {
   atomic {
-    (said_not_run[1] && ran[1]) || (said_not_run[2] && ran[2]) -> assert(false)
+    (answered_not_run[1] && ran[1]) || (answered_not_run[2] && ran[2]) -> assert(false)
   }
 }
 
--- a/spec/once.pml
+++ b/spec/once.pml
@@ -1,32 +1,32 @@
-/* once.pml: a request that may not be repeated, asked for at two instances.
+/* once.pml: a non-repeatable request that arrives at two instances.
 
-   Each router claims the key with a conditional update before it dispatches;
-   the answer to the update may be lost, after which it reads again and finds
-   its own nonce or another's. Routers crash between any two steps.
+   Each router claims the request's key with a conditional update before it
+   dispatches. The response to the update may be lost; the router then reads again
+   and finds its own nonce or another's. Routers crash between any two steps.
 
-   Invariants: it runs at most once; whoever says "not run" speaks the truth.
-   Switches that must break them: CLAIM_AFTER, NO_VERSION, and ASSUME, which
-   takes an update without an answer for one that took effect. */
+   Invariants: the request runs at most once; a router that answers "not run" did
+   not run it. Switches that must break them: CLAIM_AFTER, NO_VERSION, and ASSUME,
+   which treats an update without a response as one that took effect. */
 
 byte version, claim; /* claim: 0 none, else the nonce of the run */
 byte runs;
-bool said_not_run[3], ran[3];
+bool answered_not_run[3], ran[3];
 
 proctype Router(byte me) {
-  byte seen, found;
-again:
+  byte read_version, read_claim_value;
+read_claim:
 #ifdef CLAIM_AFTER
-  atomic { found = claim }
+  atomic { read_claim_value = claim }
   if
-  :: found == 0 -> atomic { runs++; ran[me] = true }
+  :: read_claim_value == 0 -> atomic { runs++; ran[me] = true }
   :: else -> goto refused
   fi;
 #endif
-  atomic { seen = version; found = claim }
+  atomic { read_version = version; read_claim_value = claim }
   if
-  :: found == me -> goto dispatch
-  :: found != 0 && found != me -> goto refused
-  :: found == 0 ->
+  :: read_claim_value == me -> goto dispatch
+  :: read_claim_value != 0 && read_claim_value != me -> goto refused
+  :: read_claim_value == 0 ->
      if
      :: goto crash
      :: skip
@@ -36,24 +36,24 @@
 #ifdef NO_VERSION
        :: true ->
 #else
-       :: seen == version ->
+       :: read_version == version ->
 #endif
           claim = me; version++;
           if
-          :: skip             /* the answer came */
-          :: goto again_read  /* it was lost, and took effect */
+          :: skip       /* the response arrived */
+          :: goto retry /* the response was lost; the update took effect */
           fi
-       :: else -> goto again_read /* lost the race, heard of or not */
+       :: else -> goto retry /* lost the race, with or without a response */
        fi
      };
      goto dispatch
   fi;
-again_read:
+retry:
   if
 #ifdef ASSUME
   :: goto dispatch
 #endif
-  :: goto again
+  :: goto read_claim
   :: goto crash
   fi;
 dispatch:
@@ -66,19 +66,19 @@
 #endif
   goto done;
 refused:
-  said_not_run[me] = true;
+  answered_not_run[me] = true;
 crash:
 done:
   skip
 }
 
-active proctype Watch() {
+active proctype CheckSingleRun() {
   atomic { runs > 1 -> assert(false) }
 }
 
-active proctype Truth() {
+active proctype CheckNotRunAnswers() {
   atomic {
-    (said_not_run[1] && ran[1]) || (said_not_run[2] && ran[2]) -> assert(false)
+    (answered_not_run[1] && ran[1]) || (answered_not_run[2] && ran[2]) -> assert(false)
   }
 }
 
--- a/spec/run.sh
+++ b/spec/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# run.sh: checks the models exhaustively, and that each switch breaks them.
+# run.sh: checks the models exhaustively and verifies that each switch breaks them.
 set -euo pipefail
 cd "$(dirname "$0")"
 tmp=$(mktemp -d)
@@ -9,21 +9,21 @@
 check() {
   local dir="$tmp/$1-$2" flags=() states errors
   mkdir "$dir"
-  local search=() table=26                      # 2^26 slots for all states
-  [ "$2" = - ] || flags=("-D$2") search=(-DBFS) table=22 # the shortest way to break it
+  local search=() table=26                      # 2^26 hash slots, for an exhaustive search
+  [ "$2" = - ] || flags=("-D$2") search=(-DBFS) table=22 # breadth first: the shortest counterexample
   (cd "$dir" && spin "${flags[@]}" -a "$OLDPWD/$1.pml" >/dev/null &&
     gcc -O3 "${search[@]}" -DSAFETY -DCOLLAPSE -DMEMLIM=6000 -w -o pan pan.c)
   (cd "$dir" && ./pan -E -m2000000 -w$table >out 2>&1) || true
   errors=$(grep -c "assertion violated" "$dir/out" || true)
   states=$(grep 'states, stored' "$dir/out" | awk '{print $1}')
-  local whole=yes
-  grep -qE 'max search depth too small|out of memory|MEMLIM bound' "$dir/out" && whole=no
+  local complete=yes
+  grep -qE 'max search depth too small|out of memory|MEMLIM bound' "$dir/out" && complete=no
   local verdict=holds
   [ "$errors" = 0 ] || verdict=breaks
-  if [ "$verdict" = "$3" ] && { [ "$3" = breaks ] || [ "$whole" = yes ]; }; then
+  if [ "$verdict" = "$3" ] && { [ "$3" = breaks ] || [ "$complete" = yes ]; }; then
     printf 'ok      %-8s %-14s %s, %s states\n' "$1" "$2" "$verdict" "$states"
   else
-    printf 'not ok  %-8s %-14s %s (search whole: %s), expected: %s\n' "$1" "$2" "$verdict" "$whole" "$3"
+    printf 'not ok  %-8s %-14s %s (search complete: %s), expected: %s\n' "$1" "$2" "$verdict" "$complete" "$3"
   fi
 }
 
