--- a/bench/budget.c
+++ b/bench/budget.c
@@ -30,7 +30,7 @@
 };
 
 typedef struct Result {
-  WorldSums sums;
+  WorldTotals sums;
   int64_t total, consumed, stranded, early; /* early: before the last 1% */
   int64_t overspent;
 } Result;
@@ -54,9 +54,9 @@
 static WorldRequest draw_request(const Shape *s, GRand *r, int node) {
   WorldRequest q = {.node = node};
   snprintf(q.budget, sizeof q.budget, "c%d/any", pick_customer(r));
-  q.used = 50 + g_rand_int_range(r, 0, (gint32)(2 * s->mean - 100));
-  q.amount = q.used + g_rand_int_range(r, 0, 600);
-  q.lasts_s = 0.5 + g_rand_double(r) * 3;
+  q.consumed = 50 + g_rand_int_range(r, 0, (gint32)(2 * s->mean - 100));
+  q.amount = q.consumed + g_rand_int_range(r, 0, 600);
+  q.duration_s = 0.5 + g_rand_double(r) * 3;
   return q;
 }
 
@@ -72,12 +72,12 @@
   double t = step * STEP_S;
   const double cut = 300, kill = 500, outage = 700;
   if (t == cut) {
-    world_cut(w, s->halls[0], true);
-    world_cut_store(w, s->halls[0], true);
+    world_cut_region(w, s->halls[0], true);
+    world_cut_region_store(w, s->halls[0], true);
   }
   if (t == cut + 600) {
-    world_cut(w, s->halls[0], false);
-    world_cut_store(w, s->halls[0], false);
+    world_cut_region(w, s->halls[0], false);
+    world_cut_region_store(w, s->halls[0], false);
   }
   if (t == kill) {
     world_kill(w, 1);
@@ -87,8 +87,8 @@
     world_restart(w, 1);
     dead[1] = false;
   }
-  if (t == outage) world_store(w, WORLD_STORE_HUNG);
-  if (t == outage + 120) world_store(w, WORLD_STORE_UP);
+  if (t == outage) world_set_store_mode(w, WORLD_STORE_HUNG);
+  if (t == outage + 120) world_set_store_mode(w, WORLD_STORE_UP);
 }
 
 static Result run(const Shape *s, bool faults, uint32_t seed) {
@@ -99,11 +99,11 @@
   char name[LIMIT_NAME];
   for (int i = 0; i < NODES; i++) {
     snprintf(name, sizeof name, "n%d", i);
-    world_node(w, name, s->halls[i % 3], s->halls[i % 3]);
+    world_add_node(w, name, s->halls[i % 3], s->halls[i % 3]);
   }
   for (int i = 0; i < CUSTOMERS; i++) {
     snprintf(name, sizeof name, "c%d/any", i);
-    world_budget(w, name, budget_total(s, i), s->reserve_s);
+    world_set_budget(w, name, budget_total(s, i), s->reserve_s);
     out.total += budget_total(s, i);
   }
   world_advance(w, 3);
@@ -112,7 +112,7 @@
     int n = (int)(s->rate * STEP_S);
     for (int i = 0; i < n; i++) {
       WorldRequest q = draw_request(s, r, pick_node(r, dead));
-      world_request(w, &q);
+      world_start_request(w, &q);
     }
     world_advance(w, STEP_S);
   }
@@ -121,31 +121,31 @@
     world_drain(w, i);
     world_advance(w, 10);
   }
-  out.sums = world_sums(w);
-  out.early = out.sums.false_refused_early;
+  out.sums = world_totals(w);
+  out.early = out.sums.early_false_refusals;
   for (int i = 0; i < CUSTOMERS; i++) {
     snprintf(name, sizeof name, "c%d/any", i);
-    int64_t used = world_consumed(w, name);
+    int64_t used = world_consumed_tokens(w, name);
     out.consumed += used;
     out.stranded += budget_total(s, i) - used - world_free_tokens(w, name);
     if (used > budget_total(s, i)) out.overspent += used - budget_total(s, i);
   }
-  if (world_broken(w)[0]) printf("# broken: %s\n", world_broken(w));
+  if (world_violation(w)[0]) printf("# broken: %s\n", world_violation(w));
   g_rand_free(r);
   world_free(w);
   return out;
 }
 
 static void add(Result *all, const Result *x) {
-  WorldSums *a = &all->sums;
-  const WorldSums *b = &x->sums;
+  WorldTotals *a = &all->sums;
+  const WorldTotals *b = &x->sums;
   all->total += x->total;
   all->stranded += x->stranded;
   all->early += x->early;
   all->overspent += x->overspent;
   a->requests += b->requests;
   a->done += b->done;
-  a->false_refused += b->false_refused;
+  a->false_refusals += b->false_refusals;
   a->writes += b->writes;
   a->reads += b->reads;
   a->bytes += b->bytes;
@@ -178,15 +178,15 @@
       int c = q.budget[1] - '0';
       out.sums.requests++;
       if (left[node][c] >= q.amount) {
-        left[node][c] -= q.used;
-        all[c] -= q.used;
-        out.consumed += q.used;
+        left[node][c] -= q.consumed;
+        all[c] -= q.consumed;
+        out.consumed += q.consumed;
         out.sums.done++;
         continue;
       }
       out.sums.refused++;
       if (all[c] < q.amount) continue;
-      out.sums.false_refused++;
+      out.sums.false_refusals++;
       if (all[c] > budget_total(s, c) / 100) out.early++;
     }
   }
@@ -217,15 +217,15 @@
       bool covered = all[c] >= q.amount;
       out.sums.requests++;
       if (covered && !cut && !down) {
-        all[c] -= q.used;
-        out.consumed += q.used;
+        all[c] -= q.consumed;
+        out.consumed += q.consumed;
         out.sums.done++;
         out.sums.writes += 2;
         continue;
       }
       out.sums.refused++;
       if (!covered) continue;
-      out.sums.false_refused++;
+      out.sums.false_refusals++;
       if (all[c] > budget_total(s, c) / 100) out.early++;
     }
   }
@@ -237,7 +237,7 @@
 
 static void print(const Shape *s, bool faults, const char *how, int runs,
                   const Result *x) {
-  double n = (double)(x->sums.done + x->sums.false_refused);
+  double n = (double)(x->sums.done + x->sums.false_refusals);
   printf("{\"bench\":\"budget\",\"shape\":\"%s\",\"faults\":%s,\"ledger\":"
          "\"%s\",\"requests\":%" G_GINT64_FORMAT ",\"done\":%" G_GINT64_FORMAT
          ",\"overspent\":%" G_GINT64_FORMAT
@@ -245,7 +245,7 @@
          "%" G_GINT64_FORMAT ",\"stranded_ppm\":%.0f,\"writes_s\":%.2f,"
          "\"reads_s\":%.2f,\"bytes_s_instance\":%.0f}\n",
          s->name, faults ? "true" : "false", how, x->sums.requests,
-         x->sums.done, x->overspent, 1e6 * (double)x->sums.false_refused / n,
+         x->sums.done, x->overspent, 1e6 * (double)x->sums.false_refusals / n,
          1e6 * (double)x->early / n, x->stranded,
          1e6 * (double)x->stranded / (double)x->total,
          (double)x->sums.writes / RUN_S / runs,
--- a/fakes/booking.c
+++ b/fakes/booking.c
@@ -25,8 +25,8 @@
   int bay = ++bays;
   pthread_mutex_unlock(&lock);
   if (strcmp(mode, "lost") == 0) return NULL;
-  return fake_reply(status, 201,
-                    json_pack("{s:i,s:i}", "bay", bay, "times", n));
+  return fake_json_response(status, 201,
+                            json_pack("{s:i,s:i}", "bay", bay, "times", n));
 }
 
 static struct MHD_Response *stats(int *status) {
@@ -40,7 +40,7 @@
   json_t *o = json_pack("{s:i,s:i,s:i}", "bookings", bays, "distinct",
                         (int)g_hash_table_size(counts), "most_for_one", most);
   pthread_mutex_unlock(&lock);
-  return fake_reply(status, 200, o);
+  return fake_json_response(status, 200, o);
 }
 
 static struct MHD_Response *handle(void *ctx, HttpReq *r, int *status) {
@@ -48,15 +48,15 @@
   if (strcmp(r->path, "/book") == 0) return book(r, status);
   if (strcmp(r->path, "/stats") == 0) return stats(status);
   if (strcmp(r->path, "/load") == 0)
-    return fake_reply(
+    return fake_json_response(
         status, 200,
         json_pack("{s:i,s:i,s:i}", "running", 0, "waiting", 0, "slots", 32));
   if (strcmp(r->path, "/fault") == 0) {
     const char *m = http_arg(r, "mode");
     g_strlcpy(mode, m ? m : "none", sizeof mode);
-    return fake_reply(status, 200, json_object());
+    return fake_json_response(status, 200, json_object());
   }
-  return fake_reply(status, 404, json_object());
+  return fake_json_response(status, 404, json_object());
 }
 
 int main(int argc, char **argv) {
@@ -65,5 +65,5 @@
     return 2;
   }
   counts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  return fake_run(argv[1], handle, 1000);
+  return fake_serve(argv[1], handle, 1000);
 }
--- a/fakes/engine.c
+++ b/fakes/engine.c
@@ -243,7 +243,7 @@
 static struct MHD_Response *resume(const HttpReq *q, int *status) {
   const char *id = http_arg(q, "id"), *from = http_arg(q, "from");
   Run *r = id ? take_parked(id) : NULL;
-  if (!r) return fake_reply(status, 404, json_object());
+  if (!r) return fake_json_response(status, 404, json_object());
   r->trace->leave = r->drop = false;
   g_string_truncate(r->text, 0);
   for (guint i = from ? (guint)atoi(from) : 0; i < r->events->len; i++)
@@ -270,7 +270,7 @@
                 "choices", choice, "usage", usage(r));
   g_string_free(all, TRUE);
   end_run(r);
-  return fake_reply(status, 200, o);
+  return fake_json_response(status, 200, o);
 }
 
 static Run *new_run(const HttpReq *q, json_t *body) {
@@ -303,12 +303,14 @@
 
 static struct MHD_Response *complete(const HttpReq *q, int *status) {
   if (strcmp(mode, "error") == 0)
-    return fake_reply(status, 500, json_pack("{s:s}", "error", "told to fail"));
+    return fake_json_response(status, 500,
+                              json_pack("{s:s}", "error", "told to fail"));
   while (strcmp(mode, "hang") == 0) g_usleep(20000);
   json_t *body = json_loadb(q->body->str, q->body->len, 0, NULL);
   if (!json_is_array(json_object_get(body, "messages"))) {
     json_decref(body);
-    return fake_reply(status, 400, json_pack("{s:s}", "error", "no messages"));
+    return fake_json_response(status, 400,
+                              json_pack("{s:s}", "error", "no messages"));
   }
   const char *p = http_header(q, "X-Priority");
   take_slot(p ? CLAMP(atoi(p), 0, 9) : 5);
@@ -330,11 +332,11 @@
   Trace *t = id ? g_hash_table_lookup(by_id, id) : NULL;
   if (t) t->cancel = true;
   pthread_mutex_unlock(&lock);
-  if (!t) return fake_reply(status, 404, json_object());
+  if (!t) return fake_json_response(status, 404, json_object());
   for (int i = 0; i < 100 && !t->ended; i++) g_usleep(5000);
-  return fake_reply(status, 200,
-                    json_pack("{s:i,s:i}", "prompt_tokens", t->prompt,
-                              "completion_tokens", t->sent));
+  return fake_json_response(status, 200,
+                            json_pack("{s:i,s:i}", "prompt_tokens", t->prompt,
+                                      "completion_tokens", t->sent));
 }
 
 static struct MHD_Response *load(int *status) {
@@ -342,7 +344,7 @@
   json_t *o = json_pack("{s:i,s:i,s:i}", "running", running, "waiting",
                         waiting_sum(), "slots", slots);
   pthread_mutex_unlock(&lock);
-  return fake_reply(status, 200, o);
+  return fake_json_response(status, 200, o);
 }
 
 static struct MHD_Response *order(const HttpReq *q, int *status) {
@@ -368,8 +370,9 @@
   }
   pthread_mutex_unlock(&lock);
   json_decref(body);
-  if (late) return fake_reply(status, 409, json_object());
-  return fake_reply(status, 200, json_pack("{s:b}", "loading", (int)loading));
+  if (late) return fake_json_response(status, 409, json_object());
+  return fake_json_response(status, 200,
+                            json_pack("{s:b}", "loading", (int)loading));
 }
 
 static struct MHD_Response *handle(void *ctx, HttpReq *r, int *status) {
@@ -382,10 +385,10 @@
   if (strcmp(r->path, "/fault") == 0) {
     const char *m = http_arg(r, "mode");
     g_strlcpy(mode, m ? m : "none", sizeof mode);
-    return fake_reply(status, 200, json_object());
+    return fake_json_response(status, 200, json_object());
   }
   if (strcmp(r->path, "/stats") == 0)
-    return fake_reply(
+    return fake_json_response(
         status, 200,
         json_pack("{s:s,s:I,s:I,s:I,s:I,s:I,s:I,s:O,s:I,s:I}", "model",
                   asked_model, "resumed", (json_int_t)resumed, "tokens",
@@ -394,7 +397,7 @@
                   "cached", (json_int_t)cached_tokens, "adapters", adapters,
                   "orders", (json_int_t)orders, "late_orders",
                   (json_int_t)late_orders));
-  return fake_reply(status, 404, json_object());
+  return fake_json_response(status, 404, json_object());
 }
 
 int main(int argc, char **argv) {
@@ -413,5 +416,5 @@
   parked = g_hash_table_new(g_str_hash, g_str_equal);
   pthread_t reaper;
   pthread_create(&reaper, NULL, reap, NULL);
-  return fake_run(argv[1], handle, 5000);
+  return fake_serve(argv[1], handle, 5000);
 }
--- a/fakes/fake.c
+++ b/fakes/fake.c
@@ -11,7 +11,7 @@
 #define IDLE_S 60
 #define STACK (128 << 10)
 
-struct MHD_Response *fake_reply(int *status, int code, json_t *o) {
+struct MHD_Response *fake_json_response(int *status, int code, json_t *o) {
   char *s = json_dumps(o, JSON_COMPACT);
   *status = code;
   struct MHD_Response *m = http_text("application/json", s, strlen(s));
@@ -20,7 +20,7 @@
   return m;
 }
 
-int fake_run(const char *addr, HttpHandler handler, int max_connections) {
+int fake_serve(const char *addr, HttpHandler handler, int max_connections) {
   HttpOptions o = {.max_body = MAX_BODY,
                    .max_header = MAX_HEADER,
                    .max_connections = max_connections,
--- a/fakes/fake.h
+++ b/fakes/fake.h
@@ -8,8 +8,8 @@
 #include "http/server.h"
 
 /* An answer of `code`; takes over `o`. */
-struct MHD_Response *fake_reply(int *status, int code, json_t *o);
+struct MHD_Response *fake_json_response(int *status, int code, json_t *o);
 /* Serves on `addr`; the exit code. */
-int fake_run(const char *addr, HttpHandler handler, int max_connections);
+int fake_serve(const char *addr, HttpHandler handler, int max_connections);
 
 #endif
--- a/fakes/platform.c
+++ b/fakes/platform.c
@@ -111,7 +111,7 @@
     if (pthread_cond_timedwait(&changed, &lock, &until) != 0) break;
     json_decref(a);
   }
-  return fake_reply(
+  return fake_json_response(
       status, 200,
       json_pack("{s:I,s:o}", "revision", (json_int_t)revision, "changed", a));
 }
@@ -137,7 +137,7 @@
   gpointer v;
   g_hash_table_iter_init(&it, members);
   while (g_hash_table_iter_next(&it, NULL, &v)) json_array_append(a, v);
-  return fake_reply(status, 200, a);
+  return fake_json_response(status, 200, a);
 }
 
 /* == faults == */
@@ -150,11 +150,11 @@
 }
 
 static struct MHD_Response *stats(int *status) {
-  return fake_reply(status, 200,
-                    json_pack("{s:I,s:I,s:I,s:I}", "reads", (json_int_t)reads,
-                              "writes", (json_int_t)writes, "conflicts",
-                              (json_int_t)conflicts, "objects",
-                              (json_int_t)g_hash_table_size(objects)));
+  return fake_json_response(
+      status, 200,
+      json_pack("{s:I,s:I,s:I,s:I}", "reads", (json_int_t)reads, "writes",
+                (json_int_t)writes, "conflicts", (json_int_t)conflicts,
+                "objects", (json_int_t)g_hash_table_size(objects)));
 }
 
 static struct MHD_Response *platform(const HttpReq *r, int *status) {
@@ -168,7 +168,7 @@
   if (strcmp(r->path, "/instances") == 0) return member_list(status);
   if (strcmp(r->path, "/objects") == 0) {
     const char *prefix = http_arg(r, "prefix");
-    return fake_reply(status, 200, list(prefix ? prefix : "", 0));
+    return fake_json_response(status, 200, list(prefix ? prefix : "", 0));
   }
   if (!g_str_has_prefix(r->path, "/objects/")) return reply(status, 404, "{}");
   const char *name = r->path + strlen("/objects/");
@@ -215,5 +215,5 @@
   }
   objects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   members = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  return fake_run(argv[1], handle, 2000);
+  return fake_serve(argv[1], handle, 2000);
 }
--- a/scenario/alone.lua
+++ b/scenario/alone.lua
@@ -1,5 +1,5 @@
--- alone.lua: all instances of a region but one die at once. The last one has no
--- witness left; it hands its grant over to itself and goes on with a new one.
+-- alone.lua: all instances of a region but one crash at once. The survivor has no
+-- witness; it hands its grant over to itself and continues with a new one.
 without(argument)
 for seed = 1, 4 do
   world { seed = seed }
@@ -12,7 +12,7 @@
   end
   kill(n[1])
   kill(n[3])
-  request { at = n[2], amount = 5000, lasts = 0.2 } -- asks a witness that is gone
+  request { at = n[2], amount = 5000, lasts = 0.2 } -- needs a witness that is gone
   advance(10)
   local done = 0
   for _ = 1, 60 do
@@ -20,7 +20,7 @@
     advance(1)
     if outcome(q) == "done" then done = done + 1 end
   end
-  expect(done >= 55, "seed " .. seed .. ": served alone: " .. done .. " of 60")
+  expect(done >= 55, "seed " .. seed .. ": requests served by the survivor: " .. done .. " of 60")
   restart(n[1])
   restart(n[3])
   advance(20)
--- a/scenario/bills.lua
+++ b/scenario/bills.lua
@@ -1,12 +1,12 @@
--- bills.lua: a request is billed once, however often it was asked for and
--- whoever died in between.
+-- bills.lua: a request is billed once, however often it is repeated and whichever
+-- instances crash meanwhile.
 without(argument)
 world { seed = 6 }
 local n = {}
 for i = 1, 4 do n[i] = node("n" .. i, "town", "hall" .. i) end
 budget("b", 100000)
 advance(2)
--- Retried while it runs, and after: one run.
+-- Retried while it runs and afterwards: it runs once.
 local a = request { at = n[1], amount = 50, lasts = 2, key = "letter" }
 advance(0.5)
 local b = request { at = n[2], amount = 50, lasts = 2, key = "letter" }
@@ -16,7 +16,7 @@
 local c = request { at = n[3], amount = 50, lasts = 2, key = "letter" }
 advance(3)
 expect(outcome(a) == "done" and outcome(c) == "replayed")
--- Every instance dies once after answering; no bill is lost, none doubled.
+-- Each instance crashes once after answering; no bill is lost or duplicated.
 local keys = 0
 for round = 1, 4 do
   for _ = 1, 10 do
@@ -34,9 +34,9 @@
 expect(s.done == 41, "done " .. s.done)
 expect(s.billed == 41 * 50, "billed " .. s.billed)
 rest("bills")
--- No instance hears another: the request runs twice. Both runs are consumed,
--- one is billed, the other is counted as waste, also when the bill of the first is
--- in the store long before the second ends.
+-- All messages between instances are lost, so the request runs twice. Both runs
+-- consume tokens; one is billed and the other counts as waste, even if the bill of
+-- the first is in the store long before the second ends.
 local before = sums()
 lose(1, 0, 0)
 request { at = n[1], amount = 50, lasts = 2, key = "twice" }
--- a/scenario/booking.lua
+++ b/scenario/booking.lua
@@ -1,5 +1,5 @@
--- booking.lua: a request that may not be repeated runs at most once, whatever
--- its caller, its router and the store do.
+-- booking.lua: a non-repeatable request runs at most once, whatever its caller,
+-- its router and the store do.
 without(argument)
 world { seed = 4 }
 local n = { node("a", "nord"), node("b", "sued"), node("c", "terminal") }
@@ -10,17 +10,18 @@
   for k, v in pairs(more or {}) do q[k] = v end
   return request(q)
 end
--- Asked for again at another instance: the same answer, one run.
+-- Repeated at another instance: the same answer, one run.
 local q1 = book(n[1], "bay")
 advance(2)
 local q2 = book(n[2], "bay")
 advance(2)
 expect(outcome(q1) == "done" and outcome(q2) == "replayed")
--- Two at the same moment.
+-- Two copies at the same time.
 local r1, r2 = book(n[1], "twin"), book(n[3], "twin")
 advance(3)
 expect((outcome(r1) == "done") ~= (outcome(r2) == "done"), "one of the two ran")
--- The router dies after the dispatch; the retry is told so at once.
+-- The router crashes after the dispatch; the retry is answered at once that the
+-- request may have run.
 local d1 = book(n[1], "death", { lasts = 5 })
 advance(1)
 kill(n[1])
@@ -29,16 +30,17 @@
 advance(2)
 expect(outcome(d1) == "lost" and outcome(d2) == "maybe")
 local _, _, took = outcome(d2)
-expect(took < 0.5, "told after " .. took)
+expect(took < 0.5, "answered after " .. took)
 restart(n[1])
 advance(3)
--- The target takes it and says nothing: never sent again.
+-- The target accepts the request and never answers: it is not dispatched again.
 local s1 = book(n[2], "silent", { silent = true })
 advance(2)
 local s2 = book(n[3], "silent")
 advance(2)
 expect(outcome(s1) == "maybe" and outcome(s2) == "maybe")
--- The answer to the claim is lost: whatever was kept, it runs once.
+-- The response to the claim's write is lost: whether or not the claim was stored,
+-- the request runs at most once.
 lose(0, 1, 0)
 local l1 = book(n[1], "lost answer")
 advance(6)
@@ -48,7 +50,7 @@
 local l2 = book(n[2], "lost answer")
 advance(3)
 expect(outcome(l2) == "done" or outcome(l2) == "maybe")
--- The store is down: refused as not run, in bounded time.
+-- The store is down: the request is refused as not run, in bounded time.
 store("down")
 local o1 = book(n[2], "outage")
 advance(3)
--- a/scenario/claims.lua
+++ b/scenario/claims.lua
@@ -1,5 +1,6 @@
--- claims.lua: homes of claims die, sleep and are cut off; what was claimed stays
--- claimed, and a booking does not wait for a home that says nothing.
+-- claims.lua: the homes of claims (the instances that store which once-only keys
+-- are taken) crash, pause and are cut off. A claimed key stays claimed, and a
+-- booking does not wait for an unresponsive home.
 without(argument)
 world { seed = 11 }
 local n = {}
@@ -26,28 +27,29 @@
     expect(took < 2.5, why .. ": k" .. k .. " took " .. took)
   end
 end
--- Enough for every shard to be sealed; asked for again they are known.
+-- Enough claims for every shard to be sealed; repeated keys are recognised.
 expect_all(book_all(n[1], 1, 150), "done", "healthy")
-expect_all(book_all(n[2], 1, 150), "replayed", "asked again")
--- Each of the other regions' instances is home of some shards and dies. (Not our
--- region's own: it is the home of the budget.)
+expect_all(book_all(n[2], 1, 150), "replayed", "repeated")
+-- Each instance of the other regions is home of some shards and crashes. (Those of
+-- the caller's region stay up: one is the home of the budget.)
 local others = { 2, 3, 5, 6 }
 for t, i in ipairs(others) do
   kill(n[i])
   local first = 111 + t * 40
-  expect_all(book_all(n[1], first, first + 39), "done", "a home died")
+  expect_all(book_all(n[1], first, first + 39), "done", "a home crashed")
   restart(n[i])
   advance(8)
 end
-expect_all(book_all(n[3], 1, 310), "replayed", "all asked again")
--- One sleeps over its own takeover and wakes up with an old head.
+expect_all(book_all(n[3], 1, 310), "replayed", "all repeated")
+-- A home is paused during its own takeover and resumes with a stale head.
 for _, i in ipairs(others) do
   pause(n[i])
-  expect_all(book_all(n[1], 400 + i * 40, 439 + i * 40), "done", "a home sleeps")
+  expect_all(book_all(n[1], 400 + i * 40, 439 + i * 40), "done", "a home is paused")
   resume(n[i])
-  expect_all(book_all(n[i], 400 + i * 40, 439 + i * 40), "replayed", "it woke up")
+  expect_all(book_all(n[i], 400 + i * 40, 439 + i * 40), "replayed", "the home resumed")
 end
--- Cut off from the others, not from the store: the region's own home serves.
+-- The region is cut off from the others but not from the store: its own home
+-- serves.
 cut("nord")
 expect_all(book_all(n[1], 700, 760), "done", "cut off")
 heal("nord")
--- a/scenario/cut.lua
+++ b/scenario/cut.lua
@@ -1,5 +1,6 @@
--- cut.lua: a region cut off for hours spends what it was granted, serves from
--- it, refuses truthfully after, and gives back what is left when it heals.
+-- cut.lua: a region that is cut off for hours serves requests from the tokens it
+-- was granted, refuses correctly once they are spent, and returns the remainder
+-- when the cut heals.
 without(argument)
 world { seed = 11 }
 local a = { node("a1", "nord"), node("a2", "nord") }
@@ -22,7 +23,7 @@
   if i % 4 == 0 then serve(b[i % 2 + 1], 40) end
 end
 expect(done > 500, "a cut region serves from its reserve: " .. done)
-expect(refused > 0, "and refuses once that is spent")
+expect(refused > 0, "refuses once its reserve is spent")
 heal("nord")
 advance(60)
 for _ = 1, 4 do serve(a[1], 50) end
--- a/scenario/laid_up.lua
+++ b/scenario/laid_up.lua
@@ -1,5 +1,5 @@
--- laid_up.lua: what a region lays up follows what is used, not the most that each
--- request could have used; the rest stays in the store for the others.
+-- laid_up.lua: a region's outage reserve follows the tokens used, not the maximum
+-- that each request could have used; the rest stays in the store for other regions.
 without(argument)
 world { seed = 6 }
 local n = { node("a", "nord"), node("b", "nord"), node("c", "nord") }
@@ -10,10 +10,10 @@
   advance(0.5)
 end
 advance(12)
--- 200 tokens a second for 100 s and a fifth more: 24,000, given back above twice
--- that. By the most that each could have used it would be 240,000.
+-- 200 tokens/s for 100 s plus a fifth make 24,000; more than twice that is
+-- returned. By the maximum of each request it would be 240,000.
 local t = tokens()
-local up = t.held - (t.consumed - t.spent)
-expect(t.consumed == 40000, "all were served: " .. t.consumed)
-expect(up > 10000 and up < 80000, "laid up: " .. up)
+local reserve = t.held - (t.consumed - t.spent)
+expect(t.consumed == 40000, "consumed: " .. t.consumed)
+expect(reserve > 10000 and reserve < 80000, "outage reserve: " .. reserve)
 rest()
--- a/scenario/lost_home.lua
+++ b/scenario/lost_home.lua
@@ -1,6 +1,6 @@
--- lost_home.lua: the home of a grant dies; through its witness all that it had
--- not given out comes back, and only what nobody can vouch for stays written
--- off.
+-- lost_home.lua: the home of a grant crashes. Its witness, which agreed to each
+-- increase of the home's issue limit, lets all unissued tokens be recovered; only
+-- tokens that no instance can account for stay written off.
 without(argument)
 world { seed = 8 }
 local n = {}
@@ -13,7 +13,7 @@
 end
 advance(10)
 local before = tokens()
-expect(before.held - before.spent > 50000, "a long reserve is laid up: " .. before.held)
+expect(before.held - before.spent > 50000, "the outage reserve: " .. before.held)
 for i = 1, 3 do
   kill(n[i])
   advance(15)
@@ -23,7 +23,7 @@
 for i = 1, 4 do drain(n[i]) advance(10) end
 local after = tokens()
 local stranded = 1000000 - after.free - after.consumed
-expect(stranded >= 0, "never less")
+expect(stranded >= 0, "the budget never grows")
 expect(stranded < 8000, "written off: " .. stranded .. " of a reserve of "
   .. before.held)
 rest()
--- a/scenario/lowered.lua
+++ b/scenario/lowered.lua
@@ -1,5 +1,5 @@
--- lowered.lua: a budget is lowered while it is in use: what was not yet spent is
--- called back; an older table never raises it again.
+-- lowered.lua: a budget is lowered while it is in use: unspent tokens are
+-- recalled, and an older table never raises it again.
 without(argument)
 world { seed = 12 }
 local n = { node("a", "nord"), node("b", "sued"), node("c", "sued") }
@@ -20,5 +20,5 @@
 end
 local more = tokens().consumed - before
 expect(more <= 300, "spent after it was lowered: " .. more)
-expect(more > 0, "the rest can be used")
+expect(more > 0, "the remaining tokens can be used")
 rest()
--- a/scenario/mix.lua
+++ b/scenario/mix.lua
@@ -1,14 +1,14 @@
--- mix.lua: seeded random runs of both users' shapes with every fault there is.
--- Argument: "" for the whole suite, "SEED" for one run, "SEED SWITCH" for one
--- run without a mechanism, "count N FROM SWITCH" for N runs.
+-- mix.lua: seeded random runs of both users' topologies with every kind of
+-- fault. Argument: "" for the whole suite, "SEED" for one run, "SEED SWITCH" for
+-- one run with a mechanism disabled, "count N FROM SWITCH" for N runs.
 
-local told = false -- a replay tells what it does
+local verbose = false -- whether to print each step, as a replay does
 
-local function tell(...)
-  if told then print(...) end
+local function log_step(...)
+  if verbose then print(...) end
 end
 
-local function pick(r, list) return list[r(#list)] end
+local function pick_random(r, list) return list[r(#list)] end
 
 local shapes = {
   erding = { halls = { "nord", "sued", "terminal" }, reserve = 3600 },
@@ -31,7 +31,7 @@
   return nodes, shape
 end
 
-local function one_request(r, nodes, keys, retries)
+local function send_request(r, nodes, keys, retries)
   local q = { at = nodes[r(#nodes)], budget = r(3) == 1 and "large" or "small" }
   q.amount = r(400)
   q.used = r(q.amount)
@@ -44,13 +44,14 @@
   end
   if r(20) == 1 then q.silent = true end
   local i = request(q)
-  tell("request", i, q.at, q.budget, q.amount, q.key or "", q.once and "once" or "")
+  log_step("request", i, q.at, q.budget, q.amount, q.key or "", q.once and "once" or "")
 end
 
--- Whether an instance may die now in a gentle run. A bill is held twice until it
--- is in the store; the promise is for losses far enough apart to copy it again,
--- and not for the last one of a region that is cut off.
-local function may_die(state)
+-- Whether an instance may crash now in a gentle run. Two instances hold each bill
+-- until it is in the store. The guarantee covers losses far enough apart for the
+-- bill to be copied again, and excludes the last instance of a region that is cut
+-- off.
+local function may_crash(state)
   if not state.gentle then return true end
   if next(state.cut) or next(state.paused) then return false end
   if state.clock - state.last < 10 then return false end
@@ -58,9 +59,9 @@
   return true
 end
 
-local verbs = {
+local fault_actions = {
   function(r, n, hall, s)
-    if not s.dead[n] and may_die(s) then kill(n) s.dead[n], s.paused[n] = true, nil end
+    if not s.dead[n] and may_crash(s) then kill(n) s.dead[n], s.paused[n] = true, nil end
   end,
   function(r, n, hall, s)
     if not s.dead[n] and s.clock - s.last >= 10 then
@@ -73,7 +74,7 @@
     cut(hall, r(2) == 1)
     s.cut[hall] = true
   end,
-  function(r) store(pick(r, { "down", "hung" })) end,
+  function(r) store(pick_random(r, { "down", "hung" })) end,
   function() store("up") end,
   function(r, n, hall, s) heal(hall) s.cut[hall], s.last = nil, s.clock end,
   function(r, n, hall, s) resume(n) s.paused[n] = nil end,
@@ -84,14 +85,14 @@
     if not s.dead[n] and not s.paused[n] then drain(n) end
   end,
   function(r, n, hall, s)
-    if s.dead[n] or may_die(s) then restart(n) s.dead[n], s.paused[n] = nil, nil end
+    if s.dead[n] or may_crash(s) then restart(n) s.dead[n], s.paused[n] = nil, nil end
   end,
 }
 
-local function fault(r, nodes, shape, state)
-  local n, hall, what = nodes[r(#nodes)], pick(r, shape.halls), r(#verbs)
-  tell("fault", what, n, hall)
-  verbs[what](r, n, hall, state)
+local function inject_fault(r, nodes, shape, state)
+  local n, hall, what = nodes[r(#nodes)], pick_random(r, shape.halls), r(#fault_actions)
+  log_step("fault", what, n, hall)
+  fault_actions[what](r, n, hall, state)
 end
 
 local function run(seed, switch)
@@ -103,8 +104,8 @@
     gentle = seed % 4 < 2 }
   advance(2)
   for _ = 1, 24 do
-    for _ = 1, r(4) do one_request(r, nodes) end
-    if r(3) == 1 then fault(r, nodes, shape, state) end
+    for _ = 1, r(4) do send_request(r, nodes) end
+    if r(3) == 1 then inject_fault(r, nodes, shape, state) end
     if r(12) == 1 then budget("small", 1000 + r(6000), shape.reserve) end
     local step = r(20) / 10
     state.clock = state.clock + step
@@ -119,22 +120,22 @@
   return sums()
 end
 
-local function many(count, from, switch)
+local function run_seeds(count, from, switch)
   for seed = from, from + count - 1 do
-    local ok, why = pcall(run, seed, switch)
-    if not ok then return seed, why end
+    local ok, message = pcall(run, seed, switch)
+    if not ok then return seed, message end
   end
 end
 
 local count, from, switch = argument:match("^count (%d+) (%d+) ?(.*)$")
 if count then
-  local seed, why = many(tonumber(count), tonumber(from), switch)
-  if seed then error("seed " .. seed .. ": " .. why, 0) end
+  local seed, message = run_seeds(tonumber(count), tonumber(from), switch)
+  if seed then error("seed " .. seed .. ": " .. message, 0) end
 elseif argument ~= "" then
   local seed, rest_of = argument:match("^(%d+) ?(.*)$")
-  told = true
+  verbose = true
   for k, v in pairs(run(tonumber(seed), rest_of)) do print(k, v) end
 else
-  local seed, why = many(200, 1, "")
-  if seed then error("seed " .. seed .. ": " .. why, 0) end
+  local seed, message = run_seeds(200, 1, "")
+  if seed then error("seed " .. seed .. ": " .. message, 0) end
 end
--- a/scenario/outage.lua
+++ b/scenario/outage.lua
@@ -1,5 +1,6 @@
--- outage.lua: the store is away for two hours under load. Nobody overspends,
--- what is laid up is served, and its return is no stampede.
+-- outage.lua: the store is unavailable for two hours under load. No budget is
+-- overspent, the outage reserve is served, and the store's return causes no burst
+-- of calls.
 without(argument)
 world { seed = 9 }
 local halls, n = { "nord", "sued", "terminal" }, {}
@@ -29,10 +30,10 @@
 store("down")
 advance(6000)
 store("up")
-local w0 = sums()
+local totals_before = sums()
 advance(1)
-local w1 = sums()
-local calls = w1.writes + w1.reads - w0.writes - w0.reads
+local totals_after = sums()
+local calls = totals_after.writes + totals_after.reads - totals_before.writes - totals_before.reads
 expect(calls < 8 * 20, "calls in the first second: " .. calls)
 load(30, 1)
 for i = 1, 10 do expect(tokens("b" .. i).consumed <= 200000) end
--- a/scenario/paused_home.lua
+++ b/scenario/paused_home.lua
@@ -1,9 +1,10 @@
--- paused_home.lua: the home of a budget is paused, taken for gone and sealed.
--- When it wakes up it can't reach the store and still believes in its reserve,
--- which others have spent meanwhile: its witness lets it give out no more.
+-- paused_home.lua: the home of a budget is paused, considered lost, and its grant
+-- is sealed. When it resumes it can't reach the store and still counts on its
+-- reserve, which others have spent meanwhile: its witness, which must agree to each
+-- increase of the home's issue limit, refuses.
 without(argument)
 
-local function run(sleeper)
+local function run(paused)
   world { seed = 3 }
   local n = {}
   for i = 1, 4 do n[i] = node("n" .. i, "town", "hall" .. i) end
@@ -14,8 +15,8 @@
     for i = 1, 4 do request { at = n[i], amount = 40, lasts = 0.2 } end
     advance(1)
   end
-  -- It sleeps through its own replacement, and the rest is spent elsewhere.
-  pause(n[sleeper])
+  -- It is paused during its own replacement, and the remainder is spent elsewhere.
+  pause(n[paused])
   advance(20)
   for i = 1, 400 do
     request { at = far[i % 2 + 1], amount = 200, lasts = 0.2 }
@@ -23,7 +24,7 @@
   end
   advance(2)
   cut_store("town")
-  resume(n[sleeper])
+  resume(n[paused])
   for _ = 1, 40 do
     for i = 1, 4 do request { at = n[i], amount = 100, lasts = 0.2 } end
     advance(0.1)
@@ -35,4 +36,4 @@
   rest()
 end
 
-for sleeper = 1, 4 do run(sleeper) end
+for paused = 1, 4 do run(paused) end
--- a/scenario/script.c
+++ b/scenario/script.c
@@ -1,7 +1,7 @@
-/* script.c: the test language: the world's verbs for Lua.
+/* script.c: the scenario language: the world's functions as Lua globals.
 
-   Usage: scenario FILE...           runs scripts, each a promise
-          scenario --replay SEED     one run of the random mix, told aloud */
+   Usage: scenario FILE...               runs scripts, each a test
+          scenario FILE --with ARGUMENT  runs one with `argument` set */
 #include <lauxlib.h>
 #include <lua.h>
 #include <lualib.h>
@@ -14,30 +14,31 @@
 static World *world;
 static WorldFaults faults;
 
-static int fail(lua_State *l, const char *what) {
+static int raise_error(lua_State *l, const char *what) {
   return luaL_error(l, "%s (at %f s)", what, world ? world_now(world) : 0.0);
 }
 
-static int check(lua_State *l) {
-  const char *broken = world_broken(world);
-  return broken[0] ? fail(l, broken) : 0;
+static int raise_violation(lua_State *l) {
+  const char *broken = world_violation(world);
+  return broken[0] ? raise_error(l, broken) : 0;
 }
 
-static double field(lua_State *l, const char *name, double fallback) {
+static double number_field(lua_State *l, const char *name, double fallback) {
   lua_getfield(l, 1, name);
   double v = luaL_optnumber(l, -1, fallback);
   lua_pop(l, 1);
   return v;
 }
 
-static const char *text(lua_State *l, const char *name, const char *fallback) {
+static const char *string_field(lua_State *l, const char *name,
+                                const char *fallback) {
   lua_getfield(l, 1, name);
   const char *s = luaL_optstring(l, -1, fallback);
   lua_pop(l, 1); /* the table keeps the string alive */
   return s;
 }
 
-static bool flag(lua_State *l, const char *name) {
+static bool bool_field(lua_State *l, const char *name) {
   lua_getfield(l, 1, name);
   bool b = lua_toboolean(l, -1);
   lua_pop(l, 1);
@@ -49,7 +50,7 @@
 static int v_world(lua_State *l) {
   luaL_checktype(l, 1, LUA_TTABLE);
   if (world) world_free(world);
-  world = world_new((uint32_t)field(l, "seed", 1), faults);
+  world = world_new((uint32_t)number_field(l, "seed", 1), faults);
   return 0;
 }
 
@@ -78,30 +79,30 @@
 }
 
 static int v_node(lua_State *l) {
-  lua_pushinteger(l, world_node(world, luaL_checkstring(l, 1),
-                                luaL_checkstring(l, 2),
-                                luaL_optstring(l, 3, luaL_checkstring(l, 2))));
+  lua_pushinteger(
+      l, world_add_node(world, luaL_checkstring(l, 1), luaL_checkstring(l, 2),
+                        luaL_optstring(l, 3, luaL_checkstring(l, 2))));
   return 1;
 }
 
 static int v_budget(lua_State *l) {
-  world_budget(world, luaL_checkstring(l, 1), luaL_checkinteger(l, 2),
-               luaL_optnumber(l, 3, 600));
-  return check(l);
+  world_set_budget(world, luaL_checkstring(l, 1), luaL_checkinteger(l, 2),
+                   luaL_optnumber(l, 3, 600));
+  return raise_violation(l);
 }
 
 static int v_request(lua_State *l) {
   luaL_checktype(l, 1, LUA_TTABLE);
-  WorldRequest r = {.node = (int)field(l, "at", 0),
-                    .amount = (int64_t)field(l, "amount", 100),
-                    .lasts_s = field(l, "lasts", 0.5),
-                    .once_only = flag(l, "once"),
-                    .target_silent = flag(l, "silent")};
-  r.used = (int64_t)field(l, "used", (double)r.amount);
-  snprintf(r.budget, sizeof r.budget, "%s", text(l, "budget", "b"));
-  snprintf(r.key, sizeof r.key, "%s", text(l, "key", ""));
-  lua_pushinteger(l, world_request(world, &r));
-  check(l);
+  WorldRequest r = {.node = (int)number_field(l, "at", 0),
+                    .amount = (int64_t)number_field(l, "amount", 100),
+                    .duration_s = number_field(l, "lasts", 0.5),
+                    .once_only = bool_field(l, "once"),
+                    .target_unresponsive = bool_field(l, "silent")};
+  r.consumed = (int64_t)number_field(l, "used", (double)r.amount);
+  snprintf(r.budget, sizeof r.budget, "%s", string_field(l, "budget", "b"));
+  snprintf(r.key, sizeof r.key, "%s", string_field(l, "key", ""));
+  lua_pushinteger(l, world_start_request(world, &r));
+  raise_violation(l);
   return 1;
 }
 
@@ -109,97 +110,99 @@
   static const char *const names[] = {"waiting", "running", "done", "replayed",
                                       "refused", "maybe",   "lost"};
   int i = (int)luaL_checkinteger(l, 1);
-  lua_pushstring(l, names[world_outcome(world, i)]);
-  lua_pushstring(l, err_info(world_cause(world, i))->name);
-  lua_pushnumber(l, world_took(world, i));
+  lua_pushstring(l, names[world_request_outcome(world, i)]);
+  lua_pushstring(l, err_info(world_refusal_cause(world, i))->name);
+  lua_pushnumber(l, world_request_seconds(world, i));
   return 3;
 }
 
 static int v_advance(lua_State *l) {
   world_advance(world, luaL_checknumber(l, 1));
-  return check(l);
+  return raise_violation(l);
 }
 
 static int v_cut(lua_State *l) {
-  world_cut(world, luaL_checkstring(l, 1), true);
-  if (lua_toboolean(l, 2)) world_cut_store(world, lua_tostring(l, 1), true);
+  world_cut_region(world, luaL_checkstring(l, 1), true);
+  if (lua_toboolean(l, 2))
+    world_cut_region_store(world, lua_tostring(l, 1), true);
   return 0;
 }
 
 static int v_cut_store(lua_State *l) {
-  world_cut_store(world, luaL_checkstring(l, 1), true);
+  world_cut_region_store(world, luaL_checkstring(l, 1), true);
   return 0;
 }
 
 static int v_heal(lua_State *l) {
-  world_cut(world, luaL_checkstring(l, 1), false);
-  world_cut_store(world, lua_tostring(l, 1), false);
+  world_cut_region(world, luaL_checkstring(l, 1), false);
+  world_cut_region_store(world, lua_tostring(l, 1), false);
   return 0;
 }
 
 static int v_store(lua_State *l) {
   static const char *const names[] = {"up", "down", "hung", NULL};
-  world_store(world, (WorldStore)luaL_checkoption(l, 1, "up", names));
+  world_set_store_mode(world,
+                       (WorldStoreMode)luaL_checkoption(l, 1, "up", names));
   return 0;
 }
 
 static int v_lose(lua_State *l) {
-  world_lose(world, luaL_optnumber(l, 1, 0), luaL_optnumber(l, 2, 0),
-             luaL_optnumber(l, 3, 0));
+  world_set_loss_rates(world, luaL_optnumber(l, 1, 0), luaL_optnumber(l, 2, 0),
+                       luaL_optnumber(l, 3, 0));
   return 0;
 }
 
 static int v_delay(lua_State *l) {
-  world_delay(world, luaL_checknumber(l, 1), luaL_checknumber(l, 2));
+  world_set_delays(world, luaL_checknumber(l, 1), luaL_checknumber(l, 2));
   return 0;
 }
 
 static int v_kill(lua_State *l) {
   world_kill(world, (int)luaL_checkinteger(l, 1));
-  return check(l);
+  return raise_violation(l);
 }
 
 static int v_restart(lua_State *l) {
   world_restart(world, (int)luaL_checkinteger(l, 1));
-  return check(l);
+  return raise_violation(l);
 }
 
 static int v_pause(lua_State *l) {
-  world_pause(world, (int)luaL_checkinteger(l, 1), true);
+  world_set_paused(world, (int)luaL_checkinteger(l, 1), true);
   return 0;
 }
 
 static int v_resume(lua_State *l) {
-  world_pause(world, (int)luaL_checkinteger(l, 1), false);
-  return check(l);
+  world_set_paused(world, (int)luaL_checkinteger(l, 1), false);
+  return raise_violation(l);
 }
 
 static int v_drain(lua_State *l) {
   world_drain(world, (int)luaL_checkinteger(l, 1));
-  return check(l);
+  return raise_violation(l);
 }
 
 static int v_drained(lua_State *l) {
-  lua_pushboolean(l, world_drained(world, (int)luaL_checkinteger(l, 1)));
+  lua_pushboolean(l, world_is_drained(world, (int)luaL_checkinteger(l, 1)));
   return 1;
 }
 
 static int v_tokens(lua_State *l) {
   const char *b = luaL_optstring(l, 1, "b");
   lua_createtable(l, 0, 4);
-  lua_pushinteger(l, world_consumed(world, b));
+  lua_pushinteger(l, world_consumed_tokens(world, b));
   lua_setfield(l, -2, "consumed");
   lua_pushinteger(l, world_free_tokens(world, b));
   lua_setfield(l, -2, "free");
-  lua_pushinteger(l, world_held(world, b));
+  lua_pushinteger(l, world_held_tokens(world, b));
   lua_setfield(l, -2, "held");
-  lua_pushinteger(l, world_spent(world, b));
+  lua_pushinteger(l, world_spent_tokens(world, b));
   lua_setfield(l, -2, "spent");
   return 1;
 }
 
 static int v_sums(lua_State *l) {
-  WorldSums s = world_sums(world);
+  WorldTotals s = world_totals(world);
   const struct {
     const char *name;
     int64_t value;
@@ -209,7 +212,7 @@
              {"maybe", s.maybe},
              {"lost", s.lost},
              {"replayed", s.replayed},
-             {"false_refused", s.false_refused},
+             {"false_refused", s.false_refusals},
              {"consumed", s.consumed},
              {"billed", s.billed},
              {"wasted", s.wasted},
@@ -218,7 +221,7 @@
              {"conflicts", s.conflicts},
              {"messages", s.messages},
              {"bytes", s.bytes},
-             {"runs_most", s.runs_most}};
+             {"runs_most", s.max_runs_per_key}};
   lua_newtable(l);
   for (size_t i = 0; i < sizeof all / sizeof *all; i++) {
     lua_pushinteger(l, all[i].value);
@@ -228,13 +231,13 @@
 }
 
 static int v_rest(lua_State *l) {
-  world_check_rest(world, strcmp(luaL_optstring(l, 1, ""), "bills") == 0);
-  return check(l);
+  world_check_at_rest(world, strcmp(luaL_optstring(l, 1, ""), "bills") == 0);
+  return raise_violation(l);
 }
 
 static int v_expect(lua_State *l) {
   if (lua_toboolean(l, 1)) return 0;
-  return fail(l, luaL_optstring(l, 2, "expectation not met"));
+  return raise_error(l, luaL_optstring(l, 2, "expectation not met"));
 }
 
 static const luaL_Reg verbs[] = {
@@ -258,14 +261,14 @@
   lua_pushstring(l, arg ? arg : "");
   lua_setglobal(l, "argument");
   faults = (WorldFaults){0};
-  int bad = luaL_dofile(l, path);
-  printf("%s %s%s%s\n", bad ? "not ok" : "ok", path, bad ? ": " : "",
-         bad ? lua_tostring(l, -1) : "");
+  int failed_to_run = luaL_dofile(l, path);
+  printf("%s %s%s%s\n", failed_to_run ? "not ok" : "ok", path,
+         failed_to_run ? ": " : "", failed_to_run ? lua_tostring(l, -1) : "");
   fflush(stdout);
   lua_close(l);
   if (world) world_free(world);
   world = NULL;
-  return bad;
+  return failed_to_run;
 }
 
 int main(int argc, char **argv) {
--- a/scenario/seldom.lua
+++ b/scenario/seldom.lua
@@ -1,5 +1,6 @@
--- seldom.lua: a budget that is seldom asked for is not laid out at the instances:
--- the last tokens are there for whoever needs them, and none die with an instance.
+-- seldom.lua: tokens of a rarely used budget are not spread over the instances:
+-- the last tokens are available to any instance that needs them, and none are lost
+-- with a crashed one.
 without(argument)
 world { seed = 5 }
 local n = { node("a", "town", "nord"), node("b", "town", "sued"),
@@ -19,7 +20,7 @@
   end
   advance(1)
 end
--- 450 of 1000 are used. One instance dies; none of the rest was with it.
+-- 450 of 1000 tokens are used. One instance crashes; it held none of the rest.
 kill(n[3])
 advance(20)
 for b = 1, 6 do
@@ -27,6 +28,6 @@
     used = 550, lasts = 0.1 }
   advance(3)
   local got, cause = outcome(q)
-  expect(got == "done", "the rest of b" .. b .. " is gone: " .. got .. " " .. cause)
+  expect(got == "done", "the rest of b" .. b .. " is unavailable: " .. got .. " " .. cause)
 end
 rest()
--- a/scenario/state.h
+++ b/scenario/state.h
@@ -1,4 +1,4 @@
-/* state.h: the insides of the scenario world, shared by its own files only. */
+/* state.h: internal state of the scenario world, private to its own files. */
 #ifndef SCENARIO_STATE_H
 #define SCENARIO_STATE_H
 
@@ -14,18 +14,18 @@
   MemberSet *members;
   Ledger *ledger;
   Once *once;
-  GQueue held; /* Event*, that came while it was paused */
+  GQueue deferred; /* Event*, received while paused */
 } Node;
 
 typedef enum {
   EV_TICK,
-  EV_BEAT,
+  EV_HEARTBEAT,
   EV_LEDGER,
   EV_ONCE,
-  EV_STORE,  /* the call reaches the store */
-  EV_RESULT, /* its result reaches the node */
-  EV_SEND,   /* the request's dispatch */
-  EV_END     /* its target is done */
+  EV_STORE,    /* the call reaches the store */
+  EV_RESULT,   /* its result reaches the node */
+  EV_DISPATCH, /* the request is dispatched */
+  EV_FINISH    /* the target finishes the request */
 } EventKind;
 
 typedef enum { CALL_LEDGER, CALL_ONCE, CALL_BILL } CallOwner;
@@ -40,7 +40,7 @@
   OnceMsg once;
   /* store calls */
   CallOwner owner;
-  bool put, delete, answered;
+  bool put, delete, result_sent;
   int shard;
   uint64_t part;
   char name[160];
@@ -51,84 +51,86 @@
 } Event;
 
 typedef struct Object {
-  char *text, *before;
-  uint64_t version, before_version;
+  char *text, *previous;
+  uint64_t version, previous_version;
 } Object;
 
 typedef struct Request {
-  WorldRequest r;
+  WorldRequest params;
   OnceKey key;
   uint64_t handle;
   int incarnation;
   WorldOutcome outcome;
   ErrKind cause;
-  double came, answered;
-  bool began, reserved, ran;
+  double started_at, answered_at;
+  bool run_allowed, reserved, ran;
 } Request;
 
 typedef struct Budget {
   char name[LIMIT_NAME];
-  int64_t total, consumed, promised; /* promised: reserved and not settled */
+  int64_t total, consumed, reserved; /* reserved: not yet settled */
 } Budget;
 
 struct World {
   double now;
-  uint64_t order, handles;
+  uint64_t order, last_handle;
   GRand *rng;
   WorldFaults faults;
-  Node nodes[WORLD_NODES];
-  int n;
+  Node nodes[WORLD_MAX_NODES];
+  int node_count;
   GSequence *events;
   GHashTable *objects; /* name -> Object */
   GPtrArray *requests; /* Request* */
   GHashTable *by_handle;
-  GHashTable *budgets; /* name -> Budget */
-  GArray *rows;        /* LedgerBudget */
-  GHashTable *runs;    /* once-only key -> count */
-  GHashTable *billed;  /* key text -> tokens of the first bill */
-  char cut[WORLD_REGIONS][LIMIT_NAME], cut_store[WORLD_REGIONS][LIMIT_NAME];
-  WorldStore store;
-  double lose_messages, lose_answers, stale, low, high;
-  WorldSums sums;
-  char broken[256];
+  GHashTable *budgets;     /* name -> Budget */
+  GArray *budget_rows;     /* LedgerBudget */
+  GHashTable *runs_by_key; /* once-only key -> count */
+  GHashTable *billed;      /* key text -> tokens of the first bill */
+  char cut_regions[WORLD_MAX_REGIONS][LIMIT_NAME],
+      store_cut_regions[WORLD_MAX_REGIONS][LIMIT_NAME];
+  WorldStoreMode store;
+  double message_loss_rate, response_loss_rate, stale_read_rate, min_delay_s,
+      max_delay_s;
+  WorldTotals sums;
+  char violation[256];
 };
 
 /* == world.c == */
 
-double world_chance(World *w);
-/* What must always hold does not: the first reason is kept. */
-void world_broke(World *w, const char *fmt, ...)
+double world_random(World *w);
+/* Records a violated invariant; only the first is kept. */
+void world_report_violation(World *w, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
-Event *world_event(World *w, EventKind kind, int node, double at);
+Event *world_new_event(World *w, EventKind kind, int node, double at);
 void world_schedule(World *w, Event *e);
 Budget *world_find_budget(const World *w, const char *name);
-bool world_listed(char list[][LIMIT_NAME], const char *name);
-/* Carries out what the cores of a node want, until they want nothing. */
-void world_after(World *w, int node);
+bool world_list_contains(char list[][LIMIT_NAME], const char *name);
+/* Executes the actions of a node's cores until they have none left. */
+void world_run_actions(World *w, int node);
 
 /* == store.c == */
 
-/* A call of a node; takes over `text`. */
+/* Schedules a store call of a node; takes ownership of `text`. */
 Event *store_call(World *w, int node, CallOwner owner, const char *name,
                   bool put, int shard, uint64_t version, char *text);
-/* A call reaches the store. */
-void store_receive(World *w, Event *e);
-/* Its result reaches the node. */
-void store_result(World *w, const Event *e);
-void store_note_bills(World *w, const char *text);
+/* Handles a call that reaches the store. */
+void store_handle_call(World *w, Event *e);
+/* Delivers a call's result to the node. */
+void store_deliver_result(World *w, const Event *e);
+void store_record_bills(World *w, const char *text);
 void store_object_free(gpointer p);
 
 /* == requests.c == */
 
 Request *requests_find(const World *w, uint64_t handle);
-void requests_end(World *w, Request *q, WorldOutcome outcome);
-/* Decisions of the cores. */
-void requests_reserved(World *w, int node, const LedgerAction *a);
-void requests_verdict(World *w, int node, const OnceAction *a);
-void requests_done(World *w, const OnceAction *a);
-/* The target gets request `i`: from here on the tokens are consumed. */
-void requests_send(World *w, int i);
-/* Its target is done. */
+void requests_conclude(World *w, Request *q, WorldOutcome outcome);
+/* Handle decisions of the cores. */
+void requests_on_reservation(World *w, int node, const LedgerAction *a);
+void requests_on_verdict(World *w, int node, const OnceAction *a);
+void requests_answered(World *w, const OnceAction *a);
+/* Dispatches request `i` to its target; from here its tokens are consumed. */
+void requests_dispatch(World *w, int i);
+/* Handles the end of request `i` at its target. */
 void requests_finish(World *w, int i);
 
 #endif
--- a/scenario/stop_after_loss.lua
+++ b/scenario/stop_after_loss.lua
@@ -1,6 +1,6 @@
--- stop_after_loss.lua: a planned stop ends within seconds when the home of its
--- tokens is gone: with its witness, with the rest of its region, or while the
--- whole fleet stops.
+-- stop_after_loss.lua: a planned stop completes within seconds when the home of the
+-- instance's tokens is lost: together with its witness, as the only other instance
+-- of the region, or while the whole fleet stops.
 without(argument)
 
 local count = 40
@@ -18,14 +18,14 @@
   end
 end
 
-local function stops(what, n)
+local function expect_stop(what, n)
   for _, at in ipairs(n) do drain(at) end
   advance(30)
   for _, at in ipairs(n) do expect(drained(at), what .. ": " .. at) end
   rest("")
 end
 
--- Home and witness die together: nobody can seal what they gave out.
+-- Home and witness crash together: no instance can seal the grants they issued from.
 world { seed = 5 }
 local n = {}
 for i = 1, 5 do n[i] = node("n" .. i, "town", "hall" .. i) end
@@ -35,9 +35,9 @@
 kill(n[1])
 kill(n[2])
 advance(15)
-stops("home and witness gone", { n[3], n[4] })
+expect_stop("home and witness gone", { n[3], n[4] })
 
--- The last of its region, whose home was the other.
+-- The last instance of its region; the other one was the home.
 world { seed = 6 }
 n = {}
 for i = 1, 4 do n[i] = node("n" .. i, i <= 2 and "nord" or "sued", "hall" .. i) end
@@ -46,9 +46,9 @@
 load(n)
 kill(n[1])
 advance(1)
-stops("the last of its region", { n[2] })
+expect_stop("the last of its region", { n[2] })
 
--- All at once, with one lost a moment ago.
+-- All stop at once, just after one was lost.
 world { seed = 7 }
 n = {}
 for i = 1, 4 do n[i] = node("n" .. i, "town", "hall" .. i) end
@@ -57,4 +57,4 @@
 load(n)
 kill(n[1])
 advance(1)
-stops("the whole fleet", { n[2], n[3], n[4] })
+expect_stop("the whole fleet", { n[2], n[3], n[4] })
--- a/scenario/stop_in_time.lua
+++ b/scenario/stop_in_time.lua
@@ -1,5 +1,6 @@
--- stop_in_time.lua: a planned stop hands its own grants over at once, also while
--- accounts of a lost home can't be settled: the platform kills it after seconds.
+-- stop_in_time.lua: an instance in a planned stop hands over its own grants at once,
+-- even while accounts of a lost home can't be settled, because the platform kills
+-- it after seconds.
 without(argument)
 world { seed = 8 }
 local n = {}
@@ -15,15 +16,16 @@
 end
 advance(3)
 
--- Home and witness of some budgets die together: nobody can seal these grants.
+-- Home and witness of some budgets crash together: no instance can seal their
+-- grants.
 kill(n[1])
 kill(n[2])
 advance(1)
 for i = 3, 5 do drain(n[i]) end
 advance(6)
 for i = 3, 5 do kill(n[i]) end
-local back = 0
+local recovered = 0
 for i = 1, count do
-  if tokens("b" .. i).free > 99000 then back = back + 1 end
+  if tokens("b" .. i).free > 99000 then recovered = recovered + 1 end
 end
-expect(back >= count // 2, "budgets that came back: " .. back .. " of " .. count)
+expect(recovered >= count // 2, "budgets recovered: " .. recovered .. " of " .. count)
--- a/scenario/store.c
+++ b/scenario/store.c
@@ -1,4 +1,4 @@
-/* store.c: the fake store of a scenario: versions, faults, lost answers. */
+/* store.c: the fake store of a scenario: versions, faults, lost responses. */
 #include <glib.h>
 #include <stdio.h>
 #include <string.h>
@@ -6,14 +6,15 @@
 #include "once/bill.h"
 #include "scenario/state.h"
 
-#define STORE_LOW 0.002
-#define STORE_HIGH 0.02
-#define STORE_GIVES_UP 3.0 /* then a call is unknown */
+#define STORE_MIN_DELAY_S 0.002
+#define STORE_MAX_DELAY_S 0.02
+#define STORE_TIMEOUT_S 3.0 /* after this the result of a call is unknown */
 
 Event *store_call(World *w, int node, CallOwner owner, const char *name,
                   bool put, int shard, uint64_t version, char *text) {
-  double at = w->now + STORE_LOW + world_chance(w) * (STORE_HIGH - STORE_LOW);
-  Event *e = world_event(w, EV_STORE, node, at);
+  double at = w->now + STORE_MIN_DELAY_S +
+              world_random(w) * (STORE_MAX_DELAY_S - STORE_MIN_DELAY_S);
+  Event *e = world_new_event(w, EV_STORE, node, at);
   e->owner = owner;
   e->put = put;
   e->shard = shard;
@@ -24,7 +25,7 @@
   return e;
 }
 
-static Object *object(World *w, const char *name, bool make) {
+static Object *find_object(World *w, const char *name, bool make) {
   Object *o = g_hash_table_lookup(w->objects, name);
   if (o || !make) return o;
   o = g_new0(Object, 1);
@@ -35,12 +36,12 @@
 void store_object_free(gpointer p) {
   Object *o = p;
   g_free(o->text);
-  g_free(o->before);
+  g_free(o->previous);
   g_free(o);
 }
 
 static void store_put(World *w, Event *e) {
-  Object *o = object(w, e->name, false);
+  Object *o = find_object(w, e->name, false);
   uint64_t version = o ? o->version : 0;
   w->sums.writes++;
   if (version != e->version && !w->faults.ledger.no_version_check) {
@@ -48,10 +49,10 @@
     e->result = ERR_STORE_CONFLICT;
     return;
   }
-  o = object(w, e->name, true);
-  g_free(o->before);
-  o->before = o->text;
-  o->before_version = o->version;
+  o = find_object(w, e->name, true);
+  g_free(o->previous);
+  o->previous = o->text;
+  o->previous_version = o->version;
   o->text = e->text;
   e->text = NULL;
   o->version++;
@@ -60,16 +61,16 @@
 }
 
 static void store_get(World *w, Event *e) {
-  const Object *o = object(w, e->name, false);
+  const Object *o = find_object(w, e->name, false);
   w->sums.reads++;
   e->result = o ? ERR_NONE : ERR_STORE_ABSENT;
   if (!o) return;
-  bool stale = o->before && world_chance(w) < w->stale;
-  e->version = stale ? o->before_version : o->version;
-  e->text = g_strdup(stale ? o->before : o->text);
+  bool stale = o->previous && world_random(w) < w->stale_read_rate;
+  e->version = stale ? o->previous_version : o->version;
+  e->text = g_strdup(stale ? o->previous : o->text);
 }
 
-static Event *result_event(const Event *call, EventKind kind, double at) {
+static Event *copy_event(const Event *call, EventKind kind, double at) {
   Event *r = g_memdup2(call, sizeof *call);
   r->kind = kind;
   r->at = at;
@@ -77,30 +78,32 @@
   return r;
 }
 
-void store_receive(World *w, Event *e) {
+void store_handle_call(World *w, Event *e) {
   const Node *n = &w->nodes[e->node];
-  bool cut = world_listed(w->cut_store, n->region);
-  double back = w->now + STORE_LOW + world_chance(w) * (STORE_HIGH - STORE_LOW);
+  bool cut = world_list_contains(w->store_cut_regions, n->region);
+  double back = w->now + STORE_MIN_DELAY_S +
+                world_random(w) * (STORE_MAX_DELAY_S - STORE_MIN_DELAY_S);
   if (cut || w->store == WORLD_STORE_DOWN) {
     e->result = cut ? ERR_STORE_UNKNOWN : ERR_STORE_DOWN;
-    Event *r = result_event(e, EV_RESULT, back);
+    Event *r = copy_event(e, EV_RESULT, back);
     r->order = ++w->order;
     world_schedule(w, r);
     return;
   }
   if (e->delete &&w->store == WORLD_STORE_HUNG) return;
-  bool lost = w->store == WORLD_STORE_HUNG || world_chance(w) < w->lose_answers;
-  if (lost && !e->answered) {
-    /* The caller gives up; the call may take effect before or after that. */
-    Event *r = result_event(e, EV_RESULT, w->now + STORE_GIVES_UP);
+  bool response_lost =
+      w->store == WORLD_STORE_HUNG || world_random(w) < w->response_loss_rate;
+  if (response_lost && !e->result_sent) {
+    /* The caller times out; the call may take effect before or after that. */
+    Event *r = copy_event(e, EV_RESULT, w->now + STORE_TIMEOUT_S);
     r->result = ERR_STORE_UNKNOWN;
     r->order = ++w->order;
     world_schedule(w, r);
-    if (!e->put || world_chance(w) < 0.3) return;
-    Event *late = result_event(e, EV_STORE, w->now + world_chance(w) * 5.0);
-    late->answered = true;
-    late->order = ++w->order;
-    world_schedule(w, late);
+    if (!e->put || world_random(w) < 0.3) return;
+    Event *delayed = copy_event(e, EV_STORE, w->now + world_random(w) * 5.0);
+    delayed->result_sent = true;
+    delayed->order = ++w->order;
+    world_schedule(w, delayed);
     return;
   }
   if (e->delete) {
@@ -112,13 +115,13 @@
     store_put(w, e);
   else
     store_get(w, e);
-  if (e->answered) return;
-  Event *r = result_event(e, EV_RESULT, back);
+  if (e->result_sent) return;
+  Event *r = copy_event(e, EV_RESULT, back);
   r->order = ++w->order;
   world_schedule(w, r);
 }
 
-static void note_bill(void *ctx, const BillItem *x) {
+static void record_bill(void *ctx, const BillItem *x) {
   World *w = ctx;
   if (g_hash_table_contains(w->billed, x->key)) return;
   g_hash_table_insert(w->billed, g_strdup(x->key),
@@ -126,11 +129,11 @@
   w->sums.billed += x->tokens;
 }
 
-void store_note_bills(World *w, const char *text) {
-  bill_each(text, note_bill, w);
+void store_record_bills(World *w, const char *text) {
+  bill_each(text, record_bill, w);
 }
 
-void store_result(World *w, const Event *e) {
+void store_deliver_result(World *w, const Event *e) {
   Node *n = &w->nodes[e->node];
   const char *text = e->put ? NULL : e->text;
   switch (e->owner) {
--- a/scenario/world.c
+++ b/scenario/world.c
@@ -10,27 +10,27 @@
 #include "peer/codec.h"
 #include "scenario/state.h"
 
-#define TICK_S 0.1
-#define BEAT_S 0.5
-/* Parts are sealed and joined all the time. */
-#define CLAIM_SEAL_HERE 2
-#define CLAIM_MERGE_HERE 3
+#define TICK_INTERVAL_S 0.1
+#define HEARTBEAT_INTERVAL_S 0.5
+/* Small sizes, so that parts are sealed and merged throughout a run. */
+#define CLAIM_SEAL_COUNT 2
+#define CLAIM_MERGE_COUNT 3
 
-/* == small things == */
+/* == helpers == */
 
-double world_chance(World *w) {
+double world_random(World *w) {
   return g_rand_double(w->rng);
 }
 
-void world_broke(World *w, const char *fmt, ...) {
-  if (w->broken[0]) return;
+void world_report_violation(World *w, const char *fmt, ...) {
+  if (w->violation[0]) return;
   va_list ap;
   va_start(ap, fmt);
-  vsnprintf(w->broken, sizeof w->broken, fmt, ap);
+  vsnprintf(w->violation, sizeof w->violation, fmt, ap);
   va_end(ap);
 }
 
-static int by_time(gconstpointer a, gconstpointer b, gpointer unused) {
+static int compare_events(gconstpointer a, gconstpointer b, gpointer unused) {
   (void)unused;
   const Event *x = a, *y = b;
   if (x->at != y->at) return x->at < y->at ? -1 : 1;
@@ -44,7 +44,7 @@
   g_free(e);
 }
 
-Event *world_event(World *w, EventKind kind, int node, double at) {
+Event *world_new_event(World *w, EventKind kind, int node, double at) {
   Event *e = g_new0(Event, 1);
   e->kind = kind;
   e->node = node;
@@ -55,39 +55,40 @@
 }
 
 void world_schedule(World *w, Event *e) {
-  g_sequence_insert_sorted(w->events, e, by_time, NULL);
+  g_sequence_insert_sorted(w->events, e, compare_events, NULL);
 }
 
 Budget *world_find_budget(const World *w, const char *name) {
   return g_hash_table_lookup(w->budgets, name);
 }
 
-bool world_listed(char list[][LIMIT_NAME], const char *name) {
-  for (int i = 0; i < WORLD_REGIONS; i++)
+bool world_list_contains(char list[][LIMIT_NAME], const char *name) {
+  for (int i = 0; i < WORLD_MAX_REGIONS; i++)
     if (strcmp(list[i], name) == 0) return true;
   return false;
 }
 
-static void set_list(char list[][LIMIT_NAME], const char *name, bool on) {
-  for (int i = 0; i < WORLD_REGIONS; i++) {
+static void set_listed(char list[][LIMIT_NAME], const char *name, bool on) {
+  for (int i = 0; i < WORLD_MAX_REGIONS; i++) {
     bool here = strcmp(list[i], name) == 0;
     if (here && !on) list[i][0] = '\0';
     if (here) return;
   }
-  for (int i = 0; on && i < WORLD_REGIONS; i++) {
+  for (int i = 0; on && i < WORLD_MAX_REGIONS; i++) {
     if (list[i][0]) continue;
     g_strlcpy(list[i], name, LIMIT_NAME);
     return;
   }
 }
 
-static bool linked(World *w, const Node *a, const Node *b) {
+static bool nodes_are_linked(World *w, const Node *a, const Node *b) {
   if (strcmp(a->region, b->region) == 0) return true;
-  return !world_listed(w->cut, a->region) && !world_listed(w->cut, b->region);
+  return !world_list_contains(w->cut_regions, a->region) &&
+         !world_list_contains(w->cut_regions, b->region);
 }
 
-static int node_of(const World *w, const char *id) {
-  for (int i = 0; i < w->n; i++)
+static int find_running_node(const World *w, const char *id) {
+  for (int i = 0; i < w->node_count; i++)
     if (strcmp(w->nodes[i].id, id) == 0 && w->nodes[i].up) return i;
   return -1;
 }
@@ -104,16 +105,17 @@
   msgpack_sbuffer_destroy(&b);
 }
 
-static void post(World *w, int node, const char *to, EventKind kind,
-                 const LedgerMsg *l, OnceMsg *o) {
+static void send_message(World *w, int node, const char *to, EventKind kind,
+                         const LedgerMsg *l, OnceMsg *o) {
   count_bytes(w, l, o);
-  int i = node_of(w, to);
-  bool arrives = i >= 0 && linked(w, &w->nodes[node], &w->nodes[i]) &&
-                 world_chance(w) >= w->lose_messages;
-  int copies = arrives ? 1 + (world_chance(w) < w->lose_messages) : 0;
+  int i = find_running_node(w, to);
+  bool arrives = i >= 0 && nodes_are_linked(w, &w->nodes[node], &w->nodes[i]) &&
+                 world_random(w) >= w->message_loss_rate;
+  int copies = arrives ? 1 + (world_random(w) < w->message_loss_rate) : 0;
   for (int c = 0; c < copies; c++) {
-    double at = w->now + w->low + world_chance(w) * (w->high - w->low);
-    Event *e = world_event(w, kind, i, at);
+    double at = w->now + w->min_delay_s +
+                world_random(w) * (w->max_delay_s - w->min_delay_s);
+    Event *e = world_new_event(w, kind, i, at);
     g_strlcpy(e->from, w->nodes[node].id, sizeof e->from);
     if (l) e->ledger = *l;
     if (o) {
@@ -125,25 +127,27 @@
   }
 }
 
-static void ledger_actions(World *w, int node) {
+static void run_ledger_actions(World *w, int node) {
   LedgerAction a;
   char name[LIMIT_NAME];
   while (ledger_next(w->nodes[node].ledger, &a)) {
     shard_name(a.shard, name);
     switch (a.what) {
-    case LEDGER_DO_SEND: post(w, node, a.to, EV_LEDGER, &a.msg, NULL); break;
+    case LEDGER_DO_SEND:
+      send_message(w, node, a.to, EV_LEDGER, &a.msg, NULL);
+      break;
     case LEDGER_DO_GET:
       store_call(w, node, CALL_LEDGER, name, false, a.shard, 0, NULL);
       break;
     case LEDGER_DO_PUT:
       store_call(w, node, CALL_LEDGER, name, true, a.shard, a.version, a.text);
       break;
-    case LEDGER_DO_ANSWER: requests_reserved(w, node, &a); break;
+    case LEDGER_DO_ANSWER: requests_on_reservation(w, node, &a); break;
     }
   }
 }
 
-static void claim_call(World *w, int node, OnceAction *a) {
+static void issue_claim_call(World *w, int node, OnceAction *a) {
   bool put = a->what == ONCE_DO_PUT;
   Event *e = store_call(w, node, CALL_ONCE, a->name, put, a->shard, a->version,
                         g_steal_pointer(&a->text));
@@ -151,32 +155,33 @@
   e->delete = a->what == ONCE_DO_DELETE;
 }
 
-static bool once_actions(World *w, int node) {
+static bool run_once_actions(World *w, int node) {
   OnceAction a;
   bool any = false;
   while (once_next(w->nodes[node].once, &a)) {
     any = true;
     switch (a.what) {
-    case ONCE_DO_SEND: post(w, node, a.to, EV_ONCE, NULL, &a.msg); break;
+    case ONCE_DO_SEND:
+      send_message(w, node, a.to, EV_ONCE, NULL, &a.msg);
+      break;
     case ONCE_DO_GET:
     case ONCE_DO_PUT:
-    case ONCE_DO_DELETE: claim_call(w, node, &a); break;
+    case ONCE_DO_DELETE: issue_claim_call(w, node, &a); break;
     case ONCE_DO_BILL:
       store_call(w, node, CALL_BILL, a.name, true, 0, 0,
                  g_steal_pointer(&a.text));
       break;
-    case ONCE_DO_ANSWER: requests_verdict(w, node, &a); break;
-    case ONCE_DO_DONE: requests_done(w, &a); break;
+    case ONCE_DO_ANSWER: requests_on_verdict(w, node, &a); break;
+    case ONCE_DO_DONE: requests_answered(w, &a); break;
     }
     once_action_clear(&a);
   }
   return any;
 }
 
-/* Carries out what the cores of a node want, until they want nothing. */
-void world_after(World *w, int node) {
-  do ledger_actions(w, node);
-  while (once_actions(w, node));
+void world_run_actions(World *w, int node) {
+  do run_ledger_actions(w, node);
+  while (run_once_actions(w, node));
 }
 
 /* == events == */
@@ -186,10 +191,11 @@
   int64_t unix_s = 1700000000 + (int64_t)w->now;
   ledger_tick(n->ledger, w->now, unix_s);
   once_tick(n->once, w->now, unix_s);
-  world_schedule(w, world_event(w, EV_TICK, node, w->now + TICK_S));
+  world_schedule(w,
+                 world_new_event(w, EV_TICK, node, w->now + TICK_INTERVAL_S));
 }
 
-static void take_view(World *w, int node) {
+static void update_view(World *w, int node) {
   Node *n = &w->nodes[node];
   member_self(n->members, n->draining, 1);
   View *v = member_view(n->members, w->now);
@@ -198,78 +204,80 @@
   view_free(v);
 }
 
-static void on_beat(World *w, int node) {
+static void on_heartbeat(World *w, int node) {
   Node *n = &w->nodes[node];
   member_self(n->members, n->draining, 1);
   const Member *me = member_me(n->members);
-  for (int i = 0; i < w->n; i++) {
+  for (int i = 0; i < w->node_count; i++) {
     Node *o = &w->nodes[i];
-    bool hears = i != node && o->up && !o->paused && linked(w, n, o);
-    if (hears && member_heard(o->members, w->now, me)) {
-      take_view(w, i);
-      world_after(w, i);
+    bool receives =
+        i != node && o->up && !o->paused && nodes_are_linked(w, n, o);
+    if (receives && member_heard(o->members, w->now, me)) {
+      update_view(w, i);
+      world_run_actions(w, i);
     }
   }
-  if (member_tick(n->members, w->now)) take_view(w, node);
-  world_schedule(w, world_event(w, EV_BEAT, node, w->now + BEAT_S));
+  if (member_tick(n->members, w->now)) update_view(w, node);
+  world_schedule(
+      w, world_new_event(w, EV_HEARTBEAT, node, w->now + HEARTBEAT_INTERVAL_S));
 }
 
-static void run_event(World *w, Event *e) {
+static void dispatch_event(World *w, Event *e) {
   Node *n = &w->nodes[e->node];
   switch (e->kind) {
   case EV_TICK: on_tick(w, e->node); break;
-  case EV_BEAT: on_beat(w, e->node); break;
+  case EV_HEARTBEAT: on_heartbeat(w, e->node); break;
   case EV_LEDGER: ledger_receive(n->ledger, w->now, e->from, &e->ledger); break;
   case EV_ONCE: once_receive(n->once, w->now, e->from, &e->once); break;
   case EV_STORE: break;
-  case EV_RESULT: store_result(w, e); break;
-  case EV_SEND: requests_send(w, e->request); break;
-  case EV_END: requests_finish(w, e->request); break;
+  case EV_RESULT: store_deliver_result(w, e); break;
+  case EV_DISPATCH: requests_dispatch(w, e->request); break;
+  case EV_FINISH: requests_finish(w, e->request); break;
   }
-  world_after(w, e->node);
+  world_run_actions(w, e->node);
 }
 
-static void handle(World *w, Event *e) {
+static void handle_event(World *w, Event *e) {
   Node *n = &w->nodes[e->node];
-  if (e->kind == EV_STORE) { /* is on its way whatever becomes of the caller */
+  if (e->kind == EV_STORE) { /* reaches the store even if the caller is gone */
     char *bill = e->owner == CALL_BILL ? g_strdup(e->text) : NULL;
-    store_receive(w, e);
-    if (bill && e->result == ERR_NONE && !e->text) store_note_bills(w, bill);
+    store_handle_call(w, e);
+    if (bill && e->result == ERR_NONE && !e->text) store_record_bills(w, bill);
     g_free(bill);
     world_event_free(e);
     return;
   }
   bool gone = !n->up || n->incarnation != e->incarnation;
   if (!gone && n->paused) {
-    g_queue_push_tail(&n->held, e);
+    g_queue_push_tail(&n->deferred, e);
     return;
   }
-  if (!gone) run_event(w, e);
+  if (!gone) dispatch_event(w, e);
   world_event_free(e);
 }
 
 void world_advance(World *w, double seconds) {
   double until = w->now + seconds;
-  while (!w->broken[0]) {
+  while (!w->violation[0]) {
     GSequenceIter *it = g_sequence_get_begin_iter(w->events);
     if (g_sequence_iter_is_end(it)) break;
     Event *e = g_sequence_get(it);
     if (e->at > until) break;
     g_sequence_remove(it);
     w->now = MAX(w->now, e->at);
-    handle(w, e);
+    handle_event(w, e);
   }
   w->now = until;
 }
 
-/* == building == */
+/* == construction == */
 
 World *world_new(uint32_t seed, WorldFaults f) {
   World *w = g_new0(World, 1);
   w->rng = g_rand_new_with_seed(seed);
   w->faults = f;
-  w->low = 0.0005;
-  w->high = 0.003;
+  w->min_delay_s = 0.0005;
+  w->max_delay_s = 0.003;
   w->events = g_sequence_new(NULL);
   w->objects =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, store_object_free);
@@ -277,15 +285,15 @@
   w->by_handle =
       g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
   w->budgets = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-  w->rows = g_array_new(FALSE, TRUE, sizeof(LedgerBudget));
-  w->runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  w->budget_rows = g_array_new(FALSE, TRUE, sizeof(LedgerBudget));
+  w->runs_by_key = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   w->billed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   return w;
 }
 
 static void stop_node(Node *n) {
   Event *e;
-  while ((e = g_queue_pop_head(&n->held))) world_event_free(e);
+  while ((e = g_queue_pop_head(&n->deferred))) world_event_free(e);
   if (!n->up) return;
   n->up = false;
   ledger_free(n->ledger);
@@ -294,7 +302,7 @@
 }
 
 void world_free(World *w) {
-  for (int i = 0; i < w->n; i++) stop_node(&w->nodes[i]);
+  for (int i = 0; i < w->node_count; i++) stop_node(&w->nodes[i]);
   GSequenceIter *it;
   while (!g_sequence_iter_is_end(it = g_sequence_get_begin_iter(w->events))) {
     world_event_free(g_sequence_get(it));
@@ -305,8 +313,8 @@
   g_ptr_array_free(w->requests, TRUE);
   g_hash_table_destroy(w->by_handle);
   g_hash_table_destroy(w->budgets);
-  g_array_free(w->rows, TRUE);
-  g_hash_table_destroy(w->runs);
+  g_array_free(w->budget_rows, TRUE);
+  g_hash_table_destroy(w->runs_by_key);
   g_hash_table_destroy(w->billed);
   g_rand_free(w->rng);
   g_free(w);
@@ -331,27 +339,30 @@
   n->once = once_new(n->id, n->region, seed + 1);
   ledger_faults(n->ledger, w->faults.ledger);
   once_faults(n->once, w->faults.once);
-  once_claim_sizes(n->once, CLAIM_SEAL_HERE, CLAIM_MERGE_HERE);
-  take_view(w, i);
-  ledger_budgets(n->ledger, w->now, (LedgerBudget *)(void *)w->rows->data,
-                 (int)w->rows->len);
-  double start = w->now + world_chance(w) * TICK_S;
-  world_schedule(w, world_event(w, EV_TICK, i, start));
-  world_schedule(w, world_event(w, EV_BEAT, i, w->now));
-}
-
-int world_node(World *w, const char *name, const char *region, const char *dc) {
-  g_assert(w->n < WORLD_NODES);
-  Node *n = &w->nodes[w->n];
+  once_claim_sizes(n->once, CLAIM_SEAL_COUNT, CLAIM_MERGE_COUNT);
+  update_view(w, i);
+  ledger_budgets(n->ledger, w->now,
+                 (LedgerBudget *)(void *)w->budget_rows->data,
+                 (int)w->budget_rows->len);
+  double start = w->now + world_random(w) * TICK_INTERVAL_S;
+  world_schedule(w, world_new_event(w, EV_TICK, i, start));
+  world_schedule(w, world_new_event(w, EV_HEARTBEAT, i, w->now));
+}
+
+int world_add_node(World *w, const char *name, const char *region,
+                   const char *dc) {
+  g_assert(w->node_count < WORLD_MAX_NODES);
+  Node *n = &w->nodes[w->node_count];
   g_strlcpy(n->name, name, sizeof n->name);
   g_strlcpy(n->region, region, sizeof n->region);
   g_strlcpy(n->dc, dc, sizeof n->dc);
-  g_queue_init(&n->held);
-  start_node(w, w->n);
-  return w->n++;
+  g_queue_init(&n->deferred);
+  start_node(w, w->node_count);
+  return w->node_count++;
 }
 
-void world_budget(World *w, const char *name, int64_t total, double reserve_s) {
+void world_set_budget(World *w, const char *name, int64_t total,
+                      double reserve_s) {
   Budget *b = world_find_budget(w, name);
   if (!b) {
     b = g_new0(Budget, 1);
@@ -359,47 +370,50 @@
     g_hash_table_insert(w->budgets, b->name, b);
     LedgerBudget row = {0};
     g_strlcpy(row.name, name, sizeof row.name);
-    g_array_append_val(w->rows, row);
+    g_array_append_val(w->budget_rows, row);
   }
-  b->total = MAX(b->total, total); /* what was handed out before a cut stands */
-  for (guint i = 0; i < w->rows->len; i++) {
-    LedgerBudget *row = &g_array_index(w->rows, LedgerBudget, i);
+  /* Tokens granted before a reduction stay valid. */
+  b->total = MAX(b->total, total);
+  for (guint i = 0; i < w->budget_rows->len; i++) {
+    LedgerBudget *row = &g_array_index(w->budget_rows, LedgerBudget, i);
     if (strcmp(row->name, name) != 0) continue;
     row->total = total;
     row->reserve_s = reserve_s;
     row->version++;
   }
-  for (int i = 0; i < w->n; i++) {
+  for (int i = 0; i < w->node_count; i++) {
     if (!w->nodes[i].up) continue;
     ledger_budgets(w->nodes[i].ledger, w->now,
-                   (LedgerBudget *)(void *)w->rows->data, (int)w->rows->len);
-    world_after(w, i);
+                   (LedgerBudget *)(void *)w->budget_rows->data,
+                   (int)w->budget_rows->len);
+    world_run_actions(w, i);
   }
 }
 
 /* == faults == */
 
-void world_cut(World *w, const char *region, bool cut) {
-  set_list(w->cut, region, cut);
+void world_cut_region(World *w, const char *region, bool cut) {
+  set_listed(w->cut_regions, region, cut);
 }
 
-void world_cut_store(World *w, const char *region, bool cut) {
-  set_list(w->cut_store, region, cut);
+void world_cut_region_store(World *w, const char *region, bool cut) {
+  set_listed(w->store_cut_regions, region, cut);
 }
 
-void world_store(World *w, WorldStore mode) {
+void world_set_store_mode(World *w, WorldStoreMode mode) {
   w->store = mode;
 }
 
-void world_lose(World *w, double messages, double answers, double stale) {
-  w->lose_messages = messages;
-  w->lose_answers = answers;
-  w->stale = stale;
+void world_set_loss_rates(World *w, double messages, double answers,
+                          double stale) {
+  w->message_loss_rate = messages;
+  w->response_loss_rate = answers;
+  w->stale_read_rate = stale;
 }
 
-void world_delay(World *w, double low_s, double high_s) {
-  w->low = low_s;
-  w->high = high_s;
+void world_set_delays(World *w, double low_s, double high_s) {
+  w->min_delay_s = low_s;
+  w->max_delay_s = high_s;
 }
 
 void world_kill(World *w, int node) {
@@ -407,12 +421,12 @@
   for (guint i = 0; i < w->requests->len; i++) {
     Request *q = w->requests->pdata[i];
     bool open = q->outcome == WORLD_WAITING || q->outcome == WORLD_RUNNING;
-    if (q->r.node != node || !open || q->incarnation != n->incarnation)
+    if (q->params.node != node || !open || q->incarnation != n->incarnation)
       continue;
-    if (q->reserved) /* what was reserved and not sent will not be sent */
-      world_find_budget(w, q->r.budget)->promised -=
-          q->ran ? q->r.amount - q->r.used : q->r.amount;
-    requests_end(w, q, WORLD_LOST);
+    if (q->reserved) /* reserved and never dispatched */
+      world_find_budget(w, q->params.budget)->reserved -=
+          q->ran ? q->params.amount - q->params.consumed : q->params.amount;
+    requests_conclude(w, q, WORLD_LOST);
   }
   stop_node(n);
 }
@@ -422,13 +436,13 @@
   start_node(w, node);
 }
 
-void world_pause(World *w, int node, bool paused) {
+void world_set_paused(World *w, int node, bool paused) {
   Node *n = &w->nodes[node];
   if (!n->up || n->paused == paused) return;
   n->paused = paused;
   if (paused) return;
-  GQueue held = n->held;
-  g_queue_init(&n->held);
+  GQueue held = n->deferred;
+  g_queue_init(&n->deferred);
   Event *e;
   while ((e = g_queue_pop_head(&held))) {
     e->at = w->now;
@@ -439,25 +453,25 @@
 void world_drain(World *w, int node) {
   Node *n = &w->nodes[node];
   n->draining = true;
-  take_view(w, node);
+  update_view(w, node);
   ledger_drain(n->ledger, w->now);
   once_drain(n->once, w->now);
-  world_after(w, node);
+  world_run_actions(w, node);
 }
 
-bool world_drained(World *w, int node) {
+bool world_is_drained(World *w, int node) {
   const Node *n = &w->nodes[node];
   return ledger_drained(n->ledger) && once_drained(n->once);
 }
 
-/* == requests and what is seen == */
+/* == requests and observations == */
 
-int world_request(World *w, const WorldRequest *r) {
+int world_start_request(World *w, const WorldRequest *r) {
   Node *n = &w->nodes[r->node];
   Request *q = g_new0(Request, 1);
-  q->r = *r;
-  q->handle = ++w->handles;
-  q->came = w->now;
+  q->params = *r;
+  q->handle = ++w->last_handle;
+  q->started_at = w->now;
   q->incarnation = n->incarnation;
   char issued[32];
   snprintf(issued, sizeof issued, "issued-%llu", (unsigned long long)q->handle);
@@ -467,45 +481,45 @@
   w->sums.requests++;
   if (!n->up || n->paused || n->draining) {
     q->cause = ERR_DRAINING;
-    requests_end(w, q, WORLD_REFUSED);
+    requests_conclude(w, q, WORLD_REFUSED);
     return (int)q->handle - 1;
   }
   once_begin(n->once, w->now, q->handle, q->key, 1, r->key[0] != '\0',
              !r->once_only);
-  world_after(w, r->node);
+  world_run_actions(w, r->node);
   return (int)q->handle - 1;
 }
 
-WorldOutcome world_outcome(const World *w, int request) {
+WorldOutcome world_request_outcome(const World *w, int request) {
   return ((Request *)w->requests->pdata[request])->outcome;
 }
 
-ErrKind world_cause(const World *w, int request) {
+ErrKind world_refusal_cause(const World *w, int request) {
   return ((Request *)w->requests->pdata[request])->cause;
 }
 
-double world_took(const World *w, int request) {
+double world_request_seconds(const World *w, int request) {
   const Request *q = w->requests->pdata[request];
-  return (q->answered > 0 ? q->answered : w->now) - q->came;
+  return (q->answered_at > 0 ? q->answered_at : w->now) - q->started_at;
 }
 
 double world_now(const World *w) {
   return w->now;
 }
 
-WorldSums world_sums(const World *w) {
+WorldTotals world_totals(const World *w) {
   return w->sums;
 }
 
-int64_t world_consumed(const World *w, const char *name) {
+int64_t world_consumed_tokens(const World *w, const char *name) {
   return world_find_budget(w, name)->consumed;
 }
 
-const char *world_broken(const World *w) {
-  return w->broken;
+const char *world_violation(const World *w) {
+  return w->violation;
 }
 
-static Shard *stored(const World *w, const char *name) {
+static Shard *load_shard(const World *w, const char *name) {
   char object_name[LIMIT_NAME];
   shard_name(shard_index(name), object_name);
   const Object *o = g_hash_table_lookup(w->objects, object_name);
@@ -513,21 +527,21 @@
 }
 
 int64_t world_free_tokens(const World *w, const char *name) {
-  Shard *s = stored(w, name);
+  Shard *s = load_shard(w, name);
   int64_t n = shard_remaining(shard_budget_add(s, name));
   shard_free(s);
   return n;
 }
 
-int64_t world_spent(const World *w, const char *name) {
-  Shard *s = stored(w, name);
+int64_t world_spent_tokens(const World *w, const char *name) {
+  Shard *s = load_shard(w, name);
   int64_t n = shard_spent(shard_budget_add(s, name));
   shard_free(s);
   return n;
 }
 
-int64_t world_held(const World *w, const char *name) {
-  Shard *s = stored(w, name);
+int64_t world_held_tokens(const World *w, const char *name) {
+  Shard *s = load_shard(w, name);
   const ShardBudget *b = shard_budget_add(s, name);
   int64_t n = 0;
   for (guint i = 0; i < b->grants->len; i++)
@@ -536,25 +550,27 @@
   return n;
 }
 
-/* At rest nothing waits, planned stops have ended, and the store never knows of
-   less than what was consumed. */
-void world_check_rest(World *w, bool bills) {
+/* With no work left, no request waits, planned stops have completed, and the
+   store accounts for at least the tokens consumed. */
+void world_check_at_rest(World *w, bool bills) {
   for (guint i = 0; i < w->requests->len; i++) {
     const Request *q = w->requests->pdata[i];
     if (q->outcome == WORLD_WAITING || q->outcome == WORLD_RUNNING)
-      world_broke(w, "request %u never got an answer", i);
+      world_report_violation(w, "request %u was never answered", i);
     char key[33];
     once_key_text(q->key, key);
     bool billed = g_hash_table_contains(w->billed, key);
     if (bills && q->outcome == WORLD_DONE && !billed)
-      world_broke(w, "request %u was answered whole and is on no bill", i);
+      world_report_violation(
+          w, "request %u was answered completely and is on no bill", i);
   }
-  for (int i = 0; i < w->n; i++) {
+  for (int i = 0; i < w->node_count; i++) {
     const Node *n = &w->nodes[i];
-    if (n->up && n->draining && !world_drained(w, i))
-      world_broke(w, "the planned stop of %s does not end: %s%s", n->id,
-                  ledger_drained(n->ledger) ? "" : "tokens ",
-                  once_drained(n->once) ? "" : "records");
+    if (n->up && n->draining && !world_is_drained(w, i))
+      world_report_violation(
+          w, "the planned stop of %s does not complete; still held: %s%s",
+          n->id, ledger_drained(n->ledger) ? "" : "tokens ",
+          once_drained(n->once) ? "" : "records");
   }
   GHashTableIter it;
   gpointer v;
@@ -563,9 +579,10 @@
     const Budget *b = v;
     int64_t free = world_free_tokens(w, b->name);
     if (free + b->consumed > b->total)
-      world_broke(w,
-                  "budget %s: %" G_GINT64_FORMAT " free and %" G_GINT64_FORMAT
-                  " consumed of %" G_GINT64_FORMAT,
-                  b->name, free, b->consumed, b->total);
+      world_report_violation(w,
+                             "budget %s: %" G_GINT64_FORMAT
+                             " free and %" G_GINT64_FORMAT
+                             " consumed of %" G_GINT64_FORMAT,
+                             b->name, free, b->consumed, b->total);
   }
 }
--- a/scenario/world.h
+++ b/scenario/world.h
@@ -1,6 +1,6 @@
-/* world.h: several instances' real cores in one process, on one virtual clock,
-   with a fake store, fake links and seeded faults. What must always hold is
-   checked after every event. No threads, no sockets. */
+/* world.h: a simulation of several instances in one process: the real cores on
+   one virtual clock, with a fake store, fake links and seeded faults. It checks
+   invariants after every event and uses no threads or sockets. */
 #ifndef SCENARIO_WORLD_H
 #define SCENARIO_WORLD_H
 
@@ -10,12 +10,12 @@
 #include "ledger/ledger.h"
 #include "once/once.h"
 
-#define WORLD_NODES 32
-#define WORLD_REGIONS 16
+#define WORLD_MAX_NODES 32
+#define WORLD_MAX_REGIONS 16
 
 typedef struct World World;
 
-/* Switches that take a mechanism out: a run must then be seen to fail. */
+/* Switches that disable a mechanism: a run must then fail. */
 typedef struct WorldFaults {
   LedgerFaults ledger;
   OnceFaults once;
@@ -23,86 +23,90 @@
 
 typedef enum {
   WORLD_STORE_UP,
-  WORLD_STORE_DOWN, /* refuses at once: nothing takes effect */
-  WORLD_STORE_HUNG  /* no answer; writes may still take effect */
-} WorldStore;
+  WORLD_STORE_DOWN, /* refuses calls immediately; none takes effect */
+  WORLD_STORE_HUNG  /* sends no response; writes may still take effect */
+} WorldStoreMode;
 
 World *world_new(uint32_t seed, WorldFaults f);
 void world_free(World *w);
-/* Names of regions and data centres are short words. */
-int world_node(World *w, const char *name, const char *region, const char *dc);
-void world_budget(World *w, const char *name, int64_t total, double reserve_s);
+/* Region and data centre names must be shorter than LIMIT_NAME. */
+int world_add_node(World *w, const char *name, const char *region,
+                   const char *dc);
+void world_set_budget(World *w, const char *name, int64_t total,
+                      double reserve_s);
 
 /* == faults == */
 
-void world_cut(World *w, const char *region, bool cut); /* from other regions */
-void world_cut_store(World *w, const char *region, bool cut);
-void world_store(World *w, WorldStore mode);
-void world_lose(World *w, double messages, double answers, double stale);
-void world_delay(World *w, double low_s, double high_s);
+/* Cuts a region's links to other regions, or restores them. */
+void world_cut_region(World *w, const char *region, bool cut);
+void world_cut_region_store(World *w, const char *region, bool cut);
+void world_set_store_mode(World *w, WorldStoreMode mode);
+void world_set_loss_rates(World *w, double messages, double answers,
+                          double stale);
+void world_set_delays(World *w, double low_s, double high_s);
 void world_kill(World *w, int node);
-void world_restart(World *w, int node); /* another incarnation */
-void world_pause(World *w, int node, bool paused);
-/* A planned stop begins: no new requests, everything goes back. */
+void world_restart(World *w, int node); /* as a new incarnation */
+void world_set_paused(World *w, int node, bool paused);
+/* Begins a planned stop: the node refuses requests and returns its tokens. */
 void world_drain(World *w, int node);
-bool world_drained(World *w, int node);
+bool world_is_drained(World *w, int node);
 
 /* == requests == */
 
 typedef struct WorldRequest {
   int node;
   char budget[LIMIT_NAME];
-  int64_t amount, used; /* reserved; consumed by the target */
-  double lasts_s;
-  char key[LIMIT_NAME]; /* "": issued */
-  bool once_only;       /* may not be repeated */
-  bool target_silent;   /* it runs, and the target never answers */
+  int64_t amount, consumed; /* tokens reserved; tokens the target consumes */
+  double duration_s;
+  char key[LIMIT_NAME];     /* "": the world generates one */
+  bool once_only;           /* not repeatable */
+  bool target_unresponsive; /* the target runs it and never answers */
 } WorldRequest;
 
 typedef enum {
   WORLD_WAITING,
   WORLD_RUNNING,
-  WORLD_DONE, /* whole answer */
+  WORLD_DONE, /* complete answer */
   WORLD_REPLAYED,
   WORLD_REFUSED, /* not run */
-  WORLD_MAYBE,   /* told that it may have run */
-  WORLD_LOST     /* its instance died */
+  WORLD_MAYBE,   /* answered that it may have run */
+  WORLD_LOST     /* its instance crashed */
 } WorldOutcome;
 
-int world_request(World *w, const WorldRequest *r);
-WorldOutcome world_outcome(const World *w, int request);
-ErrKind world_cause(const World *w, int request);
-/* Seconds until its answer, or until now. */
-double world_took(const World *w, int request);
+int world_start_request(World *w, const WorldRequest *r);
+WorldOutcome world_request_outcome(const World *w, int request);
+ErrKind world_refusal_cause(const World *w, int request);
+/* Seconds from its start to its answer, or to now if it has none. */
+double world_request_seconds(const World *w, int request);
 
-/* Runs the clock forward. */
+/* Advances the clock and runs the events that fall due. */
 void world_advance(World *w, double seconds);
 double world_now(const World *w);
 
-/* == what is seen == */
+/* == observations == */
 
-typedef struct WorldSums {
+typedef struct WorldTotals {
   int64_t consumed, billed, wasted; /* tokens */
   int64_t requests, done, refused, maybe, lost, replayed;
-  int64_t false_refused;       /* the budget could have covered them */
-  int64_t false_refused_early; /* of these, before its last hundredth */
-  int64_t by_cause[ERR_COUNT]; /* false refusals by cause */
+  int64_t false_refusals;       /* the budget could have covered them */
+  int64_t early_false_refusals; /* before the last 1 % of the budget */
+  int64_t false_refusals_by_cause[ERR_COUNT];
   int64_t reads, writes, conflicts;
   int64_t messages, bytes;
-  int64_t runs_most; /* runs of one once-only key */
-} WorldSums;
+  int64_t max_runs_per_key; /* of once-only keys */
+} WorldTotals;
 
-WorldSums world_sums(const World *w);
-int64_t world_consumed(const World *w, const char *budget);
-/* As the stored documents say. */
+WorldTotals world_totals(const World *w);
+int64_t world_consumed_tokens(const World *w, const char *budget);
+/* According to the stored documents. */
 int64_t world_free_tokens(const World *w, const char *budget);
-int64_t world_held(const World *w, const char *budget);
-int64_t world_spent(const World *w, const char *budget);
-/* "" while everything that must always hold does. */
-const char *world_broken(const World *w);
-/* Checks that hold only when all has come to rest. `bills`: every whole answer
-   must be on a bill, which no run can promise whose instances are lost faster
-   than a bill can be copied. */
-void world_check_rest(World *w, bool bills);
+int64_t world_held_tokens(const World *w, const char *budget);
+int64_t world_spent_tokens(const World *w, const char *budget);
+/* The first violated invariant; "" if there is none. */
+const char *world_violation(const World *w);
+/* Checks what must hold once no work is left. `bills`: every complete answer
+   must be on a bill. A run that loses instances faster than a bill can be
+   copied cannot guarantee that. */
+void world_check_at_rest(World *w, bool bills);
 
 #endif
