--- a/bench/budget.c
+++ b/bench/budget.c
@@ -54,8 +54,8 @@
 static WorldRequest draw_request(const Shape *s, GRand *r, int node) {
   WorldRequest q = {.node = node};
   snprintf(q.budget, sizeof q.budget, "c%d/any", pick_customer(r));
-  q.consumed = 50 + g_rand_int_range(r, 0, (gint32)(2 * s->mean - 100));
-  q.amount = q.consumed + g_rand_int_range(r, 0, 600);
+  q.consumed_tokens = 50 + g_rand_int_range(r, 0, (gint32)(2 * s->mean - 100));
+  q.amount = q.consumed_tokens + g_rand_int_range(r, 0, 600);
   q.duration_s = 0.5 + g_rand_double(r) * 3;
   return q;
 }
@@ -178,9 +178,9 @@
       int c = q.budget[1] - '0';
       out.sums.requests++;
       if (left[node][c] >= q.amount) {
-        left[node][c] -= q.consumed;
-        all[c] -= q.consumed;
-        out.consumed += q.consumed;
+        left[node][c] -= q.consumed_tokens;
+        all[c] -= q.consumed_tokens;
+        out.consumed += q.consumed_tokens;
         out.sums.done++;
         continue;
       }
@@ -217,8 +217,8 @@
       bool covered = all[c] >= q.amount;
       out.sums.requests++;
       if (covered && !cut && !down) {
-        all[c] -= q.consumed;
-        out.consumed += q.consumed;
+        all[c] -= q.consumed_tokens;
+        out.consumed += q.consumed_tokens;
         out.sums.done++;
         out.sums.writes += 2;
         continue;
--- a/scenario/requests.c
+++ b/scenario/requests.c
@@ -23,7 +23,7 @@
 
 static void count_false_refusal(World *w, const Request *q) {
   const Budget *b = world_find_budget(w, q->params.budget);
-  bool covered = b && b->total - b->consumed - b->reserved >= q->params.amount;
+  bool covered = b && b->total - b->consumed - b->unsettled >= q->params.amount;
   bool is_budget_refusal =
       q->cause >= ERR_BUDGET_EMPTY && q->cause <= ERR_BUDGET_CUT;
   if (!covered || !is_budget_refusal) return;
@@ -34,7 +34,7 @@
 
 static void schedule_dispatch(World *w, Request *q) {
   q->reserved = true;
-  world_find_budget(w, q->params.budget)->reserved += q->params.amount;
+  world_find_budget(w, q->params.budget)->unsettled += q->params.amount;
   Event *e = world_new_event(w, EV_DISPATCH, q->params.node,
                              w->now + DISPATCH_DELAY_S);
   e->request = (int)q->handle - 1;
@@ -82,9 +82,9 @@
   Budget *b = world_find_budget(w, q->params.budget);
   q->ran = true;
   q->outcome = WORLD_RUNNING;
-  b->consumed += q->params.consumed;
-  b->reserved -= q->params.consumed;
-  w->sums.consumed += q->params.consumed;
+  b->consumed += q->params.consumed_tokens;
+  b->unsettled -= q->params.consumed_tokens;
+  w->sums.consumed += q->params.consumed_tokens;
   if (b->consumed > b->total)
     world_report_violation(w,
                            "budget %s: %" G_GINT64_FORMAT
@@ -110,9 +110,9 @@
 void requests_finish(World *w, int i) {
   Request *q = w->requests->pdata[i];
   Node *n = &w->nodes[q->params.node];
-  world_find_budget(w, q->params.budget)->reserved -=
-      q->params.amount - q->params.consumed;
-  ledger_settle(n->ledger, w->now, q->handle, q->params.consumed);
+  world_find_budget(w, q->params.budget)->unsettled -=
+      q->params.amount - q->params.consumed_tokens;
+  ledger_settle(n->ledger, w->now, q->handle, q->params.consumed_tokens);
   if (w->faults.ledger.settle_twice)
     ledger_settle(n->ledger, w->now, q->handle, 0);
   if (q->params.target_unresponsive) {
@@ -120,7 +120,7 @@
     requests_conclude(w, q, WORLD_MAYBE);
     return;
   }
-  OnceBill bill = {.tokens = q->params.consumed};
+  OnceBill bill = {.tokens = q->params.consumed_tokens};
   OnceAnswer answer = {.status = 200, .body = (char *)"done", .len = 4};
   g_strlcpy(bill.customer, "c", sizeof bill.customer);
   g_strlcpy(bill.budget, q->params.budget, sizeof bill.budget);
@@ -129,6 +129,6 @@
 
 void requests_answered(World *w, const OnceAction *a) {
   Request *q = requests_find(w, a->handle);
-  if (a->doubled) w->sums.wasted += q->params.consumed;
+  if (a->doubled) w->sums.wasted += q->params.consumed_tokens;
   requests_conclude(w, q, WORLD_DONE);
 }
--- a/scenario/script.c
+++ b/scenario/script.c
@@ -98,7 +98,7 @@
                     .duration_s = number_field(l, "lasts", 0.5),
                     .once_only = bool_field(l, "once"),
                     .target_unresponsive = bool_field(l, "silent")};
-  r.consumed = (int64_t)number_field(l, "used", (double)r.amount);
+  r.consumed_tokens = (int64_t)number_field(l, "used", (double)r.amount);
   snprintf(r.budget, sizeof r.budget, "%s", string_field(l, "budget", "b"));
   snprintf(r.key, sizeof r.key, "%s", string_field(l, "key", ""));
   lua_pushinteger(l, world_start_request(world, &r));
--- a/scenario/state.h
+++ b/scenario/state.h
@@ -68,7 +68,7 @@
 
 typedef struct Budget {
   char name[LIMIT_NAME];
-  int64_t total, consumed, reserved; /* reserved: not yet settled */
+  int64_t total, consumed, unsettled; /* unsettled: reserved tokens */
 } Budget;
 
 struct World {
--- a/scenario/world.c
+++ b/scenario/world.c
@@ -424,8 +424,9 @@
     if (q->params.node != node || !open || q->incarnation != n->incarnation)
       continue;
     if (q->reserved) /* reserved and never dispatched */
-      world_find_budget(w, q->params.budget)->reserved -=
-          q->ran ? q->params.amount - q->params.consumed : q->params.amount;
+      world_find_budget(w, q->params.budget)->unsettled -=
+          q->ran ? q->params.amount - q->params.consumed_tokens
+                 : q->params.amount;
     requests_conclude(w, q, WORLD_LOST);
   }
   stop_node(n);
--- a/scenario/world.h
+++ b/scenario/world.h
@@ -56,7 +56,7 @@
 typedef struct WorldRequest {
   int node;
   char budget[LIMIT_NAME];
-  int64_t amount, consumed; /* tokens reserved; tokens the target consumes */
+  int64_t amount, consumed_tokens; /* reserved; consumed by the target */
   double duration_s;
   char key[LIMIT_NAME];     /* "": the world generates one */
   bool once_only;           /* not repeatable */
