--- a/fakes/engine.c
+++ b/fakes/engine.c
@@ -1,11 +1,11 @@
-/* engine.c: stand-in for a model engine with continuous batching in its
-   simplest form: `slots` streams at once, the best priority first, a prefill
-   time by uncached prompt bytes and a steady time between tokens.
+/* engine.c: stand-in for a model engine with a minimal form of continuous
+   batching: `slots` concurrent streams, the best priority first, a prefill time
+   proportional to the uncached prompt and a constant time between tokens.
 
    POST /v1/chat/completions, GET /resume?id=&from=, POST /cancel?id=, GET
    /load, POST /adapters?fence=N, GET /stats, POST /fault?mode=M&ms=N  modes:
-   none, slow (times ten), error, cut (ends a stream after three tokens), drop
-   (breaks its connection there, the run can be resumed), hang. */
+   none, slow (ten times slower), error, cut (ends a stream after three tokens),
+   drop (closes the connection there; the run can be resumed), hang. */
 #include <glib.h>
 #include <pthread.h>
 #include <stdio.h>
@@ -14,76 +14,80 @@
 
 #include "fakes/fake.h"
 
-#define PARK_US 8000000 /* a run without a connection waits this long */
+/* How long a run without a connection can be resumed. */
+#define RESUME_TIMEOUT_US 8000000
 
-/* What is remembered of a run after its end, for a late cancel. */
+/* The record of a run that outlives it, for a cancel after its end. */
 typedef struct Trace {
-  int prompt, sent;
-  bool cancel, ended, leave; /* leave: its connection is given up */
+  int prompt_tokens, sent_tokens;
+  /* must_detach: its connection must close */
+  bool cancel_requested, ended, must_detach;
 } Trace;
 
 typedef struct Run {
   char id[96];
   Trace *trace;
-  int prompt, max, sent, token_ms;
-  bool stream, cut, drop, ended;
+  int prompt_tokens, max_tokens, sent_tokens, token_ms;
+  bool stream, cut_short, drop_connection, ended;
   GString *text;
-  GPtrArray *events; /* all that were made, for a resume */
-  gint64 next;       /* microseconds */
-  gint64 parked;     /* when its connection broke */
+  GPtrArray *events;    /* all events so far, for a resume */
+  gint64 next_token_us; /* when the next token is due, in microseconds */
+  gint64 detached_at;   /* when its connection closed */
 } Run;
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static pthread_cond_t freed = PTHREAD_COND_INITIALIZER;
+static pthread_cond_t slot_freed = PTHREAD_COND_INITIALIZER;
 static int slots = 8, running, waiting[10];
 static int token_ms = 10;
-static double prefill_us = 20; /* for one uncached prompt token */
-static int64_t tokens, prompts, runs, cancelled, cached_tokens, resumed;
+static double prefill_us_per_token = 20; /* uncached prompt tokens only */
+static int64_t token_total, prompt_token_total, run_count, cancelled_count,
+    cached_tokens, resumed_count;
 static GHashTable *prefixes, *by_id;
-static GHashTable *parked; /* id -> Run without a connection */
-static char mode[16] = "none", asked_model[64] = "";
-/* Adapters that it was ordered to have: fenced, and slow to load. */
-#define LOAD_US 300000
-static json_t *adapters, *coming;
-static uint64_t fence;
-static int64_t orders, late_orders;
+static GHashTable *detached_runs; /* id -> Run without a connection */
+static char fault_mode[16] = "none", last_model[64] = "";
+/* Adapters that the last valid order lists. Orders carry a fence, and loading
+   takes ADAPTER_LOAD_US. */
+#define ADAPTER_LOAD_US 300000
+static json_t *loaded_adapters, *ordered_adapters;
+static uint64_t latest_fence;
+static int64_t order_count, stale_orders;
 static gint64 loaded_at;
 
 /* == slots, by priority == */
 
-static bool better_waits(int priority) {
+static bool higher_priority_waits(int priority) {
   for (int i = 0; i < priority; i++)
     if (waiting[i] > 0) return true;
   return false;
 }
 
-static void take_slot(int priority) {
+static void acquire_slot(int priority) {
   pthread_mutex_lock(&lock);
   waiting[priority]++;
-  while (running >= slots || better_waits(priority))
-    pthread_cond_wait(&freed, &lock);
+  while (running >= slots || higher_priority_waits(priority))
+    pthread_cond_wait(&slot_freed, &lock);
   waiting[priority]--;
   running++;
-  runs++;
-  pthread_cond_broadcast(&freed);
+  run_count++;
+  pthread_cond_broadcast(&slot_freed);
   pthread_mutex_unlock(&lock);
 }
 
-static void free_slot(Run *r, bool whole) {
+static void release_slot(Run *r, bool whole) {
   pthread_mutex_lock(&lock);
   running--;
   r->trace->ended = true;
-  tokens += r->sent;
-  prompts += r->prompt;
-  if (!whole) cancelled++;
-  pthread_cond_broadcast(&freed);
+  token_total += r->sent_tokens;
+  prompt_token_total += r->prompt_tokens;
+  if (!whole) cancelled_count++;
+  pthread_cond_broadcast(&slot_freed);
   pthread_mutex_unlock(&lock);
 }
 
 /* == runs == */
 
-/* One token for every four bytes, never fewer than one a message. */
-static int count_prompt(json_t *messages) {
+/* One token per four bytes, rounded up, plus four per message. */
+static int count_prompt_tokens(json_t *messages) {
   size_t i;
   json_t *m;
   int n = 0;
@@ -94,7 +98,7 @@
   return n;
 }
 
-static int cached_part(json_t *messages, int prompt) {
+static int count_cached_tokens(json_t *messages, int prompt) {
   json_t *first = json_array_get(messages, 0);
   const char *s = json_string_value(json_object_get(first, "content"));
   char *key = g_strndup(s ? s : "", 1024);
@@ -105,13 +109,13 @@
   return n;
 }
 
-static json_t *usage(const Run *r) {
-  return json_pack("{s:i,s:i,s:i}", "prompt_tokens", r->prompt,
-                   "completion_tokens", r->sent, "total_tokens",
-                   r->prompt + r->sent);
+static json_t *make_usage(const Run *r) {
+  return json_pack("{s:i,s:i,s:i}", "prompt_tokens", r->prompt_tokens,
+                   "completion_tokens", r->sent_tokens, "total_tokens",
+                   r->prompt_tokens + r->sent_tokens);
 }
 
-static json_t *chunk(const Run *r, const char *delta, const char *finish) {
+static json_t *make_chunk(const Run *r, const char *delta, const char *finish) {
   json_t *d = delta[0] ? json_pack("{s:s}", "content", delta) : json_object();
   json_t *choice = json_pack("{s:i,s:o,s:s?}", "index", 0, "delta", d,
                              "finish_reason", finish);
@@ -119,7 +123,7 @@
                    "chat.completion.chunk", "choices", choice);
 }
 
-static void push(Run *r, json_t *o) {
+static void append_event(Run *r, json_t *o) {
   char *s = json_dumps(o, JSON_COMPACT);
   char *event = g_strdup_printf("data: %s\n\n", s);
   g_string_append(r->text, event);
@@ -128,10 +132,10 @@
   json_decref(o);
 }
 
-/* Each token names the run, so that a crossed stream can be seen. */
-static void next_token(Run *r, char *word, size_t n) {
-  snprintf(word, n, "%s-%d ", r->id, r->sent++);
-  r->trace->sent = r->sent;
+/* Each token names its run, so that mixed-up streams are detected. */
+static void next_token(Run *r, char *token, size_t n) {
+  snprintf(token, n, "%s-%d ", r->id, r->sent_tokens++);
+  r->trace->sent_tokens = r->sent_tokens;
 }
 
 static void wait_until(gint64 t) {
@@ -139,20 +143,20 @@
   if (t > now) g_usleep((gulong)(t - now));
 }
 
-static void fill_stream(Run *r) {
-  char word[128];
-  if (r->sent < r->max) {
-    wait_until(r->next);
-    r->next += (gint64)r->token_ms * 1000;
-    next_token(r, word, sizeof word);
-    push(r, chunk(r, word, NULL));
+static void append_next_event(Run *r) {
+  char token[128];
+  if (r->sent_tokens < r->max_tokens) {
+    wait_until(r->next_token_us);
+    r->next_token_us += (gint64)r->token_ms * 1000;
+    next_token(r, token, sizeof token);
+    append_event(r, make_chunk(r, token, NULL));
     return;
   }
-  push(r, chunk(r, "", "stop"));
+  append_event(r, make_chunk(r, "", "stop"));
   json_t *last =
       json_pack("{s:s,s:s,s:[],s:o}", "id", r->id, "object",
-                "chat.completion.chunk", "choices", "usage", usage(r));
-  push(r, last);
+                "chat.completion.chunk", "choices", "usage", make_usage(r));
+  append_event(r, last);
   g_string_append(r->text, "data: [DONE]\n\n");
   r->ended = true;
 }
@@ -161,11 +165,13 @@
   (void)pos;
   Run *r = ctx;
   if (r->text->len == 0 && r->ended) return MHD_CONTENT_READER_END_OF_STREAM;
-  if (r->cut && r->sent >= 3) return MHD_CONTENT_READER_END_WITH_ERROR;
-  if (r->drop && r->sent >= 3) return MHD_CONTENT_READER_END_WITH_ERROR;
-  if (r->trace->cancel || r->trace->leave)
+  if (r->cut_short && r->sent_tokens >= 3)
     return MHD_CONTENT_READER_END_WITH_ERROR;
-  if (r->text->len == 0) fill_stream(r);
+  if (r->drop_connection && r->sent_tokens >= 3)
+    return MHD_CONTENT_READER_END_WITH_ERROR;
+  if (r->trace->cancel_requested || r->trace->must_detach)
+    return MHD_CONTENT_READER_END_WITH_ERROR;
+  if (r->text->len == 0) append_next_event(r);
   size_t n = MIN(max, r->text->len);
   memcpy(buf, r->text->str, n);
   g_string_erase(r->text, 0, (gssize)n);
@@ -173,57 +179,58 @@
 }
 
 static void free_run(Run *r) {
-  free_slot(r, r->ended);
+  release_slot(r, r->ended);
   g_string_free(r->text, TRUE);
   g_ptr_array_free(r->events, TRUE);
   g_free(r);
 }
 
-/* The connection is over; a stream that is not waits to be resumed. */
-static void end_run(void *ctx) {
+/* Called when the connection ends; an unfinished stream waits for a resume. */
+static void on_connection_end(void *ctx) {
   Run *r = ctx;
-  if (!r->stream || r->ended || r->cut || r->trace->cancel) {
+  if (!r->stream || r->ended || r->cut_short || r->trace->cancel_requested) {
     free_run(r);
     return;
   }
   pthread_mutex_lock(&lock);
-  r->parked = g_get_monotonic_time();
-  g_hash_table_replace(parked, r->id, r);
+  r->detached_at = g_get_monotonic_time();
+  g_hash_table_replace(detached_runs, r->id, r);
   pthread_mutex_unlock(&lock);
 }
 
-static gboolean is_over(gpointer id, gpointer run, gpointer over) {
+static gboolean collect_expired_run(gpointer id, gpointer run,
+                                    gpointer expired) {
   (void)id;
   Run *r = run;
-  bool late = g_get_monotonic_time() - r->parked > PARK_US;
-  if (!late && !r->trace->cancel) return FALSE;
-  g_ptr_array_add(over, r);
+  bool timed_out = g_get_monotonic_time() - r->detached_at > RESUME_TIMEOUT_US;
+  if (!timed_out && !r->trace->cancel_requested) return FALSE;
+  g_ptr_array_add(expired, r);
   return TRUE;
 }
 
-/* Frees what nobody resumed. */
-static void *reap(void *unused) {
+/* Frees the runs that were not resumed in time or were cancelled. */
+static void *reap_expired_runs(void *unused) {
   (void)unused;
   for (;;) {
-    GPtrArray *over = g_ptr_array_new();
+    GPtrArray *expired = g_ptr_array_new();
     g_usleep(20000);
     pthread_mutex_lock(&lock);
-    g_hash_table_foreach_remove(parked, is_over, over);
+    g_hash_table_foreach_remove(detached_runs, collect_expired_run, expired);
     pthread_mutex_unlock(&lock);
-    for (guint i = 0; i < over->len; i++) free_run(over->pdata[i]);
-    g_ptr_array_free(over, TRUE);
+    for (guint i = 0; i < expired->len; i++) free_run(expired->pdata[i]);
+    g_ptr_array_free(expired, TRUE);
   }
   return NULL;
 }
 
-/* Takes a run over from its connection, broken or not. */
-static Run *take_parked(const char *id) {
+/* Detaches a run from its connection, closing that if it is open. */
+static Run *detach_run(const char *id) {
   for (int i = 0; i < 100; i++) {
     pthread_mutex_lock(&lock);
-    Run *r = g_hash_table_lookup(parked, id);
+    Run *r = g_hash_table_lookup(detached_runs, id);
     Trace *t = g_hash_table_lookup(by_id, id);
-    if (r) g_hash_table_remove(parked, id);
-    if (t && !t->ended && !r) t->leave = true;
+    if (r) g_hash_table_remove(detached_runs, id);
+    if (t && !t->ended && !r) t->must_detach = true;
     bool gone = !t || t->ended;
     pthread_mutex_unlock(&lock);
     if (r || gone) return r;
@@ -232,34 +239,34 @@
   return NULL;
 }
 
-static struct MHD_Response *stream(Run *r, int *status) {
+static struct MHD_Response *stream_response(Run *r, int *status) {
   *status = 200;
   struct MHD_Response *m = MHD_create_response_from_callback(
-      MHD_SIZE_UNKNOWN, 4096, read_stream, r, end_run);
+      MHD_SIZE_UNKNOWN, 4096, read_stream, r, on_connection_end);
   MHD_add_response_header(m, "Content-Type", "text/event-stream");
   return m;
 }
 
-static struct MHD_Response *resume(const HttpReq *q, int *status) {
+static struct MHD_Response *resume_run(const HttpReq *q, int *status) {
   const char *id = http_arg(q, "id"), *from = http_arg(q, "from");
-  Run *r = id ? take_parked(id) : NULL;
+  Run *r = id ? detach_run(id) : NULL;
   if (!r) return fake_json_response(status, 404, json_object());
-  r->trace->leave = r->drop = false;
+  r->trace->must_detach = r->drop_connection = false;
   g_string_truncate(r->text, 0);
   for (guint i = from ? (guint)atoi(from) : 0; i < r->events->len; i++)
     g_string_append(r->text, r->events->pdata[i]);
-  resumed++;
-  return stream(r, status);
+  resumed_count++;
+  return stream_response(r, status);
 }
 
-static struct MHD_Response *whole(Run *r, int *status) {
+static struct MHD_Response *complete_response(Run *r, int *status) {
   GString *all = g_string_new(NULL);
-  char word[128];
-  while (r->sent < r->max && !r->trace->cancel) {
-    wait_until(r->next);
-    r->next += (gint64)r->token_ms * 1000;
-    next_token(r, word, sizeof word);
-    g_string_append(all, word);
+  char token[128];
+  while (r->sent_tokens < r->max_tokens && !r->trace->cancel_requested) {
+    wait_until(r->next_token_us);
+    r->next_token_us += (gint64)r->token_ms * 1000;
+    next_token(r, token, sizeof token);
+    g_string_append(all, token);
   }
   r->ended = true;
   json_t *choice =
@@ -267,9 +274,9 @@
                 "assistant", "content", all->str, "finish_reason", "stop");
   json_t *o =
       json_pack("{s:s,s:s,s:[o],s:o}", "id", r->id, "object", "chat.completion",
-                "choices", choice, "usage", usage(r));
+                "choices", choice, "usage", make_usage(r));
   g_string_free(all, TRUE);
-  end_run(r);
+  on_connection_end(r);
   return fake_json_response(status, 200, o);
 }
 
@@ -279,33 +286,34 @@
   const char *id = http_header(q, "X-Request-Id");
   Run *r = g_new0(Run, 1);
   g_strlcpy(r->id, id ? id : "none", sizeof r->id);
-  r->prompt = count_prompt(messages);
-  r->max = max ? (int)json_integer_value(max) : 16;
+  r->prompt_tokens = count_prompt_tokens(messages);
+  r->max_tokens = max ? (int)json_integer_value(max) : 16;
   const char *model = json_string_value(json_object_get(body, "model"));
-  g_strlcpy(asked_model, model ? model : "", sizeof asked_model);
+  g_strlcpy(last_model, model ? model : "", sizeof last_model);
   r->stream = json_is_true(json_object_get(body, "stream"));
   r->text = g_string_new(NULL);
   r->events = g_ptr_array_new_with_free_func(g_free);
   pthread_mutex_lock(&lock);
-  int fresh = r->prompt - cached_part(messages, r->prompt);
-  bool slow = strcmp(mode, "slow") == 0;
-  r->cut = strcmp(mode, "cut") == 0;
-  r->drop = strcmp(mode, "drop") == 0;
+  int fresh =
+      r->prompt_tokens - count_cached_tokens(messages, r->prompt_tokens);
+  bool slow = strcmp(fault_mode, "slow") == 0;
+  r->cut_short = strcmp(fault_mode, "cut") == 0;
+  r->drop_connection = strcmp(fault_mode, "drop") == 0;
   r->token_ms = slow ? token_ms * 10 : token_ms;
   r->trace = g_new0(Trace, 1);
-  r->trace->prompt = r->prompt;
+  r->trace->prompt_tokens = r->prompt_tokens;
   g_hash_table_insert(by_id, g_strdup(r->id), r->trace);
   pthread_mutex_unlock(&lock);
-  r->next =
-      g_get_monotonic_time() + (gint64)(fresh * prefill_us * (slow ? 10 : 1));
+  r->next_token_us = g_get_monotonic_time() +
+                     (gint64)(fresh * prefill_us_per_token * (slow ? 10 : 1));
   return r;
 }
 
-static struct MHD_Response *complete(const HttpReq *q, int *status) {
-  if (strcmp(mode, "error") == 0)
+static struct MHD_Response *handle_completion(const HttpReq *q, int *status) {
+  if (strcmp(fault_mode, "error") == 0)
     return fake_json_response(status, 500,
                               json_pack("{s:s}", "error", "told to fail"));
-  while (strcmp(mode, "hang") == 0) g_usleep(20000);
+  while (strcmp(fault_mode, "hang") == 0) g_usleep(20000);
   json_t *body = json_loadb(q->body->str, q->body->len, 0, NULL);
   if (!json_is_array(json_object_get(body, "messages"))) {
     json_decref(body);
@@ -313,90 +321,93 @@
                               json_pack("{s:s}", "error", "no messages"));
   }
   const char *p = http_header(q, "X-Priority");
-  take_slot(p ? CLAMP(atoi(p), 0, 9) : 5);
+  acquire_slot(p ? CLAMP(atoi(p), 0, 9) : 5);
   Run *r = new_run(q, body);
   json_decref(body);
-  return r->stream ? stream(r, status) : whole(r, status);
+  return r->stream ? stream_response(r, status) : complete_response(r, status);
 }
 
-static int waiting_sum(void) {
+static int count_waiting(void) {
   int n = 0;
   for (int i = 0; i < 10; i++) n += waiting[i];
   return n;
 }
 
-/* Stops a run and tells what it counted; 404 for a run it does not know. */
-static struct MHD_Response *cancel(const HttpReq *q, int *status) {
+/* Stops a run and reports its token counts; 404 for an unknown run. */
+static struct MHD_Response *cancel_run(const HttpReq *q, int *status) {
   const char *id = http_arg(q, "id");
   pthread_mutex_lock(&lock);
   Trace *t = id ? g_hash_table_lookup(by_id, id) : NULL;
-  if (t) t->cancel = true;
+  if (t) t->cancel_requested = true;
   pthread_mutex_unlock(&lock);
   if (!t) return fake_json_response(status, 404, json_object());
   for (int i = 0; i < 100 && !t->ended; i++) g_usleep(5000);
   return fake_json_response(status, 200,
-                            json_pack("{s:i,s:i}", "prompt_tokens", t->prompt,
-                                      "completion_tokens", t->sent));
+                            json_pack("{s:i,s:i}", "prompt_tokens",
+                                      t->prompt_tokens, "completion_tokens",
+                                      t->sent_tokens));
 }
 
-static struct MHD_Response *load(int *status) {
+static struct MHD_Response *report_load(int *status) {
   pthread_mutex_lock(&lock);
   json_t *o = json_pack("{s:i,s:i,s:i}", "running", running, "waiting",
-                        waiting_sum(), "slots", slots);
+                        count_waiting(), "slots", slots);
   pthread_mutex_unlock(&lock);
   return fake_json_response(status, 200, o);
 }
 
-static struct MHD_Response *order(const HttpReq *q, int *status) {
+static struct MHD_Response *handle_order(const HttpReq *q, int *status) {
   const char *f = http_arg(q, "fence");
   uint64_t n = f ? strtoull(f, NULL, 10) : 0;
   json_t *body = json_loadb(q->body->str, q->body->len, 0, NULL);
   json_t *list = json_object_get(body, "adapters");
   gint64 now = g_get_monotonic_time();
   pthread_mutex_lock(&lock);
-  bool late = n < fence;
-  orders++;
-  late_orders += late;
-  if (!late && !json_equal(coming, list)) {
-    json_decref(coming);
-    coming = json_incref(list);
-    loaded_at = now + LOAD_US;
+  bool stale = n < latest_fence;
+  order_count++;
+  stale_orders += stale;
+  if (!stale && !json_equal(ordered_adapters, list)) {
+    json_decref(ordered_adapters);
+    ordered_adapters = json_incref(list);
+    loaded_at = now + ADAPTER_LOAD_US;
   }
-  if (!late) fence = n;
+  if (!stale) latest_fence = n;
   bool loading = now < loaded_at;
   if (!loading) {
-    json_decref(adapters);
-    adapters = json_incref(coming);
+    json_decref(loaded_adapters);
+    loaded_adapters = json_incref(ordered_adapters);
   }
   pthread_mutex_unlock(&lock);
   json_decref(body);
-  if (late) return fake_json_response(status, 409, json_object());
+  if (stale) return fake_json_response(status, 409, json_object());
   return fake_json_response(status, 200,
                             json_pack("{s:b}", "loading", (int)loading));
 }
 
-static struct MHD_Response *handle(void *ctx, HttpReq *r, int *status) {
+static struct MHD_Response *handle_request(void *ctx, HttpReq *r, int *status) {
   (void)ctx;
-  if (strcmp(r->path, "/v1/chat/completions") == 0) return complete(r, status);
-  if (strcmp(r->path, "/resume") == 0) return resume(r, status);
-  if (strcmp(r->path, "/cancel") == 0) return cancel(r, status);
-  if (strcmp(r->path, "/load") == 0) return load(status);
-  if (strcmp(r->path, "/adapters") == 0) return order(r, status);
+  if (strcmp(r->path, "/v1/chat/completions") == 0)
+    return handle_completion(r, status);
+  if (strcmp(r->path, "/resume") == 0) return resume_run(r, status);
+  if (strcmp(r->path, "/cancel") == 0) return cancel_run(r, status);
+  if (strcmp(r->path, "/load") == 0) return report_load(status);
+  if (strcmp(r->path, "/adapters") == 0) return handle_order(r, status);
   if (strcmp(r->path, "/fault") == 0) {
     const char *m = http_arg(r, "mode");
-    g_strlcpy(mode, m ? m : "none", sizeof mode);
+    g_strlcpy(fault_mode, m ? m : "none", sizeof fault_mode);
     return fake_json_response(status, 200, json_object());
   }
   if (strcmp(r->path, "/stats") == 0)
     return fake_json_response(
         status, 200,
         json_pack("{s:s,s:I,s:I,s:I,s:I,s:I,s:I,s:O,s:I,s:I}", "model",
-                  asked_model, "resumed", (json_int_t)resumed, "tokens",
-                  (json_int_t)tokens, "prompt_tokens", (json_int_t)prompts,
-                  "runs", (json_int_t)runs, "cancelled", (json_int_t)cancelled,
-                  "cached", (json_int_t)cached_tokens, "adapters", adapters,
-                  "orders", (json_int_t)orders, "late_orders",
-                  (json_int_t)late_orders));
+                  last_model, "resumed", (json_int_t)resumed_count, "tokens",
+                  (json_int_t)token_total, "prompt_tokens",
+                  (json_int_t)prompt_token_total, "runs", (json_int_t)run_count,
+                  "cancelled", (json_int_t)cancelled_count, "cached",
+                  (json_int_t)cached_tokens, "adapters", loaded_adapters,
+                  "orders", (json_int_t)order_count, "late_orders",
+                  (json_int_t)stale_orders));
   return fake_json_response(status, 404, json_object());
 }
 
@@ -408,13 +419,13 @@
   }
   if (argc > 2) slots = atoi(argv[2]);
   if (argc > 3) token_ms = atoi(argv[3]);
-  if (argc > 4) prefill_us = atof(argv[4]);
+  if (argc > 4) prefill_us_per_token = atof(argv[4]);
   prefixes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  adapters = json_array();
-  coming = json_array();
+  loaded_adapters = json_array();
+  ordered_adapters = json_array();
   by_id = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  parked = g_hash_table_new(g_str_hash, g_str_equal);
+  detached_runs = g_hash_table_new(g_str_hash, g_str_equal);
   pthread_t reaper;
-  pthread_create(&reaper, NULL, reap, NULL);
-  return fake_serve(argv[1], handle, 5000);
+  pthread_create(&reaper, NULL, reap_expired_runs, NULL);
+  return fake_serve(argv[1], handle_request, 5000);
 }
--- a/fakes/fake.c
+++ b/fakes/fake.c
@@ -6,10 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_BODY (8 << 20)
-#define MAX_HEADER (32 << 10)
-#define IDLE_S 60
-#define STACK (128 << 10)
+#define MAX_BODY_BYTES (8 << 20)
+#define MAX_HEADER_BYTES (32 << 10)
+#define IDLE_TIMEOUT_S 60
+#define STACK_BYTES (128 << 10)
 
 struct MHD_Response *fake_json_response(int *status, int code, json_t *o) {
   char *s = json_dumps(o, JSON_COMPACT);
@@ -21,11 +21,11 @@
 }
 
 int fake_serve(const char *addr, HttpHandler handler, int max_connections) {
-  HttpOptions o = {.max_body = MAX_BODY,
-                   .max_header = MAX_HEADER,
+  HttpOptions o = {.max_body = MAX_BODY_BYTES,
+                   .max_header = MAX_HEADER_BYTES,
                    .max_connections = max_connections,
-                   .idle_s = IDLE_S,
-                   .stack = STACK};
+                   .idle_s = IDLE_TIMEOUT_S,
+                   .stack = STACK_BYTES};
   Err e;
   if (!http_serve(addr, &o, handler, NULL, NULL, &e)) {
     fprintf(stderr, "%s\n", e.text);
--- a/fakes/fake.h
+++ b/fakes/fake.h
@@ -1,5 +1,5 @@
-/* fake.h: what every stand-in needs: JSON answers and a main that serves until
-   it is told to stop. */
+/* fake.h: shared parts of the stand-ins: JSON responses, and a server that runs
+   until SIGTERM or SIGINT. */
 #ifndef FAKES_FAKE_H
 #define FAKES_FAKE_H
 
@@ -7,9 +7,9 @@
 
 #include "http/server.h"
 
-/* An answer of `code`; takes over `o`. */
+/* A response with status `code` and body `o`; takes ownership of `o`. */
 struct MHD_Response *fake_json_response(int *status, int code, json_t *o);
-/* Serves on `addr`; the exit code. */
+/* Serves on `addr` until a signal; returns the exit code. */
 int fake_serve(const char *addr, HttpHandler handler, int max_connections);
 
 #endif
--- a/fakes/standins.py
+++ b/fakes/standins.py
@@ -1,5 +1,5 @@
-"""site.py: small stand-ins of the users' platform for tests: its object store,
-and a worker. Each serves HTTP/1.1 on an address of the loopback range."""
+"""standins.py: small stand-ins of the users' platform for tests: its object store
+and a worker. Each serves HTTP/1.1 on a loopback address."""
 import json
 import random
 import socket
@@ -12,7 +12,7 @@
 
 
 class Server:
-    """A thread a connection; `handle(method, path, headers, body)` answers
+    """Runs one thread per connection. `handle(method, path, headers, body)` returns
     (status, headers, body), or None to close the connection at once."""
 
     def __init__(self, address):
@@ -59,10 +59,10 @@
             c.close()
 
     def answer(self, c, method, path, headers, body):
-        got = self.handle(method, path, headers, body)
-        if got is None:
+        response = self.handle(method, path, headers, body)
+        if response is None:
             return False
-        status, extra, data = got
+        status, extra, data = response
         head = "HTTP/1.1 %d X\r\nContent-Length: %d\r\n" % (status, len(data))
         for k, v in extra.items():
             head += "%s: %s\r\n" % (k, v)
@@ -71,7 +71,7 @@
 
     def close(self):
         try:
-            self.socket.shutdown(socket.SHUT_RDWR)  # else one more is accepted
+            self.socket.shutdown(socket.SHUT_RDWR)  # otherwise accept() takes one more connection
         except OSError:
             pass
         self.socket.close()
@@ -83,30 +83,33 @@
 
 
 class Store(Server):
-    """Objects by kind and name, conditional updates, watches. `down`: every
-    call gets 503. `lose`: writes are done, and their connection is closed.
-    `hang`: calls get no answer for a while. `unfenced`: conditions are not
-    looked at, so that tests of the fences are seen to fail. What a sound store
-    may do as well: `old_s`: listings that may be old show what stood so many
-    seconds ago. `cut`: the share of the waiting watches that are closed.
-    `per_s`: calls beyond so many a second get 429; 0: none do. `page`: entries
-    of one page of a listing; 0: all."""
+    """Objects by kind and name, conditional updates, watches.
+
+    Faults: `down`: every call gets 503. `lose`: writes take effect, and their
+    connection is closed without a response. `hang`: calls get no response for
+    HANG_S, then the connection is closed. `unfenced`: update conditions are
+    ignored, so that tests of the fences must fail.
+
+    A healthy store may also do this: `old_s`: listings that allow stale data show
+    the state of so many seconds ago. `cut`: the share of waiting watches that are
+    closed. `per_s`: calls over this rate per second get 429; 0: no limit. `page`:
+    max entries per page of a listing; 0: no limit."""
 
     def __init__(self, address, seed=1):
         self.lock = threading.Condition()
         self.revision = 1
         self.kinds, self.history = {}, []
-        self.changes = []  # (time, revision, kind, event), never forgotten
-        self.forgotten = 0  # revision up to which there is no history
+        self.changes = []  # (time, revision, kind, event); forget() keeps them
+        self.forgotten = 0  # last revision without history
         self.down = self.lose = self.hang = self.unfenced = False
         self.old_s, self.cut, self.per_s = 0.0, 0.0, 0
         self.page = 0
-        self.torn = set()  # names of objects whose bytes can't be read
-        self.pages = []  # (kind, time) of each listing's pages
-        self.cuts = 0  # times that all waiting watches were closed
+        self.torn = set()  # names of objects returned as invalid JSON
+        self.pages = []  # (kind, time) of each listing page served
+        self.cuts = 0  # how often all waiting watches were closed
         self.dice = random.Random(seed)
         self.calls, self.second = 0, (0, 0)
-        self.slowest = 0.0  # seconds that a call took, watches left out
+        self.slowest = 0.0  # longest call in seconds, watches excluded
         self.texts = {}     # (kind, name) -> (revision, the object as JSON)
         super().__init__(address)
 
@@ -135,17 +138,17 @@
         return status, {}, answer.encode()
 
     def answer(self, c, method, path, headers, body):
-        began = time.monotonic()
+        started_at = time.monotonic()
         done = super().answer(c, method, path, headers, body)
         if "watch=" not in path and not self.hang:
-            self.slowest = max(self.slowest, time.monotonic() - began)
+            self.slowest = max(self.slowest, time.monotonic() - started_at)
         return done
 
     def _text(self, kind, o):
-        """JSON of an object, kept: large ones go to many instances at once."""
+        """JSON of an object, cached because large ones go to many instances at once."""
         key, revision = (kind, o["meta"]["name"]), o["meta"]["revision"]
         if o["meta"]["name"] in self.torn:
-            return json.dumps(o)[:-2] + ', "x": "\x01"}}'  # no JSON
+            return json.dumps(o)[:-2] + ', "x": "\x01"}}'  # invalid JSON
         if self.texts.get(key, (0, ""))[0] != revision:
             self.texts[key] = (revision, json.dumps(o))
         return self.texts[key][1]
@@ -167,7 +170,7 @@
         return 0 < self.per_s < self.second[1]
 
     def _old(self, kind, args):
-        """The list of a kind as it stood `old_s` ago."""
+        """The listing of a kind as of `old_s` seconds ago."""
         until, objects, at = time.monotonic() - self.old_s, {}, 1
         for when, revision, k, e in self.changes:
             if when > until:
@@ -180,13 +183,13 @@
         return self._list(kind, objects.values(), at, args)
 
     def forget(self):
-        """The history is dropped, and waiting watches are told so."""
+        """Drops the history; waiting watches get 410."""
         with self.lock:
             self.history, self.forgotten = [], self.revision
             self.lock.notify_all()
 
     def cut_watches(self):
-        """Closes the watches that wait now."""
+        """Closes all watches that are waiting."""
         with self.lock:
             self.cuts += 1
             self.lock.notify_all()
@@ -262,8 +265,9 @@
 
 
 class Worker(Server):
-    """Keeps what it ran; `play(worker, connection, headers)` may answer in its
-    own way (True: done, False: close), None: the ordinary answer."""
+    """Records the attempts it ran. `play(worker, connection, headers)` may write
+    the response itself and return True to keep the connection open or False to
+    close it; if it returns None, the worker sends its default response."""
 
     def __init__(self, address, store, name, service):
         self.ran, self.heads, self.play = [], [], None
@@ -294,7 +298,7 @@
 
 
 def head(attempt, *more):
-    """Head of a worker's good answer."""
+    """Head of a worker's successful response."""
     lines = ["HTTP/1.1 200 OK", "X-Loftpath-Attempt-Id: " + attempt,
              "X-Loftpath-Server-Stamp: stamp"] + list(more)
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
