--- a/fakes/standins.py
+++ b/fakes/standins.py
@@ -71,7 +71,7 @@
 
     def close(self):
         try:
-            self.socket.shutdown(socket.SHUT_RDWR)  # otherwise accept() takes one more connection
+            self.socket.shutdown(socket.SHUT_RDWR)  # or accept() gets one more
         except OSError:
             pass
         self.socket.close()
--- a/tests/behind.py
+++ b/tests/behind.py
@@ -1,22 +1,22 @@
 #!/usr/bin/env python3
-"""behind.py: instances that are behind catch up while changes go on.
-
-Seen: on machines of their own, users had 50 requests answered by a configuration
-that was out of date for more than 3 s, nearly all instances at the same moment,
-20 s after all had been restarted; and 10 requests that reached a target later
-than 3 s after its leaving.
-How: a configuration with many routes takes a quarter of a second of a small
-instance's line. After the restart of all, each listed what was some seconds old,
-as the store may answer, and asked for what came since: every version between,
-whole. That took longer than a call may last, so it was asked for again, from the
-same place, while more versions came.
-Cause: who is behind read the history in place of the newest version, and the
-time of a call counted from its begin, however much had come. What instances tell
-each other was bounded below the size of that configuration, so nobody else could
-help.
-Proof: this test; all instances stay at version 9 until the changes end, with the
-lines `store-lost` and `configuration-asked`. How one reader's cut kept others
-from asking is played by lag.py --mode cut.
+"""behind.py: instances with a stale configuration catch up while changes continue.
+
+Guards against this failure: 20 s after a restart of all instances, nearly all of
+them answered requests by a configuration that was more than 3 s out of date, and
+requests reached a target more than 3 s after it had left.
+
+A configuration with many routes takes a quarter of a second of a small instance's
+bandwidth. After the restart each instance listed a state some seconds old, as the
+store may return, and then read every version since, each in full. That exceeded
+the time limit of a call, so the call was repeated from the same position while
+more versions arrived. Lagging instances read the history instead of the newest
+version, a call's time limit counted from its start regardless of progress, and the
+size limit of messages between instances was below that of the configuration, so
+peers could not supply it.
+
+With that fault all instances stay at version 9 until the changes end, and log
+`store-lost` and `configuration-asked`. lag.py --mode cut covers a reader that is
+cut off and keeps others from requesting the configuration.
 
 Usage: behind.py BUILD_DIR [TEST...]"""
 import sys
@@ -26,11 +26,11 @@
 from proxy import Proxy
 
 INSTANCES = 14
-BOUND_S = 3.0     # for a configuration, and for a target that leaves
-IN_TOUCH_S = 4.0  # of a life: before that nothing is asked of an instance
-OLD_S = 3.0       # listings may be so old
+BOUND_S = 3.0     # until a configuration or a leaving target is known
+IN_TOUCH_S = 4.0  # after a start; instances that started more recently are exempt
+OLD_S = 3.0       # max age of listings
 STORM_S = 0.35    # between two configurations
-LINE = 1250000    # bytes a second between an instance and the store
+LINE = 1250000    # bytes/s between an instance and the store
 ROUTES = 1640     # a configuration of 307 kB
 LARGEST = 5000    # one of 0.94 MB
 
@@ -43,8 +43,9 @@
         s.start(i)
 
 
-def without(s, knows, since):
-    """The instances that did not know BOUND_S after `since`."""
+def instances_too_late(s, knows, since):
+    """The instances whose log has no line that satisfies `knows` within BOUND_S
+    after `since`."""
     def in_time(i):
         return any(knows(l) and l["t"] <= since + BOUND_S for l in s.log(i))
 
@@ -73,17 +74,17 @@
     gone = s.engines[0].name
     s.engines[0].drain()
     storm(BOUND_S + 1)
-    late = without(s, lambda l: l["event"] == "configuration" and
+    late = instances_too_late(s, lambda l: l["event"] == "configuration" and
                    l["version"] >= wanted, put)
     assert not late, "version %d is not in force at %s" % (wanted, late)
-    late = without(s, lambda l: l["event"] == "target" and l["leaving"] and
+    late = instances_too_late(s, lambda l: l["event"] == "target" and l["leaving"] and
                    l["target"] == gone, put)
     assert not late, "%s is not known to leave at %s" % (gone, late)
 
 
 def test_a_busy_line_brings_the_largest_configuration(s):
-    """Nearly as much as an object of the store may hold, over a line of 10 Mbit/s
-    half of which is taken: 1.5 s, longer than a whole call was given."""
+    """The configuration has nearly the max size of a store object. At half of
+    10 Mbit/s its transfer takes 1.5 s, longer than a call's former time limit."""
     more = [route("r%05d" % k, "/idle-%05d/" % k, "desk", "safe")
             for k in range(LARGEST)]
     s.proxies[0].rate = LINE // 2
@@ -96,13 +97,13 @@
 def serves(s, i, path):
     try:
         return s.call(path, i=i).status == 200
-    except OSError:  # it is starting
+    except OSError:  # the instance is starting
         return False
 
 
 def test_a_restart_in_an_outage_takes_a_large_configuration_from_its_peers(s):
-    """A version that a few instances have must reach the others without the
-    store, whatever its size."""
+    """A version that some instances have must reach the others without the store,
+    whatever its size."""
     more = [route("r%05d" % k, "/idle-%05d/" % k, "desk", "safe")
             for k in range(ROUTES)]
     s.store.put("config", "main", config(2, routes=more))
--- a/tests/builds.py
+++ b/tests/builds.py
@@ -1,8 +1,8 @@
-"""builds.py: the program of the build in production, for tests that play it
-beside this one.
+"""builds.py: builds the version in production, for tests that run it alongside
+this one.
 
-It is the commit that deploy/system.toml names, or BESIDE=COMMIT of the
-environment; it may be missing in the history (a shallow clone)."""
+Its commit is the one that deploy/system.toml names, or that of the environment
+variable BESIDE. A shallow clone may lack it."""
 import os
 import re
 import shutil
@@ -22,33 +22,33 @@
         return re.search(r'^production = "(\w+)"', f.read(), re.M).group(1)
 
 
-def git(*words, **more):
-    return subprocess.run(["git", "-C", ROOT] + list(words), capture_output=True,
+def git(*args, **more):
+    return subprocess.run(["git", "-C", ROOT] + list(args), capture_output=True,
                           **more)
 
 
 def build_old(commit):
-    """The program of that commit, built once in BUILD; None: it is not in the
-    history."""
-    made = os.path.join(BUILD, "production-" + commit)
-    program = os.path.join(made, "target", "bin", "loftpathd")
+    """The path of that commit's program, built once in BUILD; None if the history
+    lacks the commit."""
+    build_dir = os.path.join(BUILD, "production-" + commit)
+    program = os.path.join(build_dir, "target", "bin", "loftpathd")
     if os.path.exists(program):
         return program
-    got = git("archive", commit)
-    if got.returncode != 0:
+    archive = git("archive", commit)
+    if archive.returncode != 0:
         return None
-    into = tempfile.mkdtemp(dir=BUILD)
-    subprocess.run(["tar", "-x", "-C", into], input=got.stdout, check=True)
-    subprocess.run(["sh", "deploy/build.sh"], cwd=into, check=True,
+    work_dir = tempfile.mkdtemp(dir=BUILD)
+    subprocess.run(["tar", "-x", "-C", work_dir], input=archive.stdout, check=True)
+    subprocess.run(["sh", "deploy/build.sh"], cwd=work_dir, check=True,
                    stdout=subprocess.DEVNULL)
-    shutil.rmtree(made, ignore_errors=True)
-    os.rename(into, made)
+    shutil.rmtree(build_dir, ignore_errors=True)
+    os.rename(work_dir, build_dir)
     return program
 
 
 def beside_production(play):
-    """play(program of the build in production); the status of the process. Says
-    "not run" and fails nothing where that build is not in the history."""
+    """Calls `play` with the program of the build in production and returns the
+    exit status. If the history lacks that build, prints "not run" and succeeds."""
     commit = production()
     old = build_old(commit)
     if not old:
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,18 +1,18 @@
-"""callers.py: callers of all kinds at all instances, and whether what they were
-told is true."""
+"""callers.py: callers of all kinds at all instances, and checks that the outcomes
+reported to them are true."""
 import threading
 import time
 
 
 class Load:
-    """Callers of all kinds, each at an instance that is ready; what they saw."""
+    """Callers of all kinds, each at a ready instance, and what they observed."""
 
     def __init__(self, s, dice):
         self.s, self.dice, self.stop = s, dice, False
         self.ready = set(range(len(s.processes)))
         self.served = self.refused = 0
-        self.told = []    # (attempt, kind, status, whether it ran)
-        self.broken = []  # (kind, instance, what came in place of an answer)
+        self.told = []    # (attempt, kind, status, Loftpath-Ran)
+        self.broken = []  # (kind, instance, status or error instead of an answer)
         self.lock = threading.Lock()
         self.threads = [threading.Thread(target=self.run) for _ in range(4)]
         for t in self.threads:
@@ -55,16 +55,16 @@
 
 
 def check_told(s, load):
-    """What is not to be repeated ran once at most, and "not run" is true."""
+    """Non-repeatable requests ran at most once, and "not run" is true."""
     for name, kind, status, ran in load.told:
         n = sum(w.ran.count(name) for w in s.desks + s.engines)
         assert kind != "once" or n <= 1, "%s ran %d times" % (name, n)
         assert kind != "once" or status != 200 or n == 1, "%s: nothing ran" % name
-        assert ran != "not-run" or n == 0, "%s ran %d times, told: not run" % (
+        assert ran != "not-run" or n == 0, "%s ran %d times, reported: not run" % (
             name, n)
 
 
 def spent(s):
-    """Tokens of the chats that engines took in: twenty of each prompt, and its
-    two events."""
+    """Tokens of the chats that engines accepted: twenty of each prompt, plus two
+    events."""
     return len({name for w in s.engines for name in w.ran}) * (20 + 2)
--- a/tests/crash_soak.py
+++ b/tests/crash_soak.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""crash_soak.py: random faults beside a request that ends targets (crashes.py):
-instances killed and frozen, the store away or losing answers, engines that end by
-themselves or start again under their ids, copies all at once. Each seed is one
-play of 20 s.
+"""crash_soak.py: random faults during repeats of a request that crashes targets
+(crashes.py): instances are killed and paused, the store is down or loses
+responses, engines exit by themselves or restart under their ids, and copies arrive
+all at once. Each seed is one run of 20 s.
 
 Usage: crash_soak.py BUILD_DIR [--seeds N] [--seed FIRST]"""
 import random
@@ -14,20 +14,20 @@
 from pool import BAD, Stream, check_bound, harmless, repeat_bad, with_pool
 
 INSTANCES = 3
-PLAY_S, STRUCK_S = 20, 14  # seconds: all of it, and those with faults
+PLAY_S, STRUCK_S = 20, 14  # seconds: the whole run, and its part with faults
 
 
 class Ends(Faults):
-    """Also ends engines, and sends copies all at once."""
+    """Faults that also end engines and send concurrent copies of the request."""
 
     def __init__(self, s, pool, dice):
         super().__init__(s, dice)
         self.pool = pool
 
     def end_engine(self):
-        up = [e for e in self.pool.engines if not e.ended]
-        if len(up) > 3:
-            self.pool.end(self.dice.choice(up), False)
+        running = [e for e in self.pool.engines if not e.ended]
+        if len(running) > 3:
+            self.pool.end(self.dice.choice(running), False)
 
     def burst(self):
         for _ in range(4):
@@ -50,8 +50,8 @@
     faults.strike_all(STRUCK_S)
     bad.join(), good.join()
     sent = {m.id: m.instance for m in bad.made}
-    held = [g for g in good.made if "ends-targets" in g.kind]
-    assert not held, "%d harmless ones were held" % len(held)
+    wrongly_refused = [g for g in good.made if "ends-targets" in g.kind]
+    assert not wrongly_refused, "%d harmless streams were refused" % len(wrongly_refused)
     check_bound(pool, 1, lambda at, a: a in sent and faults.in_touch(at, sent[a]))
 
 
--- a/tests/crashes.py
+++ b/tests/crashes.py
@@ -1,18 +1,17 @@
 #!/usr/bin/env python3
-"""crashes.py: a request that ends each target that runs it is kept away from
-targets; requests that only ran beside it, or on targets that end by themselves,
-are not.
-
-Seen: users had a request under which three targets had ended sent to targets 21
-times more, and 34 targets ended; their pool of twelve was mostly down, and a
-third of the chats beside it failed.
-How: the request came again and again, each time as a new attempt at any
-instance. Each attempt ended the target that began to run it, was sent to a
-second one, as a stream that broke is, and ended that one too.
-Cause: an attempt was all that an instance knew. That the same request had ended
-targets before was known nowhere.
-Proof: these tests; without the mend 60 of 60 attempts reached targets, each
-ending one or two.
+"""crashes.py: a request that crashes each target that runs it is kept away from
+targets. Requests that only ran concurrently with it, or on targets that exit by
+themselves, are not.
+
+Guards against this failure: a request that had crashed three targets reached
+targets 21 more times and crashed 34, most of a pool of twelve was down, and a third
+of the concurrent chats failed.
+
+The request was repeated, each time as a new attempt at any instance. Each attempt
+crashed the target that began to run it, was resumed on a second one, as broken
+streams are, and crashed that one too. Instances knew only single attempts; none
+recorded that the same request had crashed targets before. With that fault 60 of 60
+attempts reach targets, and each crashes one or two.
 
 Usage: crashes.py BUILD_DIR [TEST...]"""
 import random
@@ -32,9 +31,10 @@
     bad, good = repeat_bad(s, PLAY_S), harmless(s, PLAY_S)
     bad.join(), good.join()
     check_bound(pool)
-    # Whoever begins when it is known, and the engines are back, is served.
-    calm = sorted(pool.ends)[2] + IN_TOUCH_S + BACK_S
-    after = [g for g in good.made if g.began > calm]
+    # Every stream is served that begins once the request is known and the engines
+    # are back.
+    settled_at = sorted(pool.ends)[2] + IN_TOUCH_S + BACK_S
+    after = [g for g in good.made if g.began > settled_at]
     served = sum(g.served for g in after)
     print("   %d of %d harmless streams served, %d of %d of those after it" % (
         sum(g.served for g in good.made), len(good.made), served, len(after)))
@@ -57,14 +57,14 @@
 
 
 def test_copies_that_come_all_at_once(s):
-    """At fourteen instances, of which three read the store for the others."""
+    """At fourteen instances, three of which read the store for the others."""
     pool = with_pool(s)
     Callers(s, 2.0, 10.0, lambda n: BAD, burst=5).join()
     check_bound(pool)
 
 
 def test_it_stays_away_while_instances_restart_in_series(s):
-    """Those are not held to it for three seconds after they start."""
+    """The bound does not apply to an instance for three seconds after its start."""
     pool = with_pool(s)
     bad = repeat_bad(s, 14)
     time.sleep(0.6)
@@ -78,7 +78,7 @@
 
 
 def test_it_stays_away_after_an_outage_of_the_store(s):
-    """Its trial can't be made meanwhile, so it is not sent."""
+    """A trial of the request is impossible during the outage, so it is not sent."""
     pool = with_pool(s)
     bad = repeat_bad(s, 10)
     wait_for("the first end", lambda: pool.ends)
@@ -90,7 +90,8 @@
 
 
 def test_engines_that_start_again_at_once_under_their_ids(s):
-    """No connection to them is refused; their new birth tells."""
+    """No connection to them is refused; the new start time in their entry shows the
+    restart."""
     pool = with_pool(s)
     pool.again = True
     repeat_bad(s, 10).join()
@@ -98,7 +99,7 @@
 
 
 def test_callers_that_leave_before_it_ended_its_engine(s):
-    """Beside others, whose streams break with the engine."""
+    """Other callers are connected; their streams break with the engine."""
     pool = with_pool(s)
     good = harmless(s, PLAY_S)
     bad = Callers(s, 0.25, PLAY_S, lambda n: BAD, patience_s=BEGUN_S / 2)
@@ -112,12 +113,12 @@
     dice = random.Random(3)
     for _ in range(8):
         time.sleep(PLAY_S / 9)
-        up = [e for e in pool.engines if not e.ended]
-        pool.end(dice.choice(up), False)
+        running = [e for e in pool.engines if not e.ended]
+        pool.end(dice.choice(running), False)
     bad.join(), good.join()
     check_bound(pool)
-    held = [g for g in good.made if "ends-targets" in g.kind]
-    assert not held, "%d harmless ones were held" % len(held)
+    wrongly_refused = [g for g in good.made if "ends-targets" in g.kind]
+    assert not wrongly_refused, "%d harmless streams were refused" % len(wrongly_refused)
 
 
 def test_its_callers_are_told_at_once_not_to_come_again(s):
@@ -133,8 +134,8 @@
 
 
 def test_another_customer_may_send_the_same(s):
-    """Bytes that one customer's request ended targets with are no reason to
-    refuse the other's, whose engine may read them with other weights."""
+    """The same bytes that crashed targets for one customer are not refused for
+    another, whose engine may process them with other weights."""
     pool = with_pool(s)
     repeat_bad(s, 4).join()
     n = len(pool.reached)
@@ -147,22 +148,23 @@
 
 
 def test_a_harmless_one_is_served_while_targets_end_by_themselves(s):
-    """19 ends in 15 s of 10 engines, and one harmless stream that comes ten times
-    a second: those that an end broke may fail, no other."""
+    """10 engines exit 19 times in 15 s while one harmless stream is requested ten
+    times a second: only streams that an exit broke may fail."""
     pool = with_pool(s)
     good = Callers(s, 0.1, 15.0, lambda n: b"the same each time")
     dice = random.Random(2)
     for _ in range(19):
         time.sleep(15.0 / 20)
-        up = [e for e in pool.engines if not e.ended]
-        pool.end(dice.choice(up), False)
+        running = [e for e in pool.engines if not e.ended]
+        pool.end(dice.choice(running), False)
     good.join()
     served = sum(g.served for g in good.made)
-    held = [g for g in good.made if "ends-targets" in g.kind]
-    tried = [g for g in good.made if "on-trial" in g.kind]
-    print("   %d of %d served; %d held, %d refused as on trial" % (
-        served, len(good.made), len(held), len(tried)), flush=True)
-    assert not held, "%d were held" % len(held)
+    wrongly_refused = [g for g in good.made if "ends-targets" in g.kind]
+    refused_on_trial = [g for g in good.made if "on-trial" in g.kind]
+    print("   %d of %d served; %d refused wrongly, %d as on trial" % (
+        served, len(good.made), len(wrongly_refused), len(refused_on_trial)),
+        flush=True)
+    assert not wrongly_refused, "%d were refused" % len(wrongly_refused)
     assert served >= 0.9 * len(good.made), "%d of %d" % (served, len(good.made))
 
 
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -3,12 +3,12 @@
 import signal
 import time
 
-IN_TOUCH_S = 3.0  # bounds hold so long after what they follow, or after a fault
+IN_TOUCH_S = 3.0  # how long after their cause, or after a fault, bounds start to hold
 
 
 class Faults:
-    """Strikes instances and the store at random, and keeps when: who was struck
-    within IN_TOUCH_S is not held to a bound."""
+    """Injects random faults into instances and the store, and records when. Bounds
+    do not apply to an instance within IN_TOUCH_S after a fault."""
 
     def __init__(self, s, dice):
         self.s, self.dice = s, dice
@@ -18,7 +18,7 @@
         self.struck.append((began, time.monotonic() + IN_TOUCH_S, i))
 
     def end_one(self, how):
-        """By that signal; the instance starts again when it has ended."""
+        """Ends an instance by signal `how` and restarts it."""
         began, i = time.monotonic(), self.dice.randrange(len(self.s.processes))
         self.s.processes[i].send_signal(how)
         self.s.processes[i].wait()
@@ -47,11 +47,11 @@
         self.s.processes[i].send_signal(signal.SIGCONT)
         self.note(began, i)
 
-    def store_fails(self, way, least_s, most_s):
-        """`way`: the store's attribute (standins.py) that makes it so."""
+    def store_fails(self, way, min_s, max_s):
+        """`way`: the attribute of the store (standins.py) that enables the fault."""
         began = time.monotonic()
         setattr(self.s.store, way, True)
-        time.sleep(self.dice.uniform(least_s, most_s))
+        time.sleep(self.dice.uniform(min_s, max_s))
         setattr(self.s.store, way, False)
         self.note(began, None)
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -17,14 +17,15 @@
 from standins import Store, Worker, chunk, event, head  # noqa: E402
 
 BUILD = os.path.abspath(sys.argv[1])
-PORTS = range(30000, 32700, 4)  # below those that the system gives out
-RETRY_WINDOW_S = 0.5  # an instance has no retries in its first window
+PORTS = range(30000, 32700, 4)  # below the system's ephemeral ports
+RETRY_WINDOW_S = 0.5  # an instance makes no retries in its first window
 KEY = {"Authorization": "Bearer key-acme"}
 
 
 def reserve_ports():
-    """The first of four ports that no other run has: it holds the last one, on
-    127.0.0.1, where no instance listens, for as long as it lives."""
+    """Reserves four ports. Returns the first, and a socket bound to the last on
+    127.0.0.1, where no instance listens; other runs avoid the four while it is
+    open."""
     for base in random.sample(PORTS, len(PORTS)):
         guard = socket.socket()
         try:
@@ -67,14 +68,14 @@
 
 
 class Site:
-    """Store, workers and instances of one test."""
+    """The store, workers and instances of one test."""
 
-    env = {}  # of the instances, besides ours
-    memory_mb = 110  # of each
+    env = {}  # of the instances, added to that of this process
+    memory_mb = 110  # per instance
     regions = {}  # data centre -> region; instance i is in the i-th of them
 
     def __init__(self, instances=1, desks=2, engines=2, store_proxy=None, **conf):
-        """`store_proxy`: makes the way of each instance to the store."""
+        """`store_proxy`: creates each instance's proxy to the store."""
         self.dir = tempfile.mkdtemp()
         self.store = Store(("127.0.0.1", 0))
         self.proxies = [store_proxy(self.store.address)
@@ -124,7 +125,7 @@
         return lines
 
     def life(self, i):
-        """The log of its present life."""
+        """The log since its last start; empty if it has started only once."""
         lines = self.log(i)
         starts = [k for k, l in enumerate(lines) if l["event"] == "started"]
         return lines[starts[-1]:] if len(starts) > 1 else []
@@ -178,11 +179,12 @@
         if check():
             return
         time.sleep(0.05)
-    raise AssertionError("waited in vain for " + what)
+    raise AssertionError("timed out waiting for " + what)
 
 
 def play_stream(n, cut_at=None, inside=False):
-    """Events from the one asked for on; broken off before event `cut_at`."""
+    """Streams the events from the requested one on. Closes the connection before
+    event `cut_at`, or inside it if `inside`."""
 
     def play(w, c, headers):
         first = int(headers.get("last-event-id", "0")) + 1
@@ -202,9 +204,9 @@
 
 
 def run_tests(tests, instances=None, proxies=None, names=None, engines=2):
-    """Runs the functions `test_...` of `tests` (or those of `names`, or named on
-    the command line), each on a site of its own; `instances` and `proxies` by
-    test. The status of the process."""
+    """Runs the functions `test_...` of `tests`, or those in `names` or on the
+    command line, each on its own site. `instances` and `proxies` are keyed by
+    test. Returns the exit status."""
     names = names or sys.argv[2:] or [n for n in tests if n.startswith("test_")]
     failed, red = 0, known_red()
     for name in names:
@@ -213,7 +215,7 @@
         try:
             tests[name](s)
             print("ok", name, flush=True)
-        except Exception as e:  # noqa: BLE001 (told, and counted)
+        except Exception as e:  # noqa: BLE001 (printed and counted)
             known = name in red
             failed += not known
             print("%s %s: %s: %s (logs in %s)" % (
@@ -226,8 +228,8 @@
 
 
 def run_seeds(play, instances):
-    """A soak's command line: `play(site, seed)` for each of its seeds, on a site
-    of its own. The status of the process."""
+    """Parses a soak's command line and runs `play(site, seed)` for each seed on its
+    own site. Returns the exit status."""
     args = argparse.ArgumentParser()
     args.add_argument("build")
     args.add_argument("--seeds", type=int, default=1)
--- a/tests/lag.py
+++ b/tests/lag.py
@@ -1,15 +1,17 @@
 #!/usr/bin/env python3
-"""lag.py: how late the instances of a large fleet take configurations and
-leaving targets, while others are restarted in series and the store does what a
-sound one may do: listings that are some seconds old, waiting watches that are
-closed.
+"""lag.py: measures the delay until the instances of a large fleet apply
+configurations and notice leaving targets, while others are restarted in series and
+the store behaves as a healthy one may: listings are some seconds old, and waiting
+watches are closed.
 
 Usage: lag.py BUILD_DIR [--instances N] [--seed N] [--mode MODE] [--rounds N]
-[--routes N] [--cut SHARE] [--bound SECONDS]. Fails when one that is in touch is
-later than the bound, unless KNOWN-RED.txt lists lag-MODE. Modes: none; kill: all instances are killed, at once or in
-turn; half: half of them; pause: a third stand still for a second; readers: those
-that read for all, six times in a row; cut: one of these loses the store, and
-others are restarted in series."""
+[--routes N] [--cut SHARE] [--bound SECONDS]
+
+Fails if an instance that is in touch exceeds the bound, unless KNOWN-RED.txt lists
+lag-MODE. Modes: none; kill: all instances are killed, at once or in turn; half:
+half of them are killed; pause: a third are paused for a second; readers: those that
+read the store for all are killed, six times in a row; cut: one of these is cut off
+from the store, and others are restarted in series."""
 import argparse
 import bisect
 import random
@@ -23,18 +25,18 @@
 from red import known_red
 from standins import Worker
 
-IN_TOUCH_S = 4.0  # of a life; and after a pause
+IN_TOUCH_S = 4.0  # after a start or a pause
 CHANGE_S = 0.4    # between two configurations
-LEAVES = 4        # of them for each target that comes and goes
+LEAVES = 4        # configurations per target that joins and leaves
 OLD_S = 3.0       # age of listings
-LAPSE_S = 1.5     # what is missing after an outage is used so much longer
-REST_S = (7.0, 9.0)  # after the faults of a round
+LAPSE_S = 1.5     # how long entries missing after an outage are still used
+REST_S = (7.0, 9.0)  # min and max pause after the faults of a round
 
 
 class Rig:
     def __init__(self, o):
         self.o, self.dice = o, random.Random(o.seed)
-        # A config of some hundred kilobytes, as operators with many routes have.
+        # Some hundred kilobytes, as operators with many routes have.
         self.routes = [route("r-%05d" % k, "/idle-%05d/" % k, "desk", "safe")
                        for k in range(o.routes)]
         self.site = Site(instances=o.instances, desks=3, engines=6,
@@ -42,7 +44,7 @@
                          routes=self.routes)
         self.puts, self.leaves = [], []  # (time, version or name)
         self.lives = [[time.time()] for _ in range(o.instances)]
-        self.calm = [0.0] * o.instances  # in touch from then on
+        self.calm = [0.0] * o.instances  # in touch since
         self.left_out, self.stop = set(), False
         self.spare = []
 
@@ -85,7 +87,7 @@
             time.sleep(gap)
 
     def readers(self):
-        """Those that read for all, as far as their logs say."""
+        """The instances that read the store for all, according to their logs."""
         def duty(i):
             return [l["duty"] for l in self.site.log(i) if l["event"] == "reads"]
 
@@ -113,15 +115,15 @@
             time.sleep(1.5)
 
     def cut_reader(self, _):
-        cut = self.readers()[0]
-        self.left_out.add(cut)
-        self.site.proxies[cut].hold = {"up", "down"}
-        others = [i for i in range(self.o.instances) if i != cut]
+        cut_off = self.readers()[0]
+        self.left_out.add(cut_off)
+        self.site.proxies[cut_off].hold = {"up", "down"}
+        others = [i for i in range(self.o.instances) if i != cut_off]
         for _ in range(10):
             self.restart(self.dice.sample(others, 4), 0.0)
             time.sleep(0.8)
-        time.sleep(IN_TOUCH_S + self.o.bound + 1)  # the last lives are judged
-        self.site.proxies[cut].heal()
+        time.sleep(IN_TOUCH_S + self.o.bound + 1)  # the last starts are checked
+        self.site.proxies[cut_off].heal()
 
     def play(self):
         faults = {"none": lambda k: None, "kill": self.kill, "half": self.half,
@@ -145,17 +147,18 @@
     # == verdict ==
 
     def life_of(self, i, t):
-        """Begin and end of the life in which instance i was in touch at t, long
-        enough to be judged; None: it was not."""
+        """Start and end of the run of instance i that includes t, if the instance
+        was in touch at t and ran long enough to be checked; else None."""
         k = bisect.bisect_right(self.lives[i], t) - 1
-        later = self.lives[i][k + 1:k + 2]
-        end = later[0] if later else self.end
+        next_start = self.lives[i][k + 1:k + 2]
+        end = next_start[0] if next_start else self.end
         if k < 0 or t - self.lives[i][k] < IN_TOUCH_S or end - t < self.o.bound:
             return None
         return self.lives[i][k], end
 
-    def lags(self, events, told):
-        """(seconds, instance, what, heard at all) of each event and instance."""
+    def lags(self, events, noticed_at):
+        """Sorted (seconds, instance, what, whether it was noticed) for each event
+        and instance."""
         out = []
         for i in range(self.o.instances):
             if i in self.left_out:
@@ -165,8 +168,8 @@
                 life = self.life_of(i, t)
                 if not life:
                     continue
-                at = [told(l, what) for l in lines
-                      if l["t"] >= life[0] and told(l, what)]
+                at = [noticed_at(l, what) for l in lines
+                      if l["t"] >= life[0] and noticed_at(l, what)]
                 out.append(((min(at) if at else life[1]) - t, i, what, bool(at)))
         return sorted(out)
 
@@ -181,18 +184,18 @@
                 return l["t"] + LAPSE_S * l["lapsed"]
             return l["event"] == "target" and l["leaving"] and l["t"]
 
-        late = 0
+        late_count = 0
         for name, lags in (("configurations", self.lags(self.puts, version)),
                            ("leaving targets", self.lags(self.leaves, leaving))):
-            over = [x for x in lags if x[0] > self.o.bound]
-            late += len(over)
+            over_bound = [x for x in lags if x[0] > self.o.bound]
+            late_count += len(over_bound)
             seconds = [x[0] for x in lags] or [0]
             print("%s: %d taken, median %.2f s, latest %.2f s, %d later than %g s"
                   % (name, len(lags), seconds[len(seconds) // 2], seconds[-1],
-                     len(over), self.o.bound))
-            for lag, i, what, heard in over[-3:]:
+                     len(over_bound), self.o.bound))
+            for lag, i, what, noticed in over_bound[-3:]:
                 print("  %.2f s: %s at n%d%s" % (
-                    lag, what, i, "" if heard else ", unknown at the end"))
+                    lag, what, i, "" if noticed else ", unknown at the end"))
         events = {}
         for i in range(self.o.instances):
             for l in self.site.log(i):
@@ -201,7 +204,7 @@
         print("lines: %s; calls %d, slowest %.2f s; logs in %s" % (
             events, self.site.store.calls, self.site.store.slowest,
             self.site.dir))
-        return late
+        return late_count
 
     def close(self):
         for w in self.spare:
@@ -223,11 +226,11 @@
     name, rig = "lag-%s" % o.mode, Rig(o)
     try:
         rig.play()
-        late = rig.judge()
-        if late and name in known_red():
+        late_count = rig.judge()
+        if late_count and name in known_red():
             print("known red: %s" % name)
             return 0
-        return 1 if late else 0
+        return 1 if late_count else 0
     finally:
         rig.close()
 
--- a/tests/limit_soak.py
+++ b/tests/limit_soak.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""limit_soak.py: random faults beside targets that name limits (limits.py):
-instances killed, frozen and stopped as planned, the store away, limits that
-change, end, or can't be read. Callers keep their connections. Each seed is one
-play of 20 s.
+"""limit_soak.py: random faults with targets that announce limits (limits.py):
+instances are killed, paused and stopped as planned, the store is down, and limits
+change, end or are malformed. Callers keep their connections. Each seed is one run
+of 20 s.
 
 Usage: limit_soak.py BUILD_DIR [--seeds N] [--seed FIRST]"""
 import http.client
@@ -16,18 +16,18 @@
 from limits import WINDOW_S, allowed, with_targets
 
 INSTANCES, ENGINES, CALLERS = 4, 5, 12
-PLAY_S, STRUCK_S = 20, 16  # seconds: all of it, and those with faults
-PAUSE_S = 0.1              # of a caller, between two requests
+PLAY_S, STRUCK_S = 20, 16  # seconds: the whole run, and its part with faults
+PAUSE_S = 0.1              # max pause of a caller between two requests
 LIMITS = ["0", "0.5", "1", "1.7", "4", "20"]
 
 
 class Needs(Faults):
-    """Also changes what engines name, and keeps since when."""
+    """Also changes the limits that engines announce, and records when."""
 
     def __init__(self, s, engines, dice):
         super().__init__(s, dice)
         self.engines = engines
-        self.named = {e.name: [] for e in engines}  # (time, limit; None: none)
+        self.named = {e.name: [] for e in engines}  # (time, limit or None)
 
     def name(self, engine, limit, words=None):
         engine.limit = words or limit
@@ -39,26 +39,27 @@
                   self.dice.choice(LIMITS + [None]))
 
     def damage(self):
-        """The last sound figure may stand, so nothing is checked meanwhile."""
+        """Announces a malformed limit. The last valid one may stay in force, so
+        nothing is checked meanwhile."""
         self.name(self.dice.choice(self.engines), None, "many")
 
     def bound(self, engine, began):
-        """Requests that it may get in the window from `began` on; None: it is not
-        bounded all that time, or not long enough."""
-        until, lowest = began + WINDOW_S, []
+        """Max requests that an engine may get in the window from `began` on; None
+        if no limit holds for the whole window, or the first is too recent."""
+        until, in_force = began + WINDOW_S, []
         words = self.named[engine.name]
         for k, (at, limit) in enumerate(words):
             end = words[k + 1][0] if k + 1 < len(words) else float("inf")
             if at < until and end > began - IN_TOUCH_S:
-                lowest.append(limit)
-        if not lowest or None in lowest or words[0][0] > began - IN_TOUCH_S:
+                in_force.append(limit)
+        if not in_force or None in in_force or words[0][0] > began - IN_TOUCH_S:
             return None
-        return allowed(max(lowest))
+        return allowed(max(in_force))
 
 
 class Caller(threading.Thread):
-    """Sends one request after the other, on a connection that it keeps while that
-    stands; `sent`: attempt -> instance, of all callers."""
+    """Sends requests one at a time on a connection that it keeps until that fails.
+    `sent`: attempt -> instance, of all callers."""
 
     def __init__(self, s, sent, end, seed):
         super().__init__()
@@ -93,13 +94,13 @@
 
 
 def check(faults, sent):
-    """Arrivals from instances that no fault struck lately, in each window."""
+    """Checks the arrivals in each window from instances without a recent fault."""
     for e in faults.engines:
-        came = [t for t, a in zip(e.arrived, e.attempts)
+        arrivals = [t for t, a in zip(e.arrived, e.attempts)
                 if a in sent and faults.in_touch(t, sent[a])]
-        for began in came:
+        for began in arrivals:
             bound = faults.bound(e, began)
-            n = sum(began <= t < began + WINDOW_S for t in came)
+            n = sum(began <= t < began + WINDOW_S for t in arrivals)
             assert bound is None or n <= bound, "%s got %d, %g are allowed" % (
                 e.name, n, bound)
 
--- a/tests/limits.py
+++ b/tests/limits.py
@@ -1,14 +1,13 @@
 #!/usr/bin/env python3
-"""limits.py: a target that names a limit gets no more than that of all instances
-together.
+"""limits.py: a target that announces a request limit gets no more than that from
+all instances together.
 
-Seen: an engine that took 1.7 requests a second of all instances got 17 in 4 s,
-where 15 are allowed; another that took 1 got 12 for 11.
-How: an engine in need names the limit in its answers; the seven instances
-before it sent what they had sent before.
-Cause: a bound of what a target gets existed for cold targets alone, by a rate
-that the operators set; what targets themselves named was read nowhere.
-Proof: these tests; without the mend one engine in need gets its full part.
+Guards against this failure: an engine with a limit of 1.7 requests/s over all
+instances got 17 in 4 s, where 15 are allowed, and one with a limit of 1 got 12
+instead of 11. An overloaded engine announces the limit in its responses, but its
+seven instances kept their rate: they bounded the rate of cold targets only, by an
+operator's setting, and ignored limits that targets announced. With that fault an
+overloaded engine gets its full share.
 
 Usage: limits.py BUILD_DIR [TEST...]"""
 import http.client
@@ -18,24 +17,24 @@
 import threading
 import time
 
-from faults import IN_TOUCH_S  # after a limit was named, all hold to it
+from faults import IN_TOUCH_S  # after this all instances obey an announced limit
 from fleet import config, run_tests, wait_for
 from standins import Worker, chunk, event, head
 
 INSTANCES, MANY = 3, 14
-WINDOW_S, OVERRUN, EXTRA = 4.0, 1.5, 5  # what a target may get in a window
-AT_ONCE_S = 0.1   # a refusal takes less
+WINDOW_S, OVERRUN, EXTRA = 4.0, 1.5, 5  # they bound a target's requests per window
+AT_ONCE_S = 0.1   # max duration of a refusal
 EVENTS, PAUSE_S = 4, 0.02
 
 
 class Needy(Worker):
-    """Names `limit` (text; None: nothing) in its answers. `broken`: breaks its
+    """Announces `limit` (text, or None) in its responses. `broken`: breaks its
     streams after the first event, or fails plain requests."""
 
     def __init__(self, store, name, service, limit=None):
         self.limit, self.broken = limit, False
-        self.arrived = []   # times
-        self.attempts = []  # that arrived then
+        self.arrived = []   # arrival times
+        self.attempts = []  # the attempts of these arrivals
         super().__init__(("127.0.0.1", 0), store, name, service)
 
     def words(self):
@@ -70,11 +69,11 @@
 
 
 class Load:
-    """`per_s` requests a second at any instance, for `seconds`."""
+    """Sends `per_s` requests a second to random instances, for `seconds`."""
 
     def __init__(self, s, seconds, per_s=20, path="/chat/x", seed=1):
         self.s, self.path = s, path
-        self.made = []  # (begun, seconds, status, Retry-After)
+        self.made = []  # (start, seconds, status, Retry-After)
         self.threads = []
         self.thread = threading.Thread(target=self._run, args=(seconds, per_s, seed))
         self.thread.start()
@@ -96,9 +95,9 @@
             a = self.s.call(self.path, "POST", b"x", i=i, **more)
         except (OSError, http.client.HTTPException):
             return
-        again = a.headers.get("retry-after")
+        retry_after = a.headers.get("retry-after")
         self.made.append((began, time.monotonic() - began, a.status,
-                          float(again) if again else None))
+                          float(retry_after) if retry_after else None))
 
     def join(self):
         self.thread.join()
@@ -112,7 +111,7 @@
 
 
 def with_targets(s, service, limits):
-    """Targets with these limits, in place of the site's own."""
+    """Replaces the site's targets by ones with these limits."""
     old = s.engines if service == "engine" else s.desks
     for e in old:
         s.store.remove("servers", e.name)
@@ -120,7 +119,7 @@
     s.store.put("config", "main", config(2, prepaid=10**6))
     old[:] = [Needy(s.store, "%s%d" % (service, i), service, l)
               for i, l in enumerate(limits)]
-    for i in range(len(s.processes)):  # known everywhere, and its budget
+    for i in range(len(s.processes)):  # all know the targets and have budget
         wait_for("instance %d to serve" % i, lambda: (
             s.chat(5, i=i) if service == "engine" else s.call("/safe/x", i=i)
         ).status == 200)
@@ -203,7 +202,7 @@
 
 
 def test_retries_and_resumed_streams_count(s):
-    """The other engines break each stream, so that its rest goes on elsewhere."""
+    """The other engines break each stream, so that it is resumed elsewhere."""
     targets = with_targets(s, "engine", ["1", None, None])
     time.sleep(1.0)
     for t in targets[1:]:
@@ -223,8 +222,8 @@
     t.limit = None
     ended = time.monotonic()
     load.join()
-    low = [x for x in t.arrived if fell + IN_TOUCH_S <= x < ended]
-    n = max(sum(a <= b < a + WINDOW_S for b in low) for a in low)
+    arrivals = [x for x in t.arrived if fell + IN_TOUCH_S <= x < ended]
+    n = max(sum(a <= b < a + WINDOW_S for b in arrivals) for a in arrivals)
     assert n <= allowed(0.7), "%d after it fell" % n
     late = sum(x >= ended + IN_TOUCH_S for x in t.arrived)
     print("   %d in a window after it fell, %d in the last 6 s" % (n, late))
@@ -254,11 +253,11 @@
     ended = time.monotonic()
     load.join()
     late = sum(x >= ended for x in t.arrived)
-    assert late > 0, "it is never asked again"
+    assert late > 0, "it never gets a request again"
 
 
 def test_instances_are_killed_frozen_and_back(s):
-    """Each is excused for itself; the others are not."""
+    """The bound does not apply to the faulty instance itself, only to the others."""
     targets = with_targets(s, "engine", ["1", "1", None])
     load = Load(s, 24)
     began = time.monotonic()
--- a/tests/mixed_soak.py
+++ b/tests/mixed_soak.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""mixed_soak.py: the build in production and this one side by side under random
-faults: each instance is of one of them by chance at each start. Each seed is one
-play of 20 s: callers of all kinds on a small budget, or a request that ends
-targets (crash_soak.py).
+"""mixed_soak.py: the build in production and this one together under random faults:
+each start of an instance uses one of the two at random. Each seed is one run of
+20 s: callers of all kinds on a small budget, or a request that crashes targets
+(crash_soak.py).
 
 Usage: mixed_soak.py BUILD_DIR [--seeds N] [--seed FIRST]"""
 import random
@@ -17,9 +17,9 @@
 
 INSTANCES = 4
 STRUCK_S = 16   # seconds of faults
-PREPAID = 6000  # some three hundred chats
-FORCE_S = 10    # an accepted configuration is in force everywhere
-LEFT_S = 3      # a leaving target is known
+PREPAID = 6000  # enough for about three hundred chats
+FORCE_S = 10    # until an accepted configuration is in force everywhere
+LEFT_S = 3      # until all know of a leaving target
 
 
 class Changes(Faults):
@@ -67,7 +67,7 @@
 
 
 def change_keys(s):
-    """A new key comes in the place of the old one."""
+    """Replaces the old key by a new one."""
     s.store.put("config", "main", config(3, prepaid=PREPAID, keys=("key-new",)))
     for key, status in (("key-new", 200), ("key-acme", 401)):
         wait_for("%d for %s everywhere" % (status, key), lambda: all(
@@ -76,8 +76,8 @@
 
 
 def mixed(old):
-    """All begin as the build in production; each start from there on is of one or
-    the other by chance."""
+    """All instances first run the build in production; each later start uses one
+    of the two at random."""
     def binary_of(s, i):
         return s.dice.choice((old, NEW)) if hasattr(s, "dice") else old
 
--- a/tests/node.py
+++ b/tests/node.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""node.py: instances on stand-ins of the users' platform, real processes.
+"""node.py: instances as real processes on stand-ins of the users' platform.
 
 Usage: node.py BUILD_DIR [TEST...]"""
 import http.client
@@ -15,14 +15,14 @@
 
 
 def calls_in(s, seconds):
-    """Calls to the store in that time."""
+    """Counts the calls to the store in that time."""
     before = s.store.calls
     time.sleep(seconds)
     return s.store.calls - before
 
 
 def readers_of(s):
-    """Instances that read the store for the others."""
+    """The instances that read the store for the others."""
     def duties(i):
         return [l["duty"] for l in s.log(i) if l["event"] == "reads"]
 
@@ -48,21 +48,22 @@
     wait_for("the new key", lambda: s.call(
         "/safe/x", Authorization="Bearer key-new").status == 200, 2)
     assert s.call("/safe/x").status == 401
-    s.store.put("config", "main", config(1))  # an old one never comes back
+    s.store.put("config", "main", config(1))  # an older version is never applied
     time.sleep(0.3)
     assert s.call("/safe/x").status == 401
 
 
 def test_what_may_run_once_is_never_sent_twice(s):
     for w in s.desks:
-        w.play = lambda w, c, h: False  # takes it and closes
+        w.play = lambda w, c, h: False  # accepts the request and closes
     a = s.call("/once/x", "POST", b"book")
     assert a.status == 502, a.status
     assert sum(w.ran.count(a.id) for w in s.desks) == 1
 
 
 def test_what_left_in_part_may_have_run(s):
-    """The target takes most of a large body and resets: no "not run" is true."""
+    """The target receives most of a large body and resets: "not run" would be
+    false."""
     c = config(2, routes=[route("l", "/large/", "desk", "unsafe", max_attempts=1)])
     c["limits"]["max_body_bytes"] = 8 << 20
     s.store.put("config", "main", c)
@@ -70,14 +71,14 @@
     taken = []
 
     def take_some(connection):
-        """Reads none of the body: what it has is in the system's buffers."""
+        """Reads none of the body; what arrived is in the system's buffers."""
         time.sleep(0.5)
         taken.append(True)
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
                               b"\x01\x00\x00\x00\x00\x00\x00\x00")
         connection.close()
 
-    for w in s.desks:  # a listener of its own in place of the worker
+    for w in s.desks:  # a separate listener replaces the worker
         l = socket.socket()
         l.bind(("127.0.0.1", 0))
         l.listen()
@@ -204,7 +205,8 @@
 
 
 def test_a_watch_that_the_store_cuts_is_no_outage(s):
-    """What went is gone, not missing: it gets nothing more at once."""
+    """A removed target counts as gone, not as missing from an incomplete list, and
+    gets no more requests at once."""
     for _ in range(3):
         time.sleep(0.3)
         s.store.cut_watches()
@@ -231,7 +233,7 @@
         s.store.put("servers", "d0", d0.entry)
         wait_for("the sound entry", lambda: [
             l["event"] for l in s.log(0) if l.get("target") == "d0"][-1] == "target", 2)
-    s.store.torn.add("d0")  # bytes that can't be read, in a watch and in lists
+    s.store.torn.add("d0")  # invalid JSON, in a watch and in lists
     s.store.put("servers", "d0", d0.entry)
     time.sleep(0.8)
     only(b"d1")
@@ -248,8 +250,8 @@
 
 
 def test_a_target_that_starts_again_under_its_id_is_a_new_one(s):
-    """Links to its former life are dead without a word; a request that may run
-    only once must not be lost on one, nor run twice."""
+    """Connections to its former process are dead without notice. A non-repeatable
+    request must neither be lost on one nor run twice."""
     conn = s.connect()
     for w in s.desks:
         w.entry["born"] = 1796253698643
@@ -276,7 +278,7 @@
 
 
 def test_another_at_the_address_runs_nothing(s):
-    s.desks[0].name = "somebody-else"  # answers 421 to what is meant for d0
+    s.desks[0].name = "somebody-else"  # answers 421 to requests for d0
     for _ in range(6):
         a = s.call("/once/x", "POST", b"b")
         assert a.status == 200 or a.status == 503, a.status
@@ -346,7 +348,7 @@
 
 
 def test_a_stopping_instance_takes_nothing_after_three_seconds(s):
-    """A stream that began later would be cut by the end of the process."""
+    """The exit of the process would cut a stream that began later."""
     def play(w, c, h):
         time.sleep(3.3)
         return None
@@ -359,7 +361,7 @@
     began = time.monotonic()
     for w in s.engines:
         w.play = play_stream(2)
-    assert s.chat(10).status == 200, "the balancer has not heard yet"
+    assert s.chat(10).status == 200, "the load balancer is not yet notified"
     time.sleep(began + 3.02 - time.monotonic())
     a = s.chat(10)
     assert a.status == 503 and float(a.headers["retry-after"]) > 0, a.status
@@ -376,7 +378,7 @@
 
 
 def test_a_refusal_past_the_deadline_names_a_time_as_well(s):
-    """The process stands still while the request waits for its budget."""
+    """The process is paused while the request waits for its budget."""
     s.store.put("config", "main", config(2, routes=[
         route("l", "/long/", "engine", "stream", slo_ms=8000)]))
     wait_for("the route", lambda: s.call("/long/x").status != 404, 2)
@@ -394,7 +396,8 @@
 
 
 def test_a_budget_refusal_leaves_time_to_be_served_elsewhere(s):
-    """The caller hears it within a quarter of its aim of 1.6 s, way included."""
+    """The caller gets the refusal within a quarter of its target latency of 1.6 s,
+    network time included."""
     aim_s = 1.6
     s.store.put("config", "main", config(2, routes=[
         route("l", "/long/", "engine", "stream", slo_ms=aim_s * 1000)]))
@@ -408,7 +411,8 @@
 
 
 def test_who_does_not_know_the_others_yet_says_so_at_once(s):
-    """A lone instance waits 2.5 s for others before it draws on budgets."""
+    """An instance without known peers waits 2.5 s for some before it draws on
+    budgets."""
     for w in s.engines:
         w.play = play_stream(2)
     s.processes[0].kill()
@@ -427,7 +431,7 @@
 
 
 def test_a_few_instances_read_the_store_for_all(s):
-    """Fourteen instances; without readers they made 9 calls a second, at rest."""
+    """At fourteen instances, which without readers make 9 calls/s when idle."""
     wait_for("readers", lambda: 1 <= len(readers_of(s)) <= 4, 15)
     wait_for("rest", lambda: calls_in(s, 1.0) <= 8, 15)
     assert calls_in(s, 4.0) <= 4 * 8
@@ -443,8 +447,8 @@
 
 
 def test_readers_at_rest_make_few_calls(s):
-    """Three readers, watches of two seconds for two kinds, and nobody else: their
-    words come each second all the same."""
+    """Three readers, each with watches of two seconds for two kinds; the others make
+    no calls. The readers still report every second."""
     wait_for("readers", lambda: 1 <= len(readers_of(s)) <= 4, 15)
     wait_for("rest", lambda: calls_in(s, 1.0) <= 6, 15)
     assert calls_in(s, 6.0) <= 6 * 6
@@ -459,7 +463,8 @@
 
 
 def in_force(s, dc, on=True):
-    """All instances know that the data centre is evacuated, or no longer is."""
+    """Whether all instances know that the data centre is evacuated, or no longer
+    is."""
     def last(i):
         return [l["in_force"] for l in s.log(i)
                 if l["event"] == "evacuation" and l["datacentre"] == dc][-1:]
@@ -490,31 +495,31 @@
 
 
 def test_whose_cut_ends_first_follows_the_configuration(s):
-    """All lose the store, and eight of fourteen try it for all. One of the
-    others gets it back; it hears of a change and tells the rest."""
+    """All lose the store, and eight of fourteen try to reach it for all. One of the
+    others regains it; that one receives a change and reports it to the rest."""
     wait_for("readers", lambda: 1 <= len(readers_of(s)) <= 4, 15)
     for p in s.proxies:
         p.closed = True
         p.reset()
     time.sleep(5.0)
-    tries = readers_of(s)
-    left = [i for i in range(len(s.processes)) if i not in tries][0]
-    s.proxies[left].heal()
+    trying = readers_of(s)
+    reconnected = [i for i in range(len(s.processes)) if i not in trying][0]
+    s.proxies[reconnected].heal()
     time.sleep(3.0)
     s.store.put("config", "main", config(2, routes=[
         route("n", "/new/", "desk", "safe")]))
     wait_for("it to take the change", lambda: s.call(
-        "/new/x", i=left).status == 200, 2)
+        "/new/x", i=reconnected).status == 200, 2)
     wait_for("the others to take it", lambda: all(
         s.call("/new/x", i=i).status == 200 for i in range(14)), 3)
-    time.sleep(5.0)  # those that read for others must not take that for theirs
+    time.sleep(5.0)  # those that read for others must not take over its duty
     alone = [i for i in range(14) for l in s.log(i)
              if l["event"] == "reads" and l["duty"] == "own" and l["members"] > 1]
     assert not alone, alone
 
 
 def many_targets(s, n=400):
-    """Entries of targets that nobody runs, and pages of a hundred."""
+    """Adds entries of targets that do not exist, and sets pages of a hundred."""
     s.store.page = 100
     for k in range(n):
         s.store.put("servers", "z%03d" % k, {
@@ -527,11 +532,11 @@
 
 
 def test_a_long_list_of_targets_comes_from_neighbours(s):
-    """Half of the fleet restarts: its lists cost the store a page each, changes
-    meanwhile are known, and a leaving target is known everywhere."""
+    """Half of the fleet restarts: each restart costs the store few pages, changes
+    meanwhile are not lost, and all instances learn of a leaving target."""
     many_targets(s)
     n = len(s.processes)
-    began, half = time.monotonic(), range(n // 2, n)  # the seeds stay
+    began, half = time.monotonic(), range(n // 2, n)  # the seed instances keep running
     for i in half:
         s.processes[i].kill()
         s.processes[i].wait()
--- a/tests/pool.py
+++ b/tests/pool.py
@@ -1,26 +1,26 @@
-"""pool.py: engines that end and come back, and callers of one bad request and of
-harmless ones, for tests with real processes."""
+"""pool.py: engines that end and are replaced, and callers that send a request that
+crashes engines, or harmless ones, for tests with real processes."""
 import http.client
 import random
 import threading
 import time
 
-from faults import IN_TOUCH_S  # after the third end, all have to know
+from faults import IN_TOUCH_S  # from the third end until all instances know of it
 from fleet import config
 from standins import Worker, chunk, event, head
 
 ENGINES = 10
-BACK_S = 3.0      # an engine is back so long after it ended, under a new id
-AGAIN_S = 0.2     # or so long, under its own
-LAPSE_S = 1.0     # and its entry goes after so long
-BEGUN_S = 0.05    # from the first event of the bad request to the end
+BACK_S = 3.0      # from an engine's end to its replacement under a new id
+AGAIN_S = 0.2     # or to its restart under the same id
+LAPSE_S = 1.0     # from an engine's end to the removal of its entry
+BEGUN_S = 0.05    # from the bad request's first event to the engine's end
 EVENTS, PAUSE_S = 10, 0.04  # of a harmless stream
 BAD = b"ends whoever runs it"
-MORE = 3          # times that it may reach a target after that
+MORE = 3          # how often it may still reach a target after that
 
 
 class Engine(Worker):
-    """Streams EVENTS events; ends while it runs BAD."""
+    """Streams EVENTS events; exits while it runs BAD."""
 
     def __init__(self, pool, name, address=("127.0.0.1", 0)):
         self.pool, self.ended = pool, False
@@ -49,14 +49,14 @@
 
 
 class Pool:
-    """Engines that come back under new ids after they ended."""
+    """Engines that are replaced under new ids after they end."""
 
     def __init__(self, store, n):
         self.store, self.lock = store, threading.Lock()
         self.n, self.engines = 0, []
-        self.again = False  # they start again at once, under their ids
+        self.again = False  # whether engines restart at once under their ids
         self.reached = []  # (time, attempt) of the bad request at an engine
-        self.ends = []     # times at which it ended one
+        self.ends = []     # times at which it ended an engine
         for _ in range(n):
             self.add()
 
@@ -93,7 +93,7 @@
 
 
 class Stream:
-    """One request that was made, and how it ended."""
+    """One request and its outcome."""
 
     def __init__(self, s, i, body, key="key-acme", patience_s=None):
         self.began, self.served, self.status, self.kind = time.monotonic(), False, 0, ""
@@ -122,8 +122,8 @@
 
 
 class Callers:
-    """`burst` streams each `every_s` at any instance, for `seconds`; they leave
-    after `patience_s`, if it is given."""
+    """Starts `burst` streams every `every_s` at random instances, for `seconds`.
+    Callers disconnect after `patience_s`, if given."""
 
     def __init__(self, s, every_s, seconds, body, burst=1, patience_s=None):
         self.made, self.threads = [], []
@@ -153,7 +153,7 @@
 
 
 def with_pool(s):
-    """Engines that end and come back, in place of the site's own."""
+    """Replaces the site's engines by a Pool."""
     for e in s.engines:
         s.store.remove("servers", e.name)
         e.close()
@@ -163,8 +163,8 @@
                             "prepaid": 10**6})
     s.store.put("config", "main", conf)
     pool = Pool(s.store, ENGINES)
-    s.desks.append(pool)  # closed with the site
-    time.sleep(1.0)       # known everywhere
+    s.desks.append(pool)  # so that it is closed with the site
+    time.sleep(1.0)       # until all instances know it
     return pool
 
 
@@ -177,14 +177,15 @@
 
 
 def check_bound(pool, least=3, counts=lambda at, attempt: True):
-    """Times that the bad request reached a target later than allowed. Of `least`
-    ends at least, else the play has shown nothing. `counts`: whether an arrival
-    does."""
+    """Checks how often the bad request reached a target later than allowed. Fails
+    if fewer than `least` engines ended, as the run then shows nothing. `counts`:
+    whether an arrival is counted."""
     assert len(pool.ends) >= least, "only %d ends" % len(pool.ends)
-    third = sorted(pool.ends)[min(2, len(pool.ends) - 1)]
-    more = [t for t, attempt in pool.reached
-            if t > third + IN_TOUCH_S and counts(t, attempt)]
+    third_end = sorted(pool.ends)[min(2, len(pool.ends) - 1)]
+    late_arrivals = [t for t, attempt in pool.reached
+                     if t > third_end + IN_TOUCH_S and counts(t, attempt)]
     print("   %d attempts came to targets, %d of them later than %g s after the "
-          "third end; %d targets ended" % (len(pool.reached), len(more), IN_TOUCH_S,
-                                           len(pool.ends)), flush=True)
-    assert len(more) <= MORE, "%d more" % len(more)
+          "third end; %d targets ended" % (
+              len(pool.reached), len(late_arrivals), IN_TOUCH_S, len(pool.ends)),
+          flush=True)
+    assert len(late_arrivals) <= MORE, "%d more" % len(late_arrivals)
--- a/tests/process.py
+++ b/tests/process.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""process.py: failures brought about with real processes on loopback.
+"""process.py: failures injected into real processes on loopback.
 
-Usage: process.py BUILD_DIR [TEST...]. Few and slow; what can be shown with the
-pure cores is shown in scenario/. Waits poll for a state, with a deadline."""
+Usage: process.py BUILD_DIR [TEST...]. These tests are few and slow; scenario/ tests
+what needs only the pure cores. Waits poll for a state, with a deadline."""
 import http.client
 import json
 import os
@@ -24,8 +24,8 @@
 
 
 def free_base(count):
-    """A run of ports that nobody listens on."""
-    start = BASE + os.getpid() * 60 % 9000  # two runs at once keep apart
+    """Finds a range of free ports."""
+    start = BASE + os.getpid() * 60 % 9000  # concurrent runs start at different ports
     for base in list(range(start, 30000, 60)) + list(range(BASE, start, 60)):
         try:
             for port in range(base, base + count):
@@ -47,7 +47,7 @@
         except (OSError, http.client.HTTPException, ValueError):
             pass
         time.sleep(0.05)
-    raise AssertionError("waited in vain for " + what)
+    raise AssertionError("timed out waiting for " + what)
 
 
 class Answer:
@@ -75,7 +75,7 @@
 
 
 class Fleet:
-    """Stand-ins, instances and a table, for one test."""
+    """The stand-ins, instances and table of one test."""
 
     def __init__(self, engines=2, instances=3, slots=8, token_ms=5, small=3000,
                  regions=0, ready=True):
@@ -92,11 +92,12 @@
             if ready:
                 self.apply(self.table(slots, small))
         except BaseException:
-            self.close()  # nothing is left running
+            self.close()  # leaves no process running
             raise
 
     def start(self, slots, token_ms):
-        """Processes, until all instances know each other or, of many, answer."""
+        """Starts the processes and waits until all instances answer and, unless spread
+        over regions, know each other."""
         self.spawn("platform", ["fakes/fake_platform", self.at(self.platform)])
         for i, p in enumerate(self.engines):
             self.spawn("engine%d" % i, ["fakes/fake_engine", self.at(p),
@@ -227,13 +228,13 @@
 
 
 def together(jobs):
-    """Runs the jobs at the same time; their results in order."""
+    """Runs the jobs concurrently; returns their results in order."""
     out = [None] * len(jobs)
 
     def run(i):
         try:
             out[i] = jobs[i]()
-        except Exception as e:  # the caller looks at it
+        except Exception as e:  # returned to the caller
             out[i] = e
     threads = [threading.Thread(target=run, args=(i,)) for i in range(len(jobs))]
     for t in threads:
@@ -246,7 +247,7 @@
 # == tests ==
 
 def test_streams_never_cross(f):
-    """Many streams at once: each caller gets its own tokens, all of them."""
+    """With many concurrent streams each caller gets all of its own tokens."""
     def one(i):
         a = f.chat(f.ports[i % 3], n=20 + i % 7, stream=True)
         assert a.status == 200, a.body
@@ -297,7 +298,7 @@
 
 
 def test_nothing_is_overspent_by_many_at_once(f):
-    """A small budget, drawn on at every instance at the same moment."""
+    """A small budget is drawn on at every instance at the same time."""
     def one(i):
         return f.chat(f.ports[i % 3], customer="small", n=30 + i % 40).status
     got = together([lambda i=i: one(i) for i in range(90)])
@@ -315,14 +316,14 @@
                     for i in range(9)])
     assert sum(a.status == 201 for a in got) >= 1
     assert all(a.status == 201 or a.ran == "may-have-run" for a in got)
-    # It books and hangs up: nobody may try again.
+    # The service books and closes the connection: no instance may retry.
     f.fault(f.booking, "lost")
     a = f.book(f.ports[0], "plate-3", "k3")
     assert (a.status, a.kind(), a.ran) == (409, "may-have-run", "may-have-run")
     f.fault(f.booking, "none")
     a = f.book(f.ports[2], "plate-3", "k3")
     assert (a.status, a.ran) == (409, "may-have-run"), a.body
-    # The router dies while the service works on it.
+    # The router crashes while the service processes the request.
     f.fault(f.booking, "slow")
     t = threading.Thread(target=lambda: together(
         [lambda: f.book(f.ports[0], "plate-4", "k4")]))
@@ -341,8 +342,8 @@
 
 
 def test_a_sleeping_home_of_claims(f):
-    """One instance sleeps, home of a third of all claims: bookings elsewhere do
-    not wait for it, and when it wakes up what was booked stays booked."""
+    """One instance, home of a third of all claims, is paused: bookings elsewhere do
+    not wait for it, and after it resumes the bookings stay valid."""
     f.kill("i2", signal.SIGSTOP)
     start = time.monotonic()
     got = together([lambda i=i: f.book(f.ports[i % 2], "p%d" % i, "s%d" % i)
@@ -354,14 +355,14 @@
     f.kill("i2", signal.SIGCONT)
     again = together([lambda i=i: f.book(f.ports[2], "p%d" % i, "s%d" % i)
                       for i in range(24)])
-    # Kept answers, or its word that it ran; never another run.
+    # Stored answers, or the report that it ran; never another run.
     assert all(a.ran in ("ran", "may-have-run") for a in again), again[0].body
     stats = f.stats(f.booking)
     assert stats["most_for_one"] == 1 and stats["bookings"] == 24, stats
 
 
 def test_the_platform_down(f):
-    """Chats go on from what is held; bookings are refused, truthfully."""
+    """Chats continue from held tokens; bookings are refused as not run."""
     for p in f.ports * 3:
         assert f.chat(p, n=50).status == 200
     before = f.stats(f.booking)["bookings"]
@@ -389,7 +390,7 @@
 
 
 def test_killed_with_streams_open(f):
-    """The others serve on, nothing is overspent, each answer is billed once."""
+    """The others keep serving, no budget is overspent, each answer is billed once."""
     def doomed():
         return f.chat(f.ports[0], n=200, stream=True)
     t = threading.Thread(target=lambda: together([doomed] * 4))
@@ -412,7 +413,8 @@
 
 
 def test_a_paused_instance_wakes_up(f):
-    """Stopped past its replacement; when it goes on, nothing is overspent."""
+    """It is paused until it has been replaced; after it resumes, no budget is
+    overspent."""
     for p in f.ports:
         assert f.chat(p, customer="small", n=10).status == 200
     f.kill("i1", signal.SIGSTOP)
@@ -428,7 +430,8 @@
 
 
 def test_a_planned_stop_cuts_nothing(f):
-    """SIGTERM under streams: all end whole, what was held comes back, exit 0."""
+    """After SIGTERM all open streams complete, held tokens are returned, and the exit
+    status is 0."""
     got = []
     t = threading.Thread(target=lambda: got.extend(together(
         [lambda: f.chat(f.ports[0], n=150, stream=True) for _ in range(5)])))
@@ -454,7 +457,7 @@
 
 
 def test_all_instances_replaced_in_turn(f):
-    """Under load; a caller goes elsewhere when told to, and nothing is lost."""
+    """Under load, callers retry elsewhere after a refusal, and no request is lost."""
     stop, lost, answered = threading.Event(), [], [0]
 
     def caller(i):
@@ -498,7 +501,7 @@
 
 
 def test_a_data_centre_is_lost(f):
-    """Both instances of nord die at once; the last one goes on."""
+    """Both instances of nord crash at once; the remaining one serves."""
     for p in f.ports * 2:
         assert f.chat(p, customer="small", n=10).status == 200
     f.kill("i0")
@@ -544,7 +547,7 @@
 
 
 def words_of(a):
-    """The tokens of a whole stream."""
+    """The tokens of a complete stream."""
     lines = [l[6:] for l in a.body.decode().split("\n") if l.startswith("data: ")]
     assert lines[-1] == "[DONE]", lines[-1]
     return "".join(json.loads(l)["choices"][0]["delta"].get("content", "")
@@ -552,7 +555,7 @@
 
 
 def test_a_broken_stream_goes_on(f):
-    """The link to the target breaks; the run goes on where it was, once."""
+    """The connection to the target breaks; the run continues where it was, once."""
     for e in f.engines:
         f.fault(e, "drop")
     got = together([lambda i=i: f.chat(f.ports[i % 3], n=20, stream=True)
@@ -565,7 +568,7 @@
 
 
 def test_a_retry_takes_up_the_stream_of_a_lost_router(f):
-    """Its router dies; the retry elsewhere gets the same run, whole."""
+    """Its router crashes; the retry elsewhere gets the same run, complete."""
     t = threading.Thread(target=lambda: together(
         [lambda: f.chat(f.ports[0], n=400, key="long", stream=True)]))
     t.start()
@@ -584,8 +587,8 @@
 
 
 def test_requests_go_where_they_fit(f):
-    """Adapter, version and data centre of a service choose among the targets; the
-    engine is asked for its model or adapter, not for the service's name."""
+    """Adapter, version and data centre of a service select among the targets. The
+    request to the engine names its model or adapter, not the service."""
     csv = f.table(8, 3000).split("\n")
     csv[0] += ",adapter,version"
     rows = [csv[0]] + [r + ",," for r in csv[1:] if r]
@@ -611,8 +614,8 @@
 
 
 def test_adapters_are_placed_by_fenced_orders(f):
-    """The home of a pool loads what services ask for, and only there do requests
-    go; its successor goes on with a higher fence."""
+    """The home of a pool has targets load the adapters that services need, and
+    requests go only to these targets. Its successor continues with a higher fence."""
     def edit(least):
         csv = f.table(8, 3000).split("\n")
         rows = [csv[0] + ",adapter,loads,least"] + [r + ",,," for r in csv[1:] if r]
@@ -633,7 +636,7 @@
             f.ports[i % 3], model="tuned")] if a.status == 200])[0]
         assert a.status == 200
     assert f.stats(at)["runs"] == before + 6
-    # The home goes; the next one carries out the next edit.
+    # The home is lost; its successor applies the next edit.
     homes = [i for i in range(3) if '"event":"place"' in open(
         os.path.join(f.dir, "i%d.log" % i)).read()]
     assert len(homes) == 1, homes
@@ -641,7 +644,7 @@
     f.ports.remove(f.ports[homes[0]])
     edit(2)
     wait_for("both", lambda: len(loaded()) == 2)
-    # What comes with an older fence is refused and changes nothing.
+    # An order with an older fence is refused and changes nothing.
     order = call(at, "POST", "/adapters?fence=0", '{"adapters":[]}')
     assert order.status == 409 and at in loaded(), order.status
     assert all(f.stats(e)["late_orders"] == (e == at) for e in f.engines)
@@ -649,7 +652,7 @@
 
 
 def test_failing_targets_make_no_storm(f):
-    """Half of the targets fail at once: attempts stay bounded."""
+    """When half of the targets fail at once, the number of attempts stays bounded."""
     f.fault(f.engines[0], "error")
     got = [f.chat(f.ports[i % 3], n=2) for i in range(60)]
     ok = sum(a.status == 200 for a in got)
@@ -660,7 +663,7 @@
 
 
 def test_a_chat_that_may_not_be_repeated(f):
-    """A target fails after it took the request: nobody sends it again."""
+    """A target fails after it accepted the request: no instance sends it again."""
     for e in f.engines:
         f.fault(e, "error")
     a = f.chat(f.ports[0], model="oncechat", key="once")
@@ -705,7 +708,7 @@
 
 
 def test_operators(f):
-    """The command: racing edits, refusals, screens."""
+    """The operators' command: concurrent edits, refusals, screens."""
     show = f.cli("show").stdout
     version = int(show.split("\n")[0].split()[-1])
     one = show.replace(",1000000,60", ",2000000,60")
@@ -718,7 +721,7 @@
             out.write(text)
     a, b = f.cli("apply", paths[0]), f.cli("apply", paths[1], port=f.ports[1])
     assert a.returncode == 0 and b.returncode == 0, a.stderr + b.stderr
-    # An edit that is on its way is no alarm, at whichever instance one asks.
+    # An edit in progress raises no alarm at any instance.
     for p in f.ports:
         s = f.cli("status", port=p)
         assert "nothing" in s.stdout and s.returncode == 0, s.stdout
@@ -736,7 +739,7 @@
     s = f.cli("status").stdout
     assert "nothing" in s, s
     f.kill("engine0")
-    # The whole line: the id of an instance may hold the two letters "e0".
+    # Matches the whole line: an instance's id may contain "e0".
     wait_for("the alarm", lambda: "engine" not in f.cli("status").stdout and
              "fails: e0\n" in f.cli("status").stdout)
     assert f.cli("status").returncode == 4
--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -1,18 +1,18 @@
-"""proxy.py: a loopback TCP proxy that delays, slows, resets, holds back or
-refuses."""
+"""proxy.py: a loopback TCP proxy that can delay, throttle, hold, reset or refuse
+connections."""
 import socket
 import struct
 import threading
 import time
 
 PIECE = 16384
-LOOK_S = 0.02  # between looks at what holds bytes back
+LOOK_S = 0.02  # polling interval while bytes are held
 
 
 class Proxy:
-    """Passes connections on to `upstream` ("ip:port"). `delay` in seconds;
-    `rate`: bytes a second each way, over all connections (0: any number);
-    `hold` is a set of "up" and "down": bytes of that way wait; `closed`: new
+    """Forwards connections to `upstream` ("ip:port"). `delay`: in seconds. `rate`:
+    bytes/s in each direction over all connections (0: unlimited). `hold`: a set of
+    "up" and "down", the directions in which bytes are held. `closed`: new
     connections are reset."""
 
     def __init__(self, upstream):
@@ -31,7 +31,7 @@
         self.delay, self.hold, self.closed = 0.0, set(), False
 
     def reset(self):
-        """Resets all connections that are open."""
+        """Resets all open connections."""
         with self.lock:
             pairs, self.pairs = self.pairs, set()
         for pair in pairs:
@@ -60,27 +60,27 @@
             pair = (c, u)
             with self.lock:
                 self.pairs.add(pair)
-            for a, b, way in ((c, u, "up"), (u, c, "down")):
-                threading.Thread(target=self._pump, args=(a, b, way, pair),
+            for a, b, direction in ((c, u, "up"), (u, c, "down")):
+                threading.Thread(target=self._pump, args=(a, b, direction, pair),
                                  daemon=True).start()
 
-    def _pace(self, way, n):
-        """Waits for the place of `n` bytes on the line."""
+    def _pace(self, direction, n):
+        """Waits until `n` bytes may pass under the rate limit."""
         with self.lock:
             now = time.monotonic()
-            self.free_at[way] = max(self.free_at[way], now) + n / self.rate
-            wait = self.free_at[way] - now
+            self.free_at[direction] = max(self.free_at[direction], now) + n / self.rate
+            wait = self.free_at[direction] - now
         time.sleep(wait)
 
-    def _pump(self, a, b, way, pair):
+    def _pump(self, a, b, direction, pair):
         try:
             while True:
                 data = a.recv(PIECE)
                 if self.delay:
                     time.sleep(self.delay)
                 if self.rate:
-                    self._pace(way, len(data))
-                while way in self.hold:
+                    self._pace(direction, len(data))
+                while direction in self.hold:
                     time.sleep(LOOK_S)
                 if not data:
                     b.shutdown(socket.SHUT_WR)
@@ -88,9 +88,9 @@
                 b.sendall(data)
         except OSError:
             with self.lock:
-                known = pair in self.pairs
+                was_open = pair in self.pairs
                 self.pairs.discard(pair)
-            if known:
+            if was_open:
                 for s in pair:
                     _reset(s)
 
--- a/tests/red.py
+++ b/tests/red.py
@@ -3,7 +3,7 @@
 
 
 def known_red():
-    """Tests that may fail: one a line, name first."""
+    """The tests that may fail, by name. Each line has a name, then the details."""
     path = os.path.join(os.path.dirname(__file__), "..", "KNOWN-RED.txt")
     if not os.path.exists(path):
         return {}
--- a/tests/regions.py
+++ b/tests/regions.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""regions.py: instances in three regions, and requests that operators bind to
-some of them; real processes.
+"""regions.py: instances in three regions as real processes, and requests that
+operators restrict to some of these regions.
 
 Usage: regions.py BUILD_DIR [TEST...]"""
 import http.client
@@ -10,13 +10,13 @@
 from fleet import (Site, chunk, config, event, head, play_stream, route,
                    run_tests, wait_for)
 
-DCS = ("a", "b", "c")  # data centres; each is a region of its own
+DCS = ("a", "b", "c")  # data centres, each in its own region
 Site.regions = {d: "region-" + d for d in DCS}
 
 
 def bound(version, *dcs, customer=()):
-    """A configuration whose chat route, and whose customer, are bound to the
-    regions of these data centres."""
+    """A configuration that restricts the chat route, and the customer if given, to
+    the regions of these data centres."""
     c = config(version)
     names = lambda list_: ["region-" + d for d in list_]
     c["routes"][2] = route("c", "/chat/", "engine", "stream",
@@ -27,8 +27,8 @@
 
 
 def place(s, targets):
-    """One target in each data centre, and a request that makes the budget
-    known."""
+    """Places one target in each data centre and sends a request that loads the
+    budget."""
     for w, dc in zip(targets, DCS):
         w.entry = dict(w.entry, zone=dc)
         w.play = play_stream(2)
@@ -54,7 +54,7 @@
     at = place(s, s.engines)
     configure(s, bound(2, "b"))
     for _ in range(3):
-        for i in range(3):  # also where it comes in elsewhere
+        for i in range(3):  # also if it arrives in another region
             assert s.chat(100, i=i).status == 200
     assert ran(at) == {"a": 0, "b": 9, "c": 0}, ran(at)
 
@@ -83,7 +83,7 @@
 
 
 def test_a_stream_goes_on_only_where_it_may(s):
-    """Its target breaks off, and the two others wait with the rest."""
+    """Its target breaks the stream, and the two others could resume it."""
     at = place(s, s.engines)
     broken = []
 
@@ -95,7 +95,7 @@
     for w in s.engines:
         w.play = play
     configure(s, bound(2, "a", "b"))
-    time.sleep(0.6)  # an instance has no retries in its first window
+    time.sleep(0.6)  # an instance makes no retries in its first window
     a = s.chat(100, i=2)
     assert a.status == 200
     assert a.body.decode() == "".join(event(k) for k in range(1, 9)), a.body
@@ -103,8 +103,8 @@
 
 
 def test_a_list_that_changes_binds_the_next_send(s):
-    """The stream has begun in `a`; while it runs others are allowed in its place,
-    and then its target breaks off. What it began with binds it as well."""
+    """A stream starts in `a`; while it runs, `b` and `c` are allowed instead, and
+    then its target breaks the stream. The list at its start still applies too."""
     at = place(s, s.engines)
 
     def play(w, c, h):
@@ -127,7 +127,7 @@
         raise AssertionError("a cut stream looks whole")
     except (http.client.HTTPException, ConnectionError):
         pass
-    assert at["b"].ran == [] and at["c"].ran == [], "both lists bind it"
+    assert at["b"].ran == [] and at["c"].ran == [], "both lists apply to it"
 
 
 if __name__ == "__main__":
--- a/tests/slow.py
+++ b/tests/slow.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""slow.py: callers that read slowly or not at all, and a target that answers
-with more than a connection holds; real processes.
+"""slow.py: callers that read slowly or not at all, with a target whose answers
+exceed the buffers of a connection; real processes.
 
 Usage: slow.py BUILD_DIR [TEST...]"""
 import http.client
@@ -11,18 +11,18 @@
 
 from fleet import BASE, Site, config, head, run_tests, wait_for
 
-SLOW = 500             # callers
-SLOW_BYTES_S = 1024    # that each reads
-ANSWER = 6 << 20       # bytes of one answer; what sockets take in is less
-UNREAD_S = 5.0         # a target ends an answer that waits for so long
+SLOW = 500             # number of slow callers
+SLOW_BYTES_S = 1024    # that each of them reads
+ANSWER = 6 << 20       # bytes per answer; more than socket buffers hold
+UNREAD_S = 5.0         # after this a target aborts an answer that is not read
 Site.memory_mb = 128
-OWN_SHARE = 0.75        # of it; what has come and is not read counts as well
+OWN_SHARE = 0.75        # max share in use; received, unread data counts too
 PIECE = bytes(16384)
 
 
 class Answers:
-    """A target's way to answer: with ANSWER bytes; how many were cut for want
-    of a reader, by the target itself."""
+    """Plays a target that answers with ANSWER bytes, and counts the answers that it
+    aborted because they were not read."""
 
     def __init__(self):
         self.suffered = 0
@@ -44,8 +44,8 @@
         return True
 
 
-def patient(s):
-    """Lets an answer take longer than a target waits."""
+def extend_route_timeout(s):
+    """Sets a route timeout longer than UNREAD_S."""
     c = config(2)
     c["routes"][1]["timeout_ms"] = 30000
     s.store.put("config", "main", c)
@@ -53,7 +53,7 @@
         l["event"] == "configuration" and l["version"] == 2 for l in s.log(0)))
 
 
-def ask(s, name):
+def send_request(s, name):
     c = socket.socket()
     c.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     c.connect((s.ip(0), BASE))
@@ -87,11 +87,11 @@
 
 def test_slow_callers_cost_neither_memory_nor_targets_nor_the_others(s):
     answers = Answers()
-    patient(s)
+    extend_route_timeout(s)
     for w in s.desks:
         w.play = answers.play
-    callers = [ask(s, "slow%d" % i) for i in range(SLOW)]
-    dead = ask(s, "dead")
+    callers = [send_request(s, "slow%d" % i) for i in range(SLOW)]
+    dead = send_request(s, "dead")
     end = time.monotonic() + UNREAD_S + 3
     reader = threading.Thread(target=read_slowly, args=(callers, end))
     reader.start()
@@ -105,17 +105,17 @@
     reader.join()
     assert peak_mb(s) < OWN_SHARE * Site.memory_mb, "%.0f MB" % peak_mb(s)
     assert slowest < 1.0, "a harmless caller waited %.2f s" % slowest
-    assert answers.suffered == 0, "%d targets waited in vain" % answers.suffered
+    assert answers.suffered == 0, "%d targets aborted an unread answer" % answers.suffered
     assert metric(s, "caller_slow_total") >= SLOW / 2
     for c in callers + [dead]:
         c.close()
 
 
 def test_a_caller_that_pauses_and_goes_on_gets_all(s):
-    """A pause that is shorter than what a target bears costs nothing."""
+    """A pause shorter than the target's timeout has no effect."""
     s.desks[0].play = s.desks[1].play = Answers().play
-    patient(s)
-    c = ask(s, "pauses")
+    extend_route_timeout(s)
+    c = send_request(s, "pauses")
     got = 0
     for second in range(1, 5):
         while got < second << 16:
@@ -132,11 +132,11 @@
 
 
 def test_what_is_left_of_a_last_answer_is_delivered_late(s):
-    """The instance is stopping, so its answer ends the connection."""
+    """The instance is stopping, so it closes the connection after the answer."""
     s.desks[0].play = s.desks[1].play = lambda w, c, h: (
         c.sendall(head(h["x-loftpath-attempt-id"], "Content-Length: 400000")
                   + bytes(400000)) or True)
-    c = ask(s, "late")
+    c = send_request(s, "late")
     wait_for("the answer", lambda: any(
         l["event"] == "request" for l in s.log(0)))
     got = 0
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""soak.py: instances as real processes under random faults, and whether the
-promises hold, as callers and targets see them.
+"""soak.py: instances as real processes under random faults; checks the guarantees
+as callers and targets observe them.
 
 Usage: soak.py BUILD_DIR [--seed N] [--seeds COUNT] [--seconds S] [--mutant M]
 
-Without --seed it takes fresh ones; each is printed, and --seed plays it again.
-Mutants (`double`: a target's link sends each request twice; `unfenced`: the
-store ignores conditions) must make it fail. tests/soak-seeds.txt holds each
-seed that ever failed, with its cause; --kept plays these."""
+Without --seed it uses random seeds and prints each; --seed repeats a run. Mutants
+(`double`: a target's proxy sends each request twice; `unfenced`: the store ignores
+conditions) must make it fail. tests/soak-seeds.txt lists the seeds that have
+failed, with their causes; --kept runs these too."""
 import argparse
 import http.client
 import os
@@ -22,22 +22,22 @@
 from standins import Worker
 
 DEADLINE_S = 2.0
-LATE_S = 1.0        # an answer later than this after its deadline is held back
-LEAVE_S = 2.5       # a leaving target serves 2 s and a little longer
-QUIET_S = 3.0       # after the last fault before times are judged
+LATE_S = 1.0        # max delay of an answer after its deadline
+LEAVE_S = 2.5       # a leaving target serves for 2 s, plus a margin
+QUIET_S = 3.0       # after the last fault before times are checked
 PROMISES = (408, 421, 429, 503)  # "did not run and never will"
 CALLERS = 6
 EVENT_TOKENS = 1    # fleet.config
 
 
 class Truth:
-    """What callers and targets saw."""
+    """What callers and targets observed."""
 
     def __init__(self):
         self.lock = threading.Lock()
         self.runs = {}      # attempt -> times of its runs
-        self.events = {}    # attempt -> events that the caller got
-        self.tokens = {}    # attempt -> of its prompt
+        self.events = {}    # attempt -> events that the caller received
+        self.tokens = {}    # attempt -> tokens of its prompt
         self.once = set()   # attempts that may run at most once
         self.refused = {}   # attempt -> status
         self.where = []     # (time, target, attempt)
@@ -55,8 +55,9 @@
 
 
 def play_for(truth):
-    """A target: a stream of as many events as asked for, paced; plain answers
-    name the attempt. A third of the streams break off now and then."""
+    """Plays a target that streams the requested number of events at a steady pace;
+    plain answers name the attempt. While `breaks` is set, each event may break the
+    stream."""
 
     def play(w, c, headers):
         attempt = headers["x-loftpath-attempt-id"]
@@ -82,7 +83,7 @@
 
 
 class Caller(threading.Thread):
-    """One request after the other, on a kept connection while it lasts."""
+    """Sends requests one at a time on a connection that it keeps until that fails."""
 
     def __init__(self, soak, n):
         super().__init__(daemon=True)
@@ -98,7 +99,7 @@
             time.sleep(self.dice.random() * 0.04)
 
     def request(self):
-        """(path, method, headers, is it a stream, may it run once only)"""
+        """Returns (attempt, kind, headers) of a random request."""
         self.count += 1
         attempt = "s%d-%d-%d" % (self.soak.seed, self.n, self.count)
         h = {"Host": "front", "X-Loftpath-Attempt-Id": attempt,
@@ -152,9 +153,9 @@
             return
         if r.status == 200 and whole:
             n = int(h["X-Loftpath-Token-Count"].split(",")[1]) if kind == "chat" else 0
-            good = b"".join(event(k).encode() for k in range(1, n + 1)) if n else (
+            expected = b"".join(event(k).encode() for k in range(1, n + 1)) if n else (
                 "answer to %s" % attempt).encode()
-            if body != good:
+            if body != expected:
                 truth.fail("%s: a whole answer that is not its own: %r", attempt, body[:80])
         if took > DEADLINE_S + LATE_S and not soak.paused(self.at, took):
             truth.fail("%s: %d after %.1f s", attempt, r.status, took)
@@ -167,17 +168,17 @@
         self.truth, self.over = Truth(), False
         self.prepaid, self.version = 30000 + self.dice.randrange(30000), 1
         self.faults, self.pauses, self.left = [], [], []
-        self.busy = set()  # instances that a signal was sent to
+        self.busy = set()  # instances with a signal fault in progress
         self.site = Site(instances=self.dice.choice((2, 3, 4, 5)),
                          prepaid=self.prepaid, store_proxy=Proxy)
         self.site.store.unfenced = mutant == "unfenced"
         self.links = []
         for w in self.site.desks + self.site.engines:
             self.dress(w)
-        time.sleep(0.5)  # all have heard of the targets' addresses
+        time.sleep(0.5)  # until all know the targets' addresses
 
     def dress(self, w):
-        """A target behind a proxy of its own."""
+        """Puts a target behind its own proxy."""
         w.play, w.dice, w.breaks = play_for(self.truth), random.Random(self.seed), False
         w.link = Doubler(w.address) if self.mutant == "double" else Proxy(w.address)
         w.entry["addr"] = w.link.address
@@ -185,7 +186,7 @@
         self.site.store.put("servers", w.name, w.entry)
 
     def awake(self):
-        """An instance that no signal was sent to; it gets one now."""
+        """Picks an instance without a signal fault and marks it busy; None if all are."""
         free = [i for i in range(len(self.site.processes)) if i not in self.busy]
         if not free:
             return None
@@ -193,7 +194,7 @@
         self.busy.add(i)
         return i
 
-    # == faults; each returns its name and what ends it ==
+    # == faults; each returns its name and a function that ends it ==
 
     def fault_store(self):
         store, how = self.site.store, self.dice.choice(("down", "lose"))
@@ -231,22 +232,22 @@
         mark = [i, time.monotonic(), None]
         self.pauses.append(mark)
 
-        def wake():
+        def resume():
             mark[2] = time.monotonic()
             self.busy.discard(i)
             if p.poll() is None:
                 p.send_signal(signal.SIGCONT)
-        return "pause %d" % i, wake
+        return "pause %d" % i, resume
 
     def fault_end(self):
-        """Killed or stopped, and started again."""
+        """Kills or stops an instance, then restarts it."""
         i = self.awake()
         if i is None:
             return "no end", lambda: None
         p, how = self.site.processes[i], self.dice.choice((signal.SIGKILL, signal.SIGTERM))
         p.send_signal(how)
 
-        def again():
+        def restart():
             if p.poll() is None and how == signal.SIGTERM:
                 try:
                     p.wait(6)
@@ -258,10 +259,10 @@
                 self.truth.fail("instance %d ended with %d", i, p.returncode)
             self.busy.discard(i)
             self.site.start(i)
-        return "%s %d" % (how.name, i), again
+        return "%s %d" % (how.name, i), restart
 
     def fault_leave(self):
-        """A target says that it leaves; another one comes."""
+        """A target announces that it leaves; another one joins."""
         kind = self.dice.choice(("desks", "engines"))
         pool = getattr(self.site, kind)
         w = pool.pop(0)
@@ -313,12 +314,12 @@
         self.faults.append((f[1], time.monotonic(), f[2]))
 
     def paused(self, i, took):
-        """Was that instance asleep while an answer took so long?"""
+        """Whether that instance was paused during the last `took` seconds."""
         now = time.monotonic()
         return any(p[0] == i and (p[2] or now) > now - took for p in self.pauses)
 
     def check_serves(self, quiet_from):
-        """After the faults requests of plain services are served again."""
+        """Checks that requests of plain services are served again after the faults."""
         for i in range(len(self.site.processes)):
             wait_for("instance %d" % i, lambda: self.site.ready(i), 5)
             status = self.site.call("/safe/x", i=i).status
@@ -327,7 +328,7 @@
                                 status, time.monotonic() - quiet_from)
 
     def calm(self, start, end):
-        """No fault from QUIET_S before `start` to `end`."""
+        """Whether no fault was active from QUIET_S before `start` to `end`."""
         return not any(a < end and b > start - QUIET_S for a, b, name in self.faults
                        if not name.startswith(("leave", "top-up", "breaks")))
 
@@ -360,11 +361,11 @@
 
 
 class Doubler(Proxy):
-    """The mutant that sends every request of a link twice."""
+    """The mutant proxy that sends every request twice."""
 
-    def _pump(self, a, b, way, pair):
-        if way == "down":
-            super()._pump(a, b, way, pair)
+    def _pump(self, a, b, direction, pair):
+        if direction == "down":
+            super()._pump(a, b, direction, pair)
             return
         try:
             while True:
@@ -415,9 +416,9 @@
         seeds = [o.seed + k for k in range(o.seeds)]
     if o.kept:
         seeds = kept_seeds() + seeds
-    good = sum(run(s, o.seconds, o.mutant) for s in seeds)
-    print("%d passed, %d failed" % (good, len(seeds) - good))
-    return 0 if good == len(seeds) else 1
+    passed = sum(run(s, o.seconds, o.mutant) for s in seeds)
+    print("%d passed, %d failed" % (passed, len(seeds) - passed))
+    return 0 if passed == len(seeds) else 1
 
 
 if __name__ == "__main__":
--- a/tests/still.py
+++ b/tests/still.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""still.py: an instance whose machine was suspended acts on nothing that it knew
-before.
+"""still.py: after its machine was suspended, an instance does not act on stale
+state.
 
-Answers: a machine that is suspended for seconds. The steady clock doesn't count
-that time, so by it the list of targets, the keys and the configuration are as
-fresh as before, and the first thing that arrives may be a request. The way to the
-store is held, so that nothing of what changed meanwhile has come by then.
+The monotonic clock doesn't count the seconds of a suspension. By that clock the
+list of targets, the keys and the configuration are as fresh as before, and the
+first event after it may be a request. The tests hold the connection to the store,
+so that no change made meanwhile has arrived by then.
 
 Usage: still.py BUILD_DIR [TEST...]"""
 import os
@@ -21,14 +21,14 @@
 FILE = tempfile.NamedTemporaryFile("w", prefix="suspend-")
 Site.env = {"LD_PRELOAD": os.path.join(BUILD, "tests", "libsuspend.so"),
             "SUSPEND_FILE": FILE.name}
-suspended = [0]  # seconds, as the file says
+suspended = [0]  # total seconds, as written to FILE
 
 
 def suspend(s, seconds, meanwhile):
-    """The machine of the first instance, while `meanwhile` happens; its way to
-    the store is held after that."""
+    """Suspends the machine of the first instance while `meanwhile` runs. Its
+    connection to the store stays held afterwards."""
     p = s.processes[0]
-    time.sleep(0.3)  # it has nothing under way
+    time.sleep(0.3)  # until it has no work in progress
     p.send_signal(signal.SIGSTOP)
     s.proxies[0].hold = {"up", "down"}
     meanwhile()
@@ -40,19 +40,19 @@
     p.send_signal(signal.SIGCONT)
 
 
-def is_told_to_wait(a):
+def is_refused_as_stale(a):
     return (a.status == 503 and b'"behind"' in a.body and
             float(a.headers["retry-after"]) <= 1)
 
 
 def catch_up(s, path="/safe/x", **more):
-    """Its way to the store is open again."""
+    """Reopens its connection to the store and waits until it serves."""
     s.proxies[0].heal()
     wait_for("the instance", lambda: s.call(path, **more).status == 200, 3)
 
 
 def each_jump(check):
-    """A test that runs `check` after each of the jumps."""
+    """A test that runs `check` for each length of suspension."""
 
     def test(s):
         for k, seconds in enumerate(JUMPS_S):
@@ -61,7 +61,7 @@
 
 
 def serves(s):
-    """The desk that gets the requests at present."""
+    """The desk that currently gets the requests."""
     name = s.call("/safe/x").body.split(b" ")[0].decode()
     return [w for w in s.desks if w.name == name][0]
 
@@ -71,7 +71,7 @@
     suspend(s, seconds, leaves.drain)
     before = len(leaves.ran)
     a = s.call("/safe/x")
-    assert is_told_to_wait(a), (seconds, a.status, a.body)
+    assert is_refused_as_stale(a), (seconds, a.status, a.body)
     catch_up(s)
     for _ in range(20):
         assert s.call("/safe/x").status == 200
@@ -87,13 +87,13 @@
     suspend(s, seconds, lambda: s.store.put(
         "config", "main", config(11 + 2 * k, keys=[new])))
     a = s.call("/safe/x", Authorization="Bearer " + old)
-    assert is_told_to_wait(a), (seconds, a.status, a.body)
+    assert is_refused_as_stale(a), (seconds, a.status, a.body)
     catch_up(s, Authorization="Bearer " + new)
     assert s.call("/safe/x", Authorization="Bearer " + old).status == 401
 
 
 def route_that_moved(s, seconds, k):
-    """A route is taken away, another comes."""
+    """A route is removed, and another is added."""
     def with_route(version, prefix):
         return config(version, routes=[route("m", prefix, "desk", "safe")])
 
@@ -102,16 +102,16 @@
     suspend(s, seconds, lambda: s.store.put(
         "config", "main", with_route(11 + 2 * k, "/new-%d/" % k)))
     a = s.call("/old-%d/x" % k)
-    assert is_told_to_wait(a), (seconds, a.status, a.body)
+    assert is_refused_as_stale(a), (seconds, a.status, a.body)
     catch_up(s, "/new-%d/x" % k)
     assert s.call("/old-%d/x" % k).status == 404
 
 
 def evacuation(s, seconds, k):
-    """Of all desks: nobody is left."""
+    """The data centre of all desks is evacuated; no target is left."""
     suspend(s, seconds, lambda: s.store.put("evacuations", "a", {}))
     before = sum(len(w.ran) for w in s.desks)
-    assert is_told_to_wait(s.call("/safe/x"))
+    assert is_refused_as_stale(s.call("/safe/x"))
     s.proxies[0].heal()
     wait_for("the evacuation", lambda: b'"no-target"' in s.call("/safe/x").body, 3)
     assert sum(len(w.ran) for w in s.desks) == before
@@ -120,7 +120,7 @@
 
 
 def kept_connections(s, seconds, k):
-    """The targets have closed theirs, or lost them without a word."""
+    """The targets have closed the connections, or lost them without notice."""
     for w in s.desks:
         assert s.call("/once/x", "POST", b"b").status == 200
     before = sum(w.connections for w in s.desks)
@@ -140,12 +140,12 @@
 
 def test_where_the_store_is_away_it_serves_as_in_any_outage(s):
     suspend(s, 5, lambda: None)
-    assert is_told_to_wait(s.call("/safe/x"))
+    assert is_refused_as_stale(s.call("/safe/x"))
     wait_for("the instance", lambda: s.call("/safe/x").status == 200, 3)
 
 
 def test_a_short_pause_is_borne(s):
-    """What takes less than a second happens on busy machines."""
+    """Pauses of less than a second are normal on busy machines."""
     s.processes[0].send_signal(signal.SIGSTOP)
     time.sleep(0.5)
     s.processes[0].send_signal(signal.SIGCONT)
--- a/tests/upgrade.py
+++ b/tests/upgrade.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""upgrade.py: instances of the build in production are replaced one by one by
-this one, and back, under load; real processes.
+"""upgrade.py: under load, instances of the build in production are replaced one by
+one by this build, and some are rolled back; real processes.
 
 Usage: upgrade.py BUILD_DIR [SEED]"""
 import random
@@ -11,18 +11,18 @@
 from callers import Load, check_told, spent
 from fleet import Site, config, play_stream, wait_for
 
-INSTANCES = 14  # readers speak for all from twelve on
-TARGETS = 400   # a list that neighbours hand on
+INSTANCES = 14  # from twelve on, readers read the store for all
+TARGETS = 400   # a list that neighbours forward
 SEED = int(sys.argv[2]) if len(sys.argv) > 2 else random.randrange(10**6)
 
 
 def replace(s, load, i, binary):
-    """A planned stop; then the other build comes up in its place."""
+    """Stops the instance as planned, then starts the other build in its place."""
     with load.lock:
         load.ready.discard(i)
     s.processes[i].terminate()
     s.processes[i].wait(10)
-    assert s.processes[i].returncode == 0, "instance %d cut something" % i
+    assert s.processes[i].returncode == 0, "instance %d aborted requests" % i
     s.binaries[i] = binary
     s.start(i)
     s.wait_ready(i)
@@ -31,7 +31,7 @@
 
 
 def change_all(s, load, binary, order, version):
-    """Replaces them; half way the configuration changes, a target leaves."""
+    """Replaces the instances in `order`; halfway the configuration changes."""
     for n, i in enumerate(order):
         replace(s, load, i, binary)
         if n != len(order) // 2:
@@ -60,7 +60,7 @@
                 "cold_left_ms": 0})
         order = random.Random(SEED).sample(range(INSTANCES), INSTANCES)
         change_all(s, load, NEW, order[:INSTANCES // 2], 2)
-        time.sleep(2)  # half and half
+        time.sleep(2)  # half of the instances run each build
         s.desks[0].drain()
         time.sleep(2.5)
         before = len(s.desks[0].ran)
