--- a/bench/budget.c
+++ b/bench/budget.c
@@ -1,8 +1,8 @@
-/* budget.c: the ledger against its baselines, on the scenario world: both
-   users' shapes, healthy and with a cut of ten minutes, a killed instance and
-   an outage.
+/* budget.c: compares the ledger with its baselines on the scenario world, for
+   both users' topologies, healthy and with a ten-minute cut, a killed instance
+   and a store outage.
 
-   Prints one JSON line for each run. */
+   Prints one JSON line per run. */
 #include <glib.h>
 #include <stdio.h>
 #include <string.h>
@@ -13,15 +13,15 @@
 #define CUSTOMERS 10
 #define STEP_S 0.25
 #define RUN_S 1800
-#define SEEDS 4 /* runs of ours, added up: refusals are few */
+#define LEDGER_RUNS 4 /* summed, because refusals are rare */
 
 typedef struct Shape {
   const char *name;
   const char *halls[3];
-  double rate;      /* requests a second of the whole fleet */
-  int64_t mean;     /* tokens a request uses */
-  double reserve_s; /* column of the table */
-  double spare;     /* total over expected spend: below 1 it runs out */
+  double requests_per_s; /* of the whole fleet */
+  int64_t mean_tokens;   /* consumed per request */
+  double reserve_s;      /* as in the table */
+  double budget_ratio;   /* total / expected spend; below 1 it runs out */
 } Shape;
 
 static const Shape shapes[] = {
@@ -31,17 +31,19 @@
 
 typedef struct Result {
   WorldTotals sums;
-  int64_t total, consumed, stranded, early; /* early: before the last 1% */
+  /* early: false refusals before the last 1% of a budget */
+  int64_t total, consumed, stranded, early;
   int64_t overspent;
 } Result;
 
-/* A few customers are large. */
+/* Three customers are large. */
 static int64_t weight(int customer) {
   return customer < 3 ? 5 : 1;
 }
 
 static int64_t budget_total(const Shape *s, int customer) {
-  double all = s->rate * (double)s->mean * RUN_S * s->spare;
+  double all =
+      s->requests_per_s * (double)s->mean_tokens * RUN_S * s->budget_ratio;
   int64_t weights = 3 * 5 + (CUSTOMERS - 3);
   return (int64_t)(all * (double)weight(customer) / (double)weights);
 }
@@ -54,13 +56,14 @@
 static WorldRequest draw_request(const Shape *s, GRand *r, int node) {
   WorldRequest q = {.node = node};
   snprintf(q.budget, sizeof q.budget, "c%d/any", pick_customer(r));
-  q.consumed_tokens = 50 + g_rand_int_range(r, 0, (gint32)(2 * s->mean - 100));
+  q.consumed_tokens =
+      50 + g_rand_int_range(r, 0, (gint32)(2 * s->mean_tokens - 100));
   q.amount = q.consumed_tokens + g_rand_int_range(r, 0, 600);
   q.duration_s = 0.5 + g_rand_double(r) * 3;
   return q;
 }
 
-/* The balancer sends to any live instance. */
+/* The load balancer picks any live instance. */
 static int pick_node(GRand *r, const bool *dead) {
   int n;
   do n = g_rand_int_range(r, 0, NODES);
@@ -68,7 +71,7 @@
   return n;
 }
 
-static void inject(World *w, const Shape *s, int step, bool *dead) {
+static void inject_faults(World *w, const Shape *s, int step, bool *dead) {
   double t = step * STEP_S;
   const double cut = 300, kill = 500, outage = 700;
   if (t == cut) {
@@ -91,7 +94,7 @@
   if (t == outage + 120) world_set_store_mode(w, WORLD_STORE_UP);
 }
 
-static Result run(const Shape *s, bool faults, uint32_t seed) {
+static Result run_ledger(const Shape *s, bool faults, uint32_t seed) {
   World *w = world_new(7 + seed, (WorldFaults){0});
   GRand *r = g_rand_new_with_seed(42 + seed);
   Result out = {0};
@@ -108,8 +111,8 @@
   }
   world_advance(w, 3);
   for (int step = 0; step * STEP_S < RUN_S; step++) {
-    if (faults) inject(w, s, step, dead);
-    int n = (int)(s->rate * STEP_S);
+    if (faults) inject_faults(w, s, step, dead);
+    int n = (int)(s->requests_per_s * STEP_S);
     for (int i = 0; i < n; i++) {
       WorldRequest q = draw_request(s, r, pick_node(r, dead));
       world_start_request(w, &q);
@@ -117,7 +120,7 @@
     world_advance(w, STEP_S);
   }
   world_advance(w, 60);
-  for (int i = 0; i < NODES; i++) { /* one after the other */
+  for (int i = 0; i < NODES; i++) { /* one at a time */
     world_drain(w, i);
     world_advance(w, 10);
   }
@@ -136,7 +139,7 @@
   return out;
 }
 
-static void add(Result *all, const Result *x) {
+static void add_result(Result *all, const Result *x) {
   WorldTotals *a = &all->sums;
   const WorldTotals *b = &x->sums;
   all->total += x->total;
@@ -153,9 +156,9 @@
 
 /* == baselines == */
 
-/* Equal static split: each instance has an eighth of each budget. A killed
-   instance's share is lost, since nobody knows what it had spent. */
-static Result static_split(const Shape *s, bool faults) {
+/* Equal static split: each instance has an eighth of each budget. The share of
+   a killed instance is lost, since no one knows what it had spent. */
+static Result run_static_split(const Shape *s, bool faults) {
   GRand *r = g_rand_new_with_seed(42);
   int64_t left[NODES][CUSTOMERS], all[CUSTOMERS];
   bool dead[NODES] = {false};
@@ -171,7 +174,7 @@
       out.stranded += left[1][c];
       left[1][c] = 0;
     }
-    int n = (int)(s->rate * STEP_S);
+    int n = (int)(s->requests_per_s * STEP_S);
     for (int i = 0; i < n; i++) {
       int node = pick_node(r, dead);
       WorldRequest q = draw_request(s, r, node);
@@ -194,9 +197,9 @@
   return out;
 }
 
-/* A conditional write of the store for each reservation and settlement: always
-   right, and refused whenever the store can't be reached. */
-static Result write_each(const Shape *s, bool faults) {
+/* One conditional write of the store per reservation and settlement: always
+   exact, but requests are refused whenever the store is unreachable. */
+static Result run_write_each(const Shape *s, bool faults) {
   GRand *r = g_rand_new_with_seed(42);
   int64_t all[CUSTOMERS];
   bool dead[NODES] = {false};
@@ -207,7 +210,7 @@
   }
   for (int step = 0; step * STEP_S < RUN_S; step++) {
     double t = step * STEP_S;
-    int n = (int)(s->rate * STEP_S);
+    int n = (int)(s->requests_per_s * STEP_S);
     for (int i = 0; i < n; i++) {
       int node = pick_node(r, dead);
       WorldRequest q = draw_request(s, r, node);
@@ -233,10 +236,10 @@
   return out;
 }
 
-/* == printing == */
+/* == output == */
 
-static void print(const Shape *s, bool faults, const char *how, int runs,
-                  const Result *x) {
+static void print_result(const Shape *s, bool faults, const char *how, int runs,
+                         const Result *x) {
   double n = (double)(x->sums.done + x->sums.false_refusals);
   printf("{\"bench\":\"budget\",\"shape\":\"%s\",\"faults\":%s,\"ledger\":"
          "\"%s\",\"requests\":%" G_GINT64_FORMAT ",\"done\":%" G_GINT64_FORMAT
@@ -257,16 +260,16 @@
 int main(void) {
   for (size_t i = 0; i < G_N_ELEMENTS(shapes); i++) {
     for (int faults = 0; faults <= 1; faults++) {
-      Result ours = {0};
-      for (uint32_t seed = 0; seed < SEEDS; seed++) {
-        Result one = run(&shapes[i], faults, seed);
-        add(&ours, &one);
+      Result ledger = {0};
+      for (uint32_t seed = 0; seed < LEDGER_RUNS; seed++) {
+        Result one = run_ledger(&shapes[i], faults, seed);
+        add_result(&ledger, &one);
       }
-      Result split = static_split(&shapes[i], faults);
-      Result each = write_each(&shapes[i], faults);
-      print(&shapes[i], faults, "ours", SEEDS, &ours);
-      print(&shapes[i], faults, "static split", 1, &split);
-      print(&shapes[i], faults, "write each", 1, &each);
+      Result split = run_static_split(&shapes[i], faults);
+      Result each = run_write_each(&shapes[i], faults);
+      print_result(&shapes[i], faults, "ours", LEDGER_RUNS, &ledger);
+      print_result(&shapes[i], faults, "static split", 1, &split);
+      print_result(&shapes[i], faults, "write each", 1, &each);
     }
   }
   return 0;
--- a/bench/claims.c
+++ b/bench/claims.c
@@ -1,5 +1,6 @@
-/* claims.c: what a home of claims costs: `n` claims of one shard at the rate of
-   the target size, with their outcomes, against a store in memory. */
+/* claims.c: the cost of a home of claims, the instance that stores which
+   once-only keys are taken: `n` claims of one shard with their outcomes, at the
+   rate of the fleet's target size, with an in-memory store. */
 #include <glib.h>
 #include <stdio.h>
 #include <string.h>
@@ -7,7 +8,7 @@
 #include "bench/slopes.h"
 #include "once/once.h"
 
-#define RATE 8.125 /* claims a second of one of 32 shards */
+#define CLAIMS_PER_S 8.125 /* of one of 32 shards */
 #define TICK_S 0.1
 
 typedef struct Object {
@@ -15,21 +16,21 @@
   uint64_t version;
 } Object;
 
-typedef struct Shop {
+typedef struct HomeBench {
   Once *home;
   double now;
   GHashTable *objects;
-  double put_bytes, get_bytes, waited;
+  double put_bytes, get_bytes, total_wait_s;
   int puts, gets, deletes;
-  double *came; /* by handle */
-} Shop;
+  double *started_at; /* seconds, by handle */
+} HomeBench;
 
 static void object_free(gpointer p) {
   g_free(((Object *)p)->text);
   g_free(p);
 }
 
-static void put(Shop *s, const OnceAction *a) {
+static void store_put(HomeBench *s, const OnceAction *a) {
   Object *o = g_hash_table_lookup(s->objects, a->name);
   g_assert((o ? o->version : 0) == a->version);
   if (!o) {
@@ -43,7 +44,7 @@
   once_stored(s->home, s->now, a->shard, a->part, ERR_NONE, ++o->version, NULL);
 }
 
-static void get(Shop *s, const OnceAction *a) {
+static void store_get(HomeBench *s, const OnceAction *a) {
   const Object *o = g_hash_table_lookup(s->objects, a->name);
   s->gets++;
   if (o) s->get_bytes += (double)strlen(o->text);
@@ -52,23 +53,23 @@
               o ? o->text : NULL);
 }
 
-static void finish(Shop *s, const OnceAction *a) {
+static void finish(HomeBench *s, const OnceAction *a) {
   static char body[300];
   memset(body, 'x', sizeof body - 1);
   OnceBill bill = {.customer = "customer-0001", .budget = "customer-0001/x"};
   OnceAnswer answer = {
       .status = 201, .type = "application/json", .body = body, .len = 299};
   g_assert(a->verdict == ONCE_RUN);
-  s->waited += s->now - s->came[a->handle];
+  s->total_wait_s += s->now - s->started_at[a->handle];
   once_finish(s->home, s->now, a->handle, &bill, &answer);
 }
 
-static void act(Shop *s) {
+static void run_actions(HomeBench *s) {
   OnceAction a;
   while (once_next(s->home, &a)) {
     switch (a.what) {
-    case ONCE_DO_PUT: put(s, &a); break;
-    case ONCE_DO_GET: get(s, &a); break;
+    case ONCE_DO_PUT: store_put(s, &a); break;
+    case ONCE_DO_GET: store_get(s, &a); break;
     case ONCE_DO_DELETE:
       s->deletes++;
       g_hash_table_remove(s->objects, a.name);
@@ -81,20 +82,21 @@
   }
 }
 
-static OnceKey key_of(int i) {
+static OnceKey key_in_shard(int i) {
   char text[32];
   snprintf(text, sizeof text, "key-%d", i);
   OnceKey k = once_key("c", text);
-  k.lo = k.lo / LIMIT_CLAIM_SHARDS * LIMIT_CLAIM_SHARDS; /* of one shard */
+  /* Keys whose low half is a multiple of the shard count share a shard. */
+  k.lo = k.lo / LIMIT_CLAIM_SHARDS * LIMIT_CLAIM_SHARDS;
   return k;
 }
 
-static Shop *shop_new(void) {
-  Shop *s = g_new0(Shop, 1);
-  View *v = slopes_view(350); /* the rate of writes is a large fleet's */
+static HomeBench *home_bench_new(void) {
+  HomeBench *s = g_new0(HomeBench, 1);
+  View *v = slopes_view(350); /* for the write rate of a large fleet */
   s->now = 1;
   s->home = once_new(v->list[0].id, v->list[0].region, 1);
-  /* We are asked as if we were the home: nobody else is there to answer. */
+  /* All others are leaving, so this instance is the home of every shard. */
   for (int i = 0; i < v->n; i++) v->list[i].leaving = i > 0;
   once_view(s->home, s->now, v);
   view_free(v);
@@ -103,24 +105,27 @@
   return s;
 }
 
-static void book(Shop *s, int n) {
+static void run_claims(HomeBench *s, int n) {
   int i = 0;
-  double rest = 0;
+  double claims_due = 0;
   while (i < n) {
-    for (rest += RATE * TICK_S; rest >= 1 && i < n; rest--) {
-      s->came[i + 1] = s->now;
-      once_begin(s->home, s->now, (uint64_t)i + 1, key_of(i), 1, false, false);
+    for (claims_due += CLAIMS_PER_S * TICK_S; claims_due >= 1 && i < n;
+         claims_due--) {
+      s->started_at[i + 1] = s->now;
+      once_begin(s->home, s->now, (uint64_t)i + 1, key_in_shard(i), 1, false,
+                 false);
       i++;
-      act(s);
+      run_actions(s);
     }
     s->now += TICK_S;
     once_tick(s->home, s->now, 1700000000 + (int64_t)s->now);
-    act(s);
+    run_actions(s);
   }
 }
 
-/* A new home reads the head and all parts before its first verdict. */
-static void take_over(Shop *s, int n) {
+/* Measures a new home, which reads the head and all parts before its first
+   verdict. */
+static void measure_takeover(HomeBench *s, int n) {
   View *v = slopes_view(1);
   once_free(s->home);
   s->home = once_new(v->list[0].id, v->list[0].region, 2);
@@ -128,30 +133,31 @@
   view_free(v);
   s->gets = 0;
   s->get_bytes = 0;
-  double h0 = slopes_heap(), t = slopes_ns();
-  s->came[0] = s->now;
-  once_begin(s->home, s->now, 0, key_of(n), 1, false, false);
-  act(s);
-  slopes_out("claim takeover reads", n, s->gets);
-  slopes_out("claim takeover bytes a claim", n, s->get_bytes / n);
-  slopes_out("claim memory bytes", n, (slopes_heap() - h0) / n);
-  slopes_out("claim takeover ns a claim", n, (slopes_ns() - t) / n);
+  double heap_start = slopes_heap_bytes(), start_ns = slopes_cpu_ns();
+  s->started_at[0] = s->now;
+  once_begin(s->home, s->now, 0, key_in_shard(n), 1, false, false);
+  run_actions(s);
+  slopes_print("claim takeover reads", n, s->gets);
+  slopes_print("claim takeover bytes a claim", n, s->get_bytes / n);
+  slopes_print("claim memory bytes", n, (slopes_heap_bytes() - heap_start) / n);
+  slopes_print("claim takeover ns a claim", n,
+               (slopes_cpu_ns() - start_ns) / n);
 }
 
-void claims_slopes(int n) {
-  Shop *s = shop_new();
-  s->came = g_new0(double, n + 2);
-  double t = slopes_ns();
-  book(s, n);
-  double seconds = n / RATE;
-  slopes_out("claim ns", n, (slopes_ns() - t) / n);
-  slopes_out("claim store bytes", n, s->put_bytes / n);
-  slopes_out("claim shard writes a 1000 s", n,
-             (s->puts + s->deletes) / seconds * 1000);
-  slopes_out("claim wait ms", n, s->waited / n * 1000);
-  take_over(s, n);
+void claims_measure(int n) {
+  HomeBench *s = home_bench_new();
+  s->started_at = g_new0(double, n + 2);
+  double start_ns = slopes_cpu_ns();
+  run_claims(s, n);
+  double seconds = n / CLAIMS_PER_S;
+  slopes_print("claim ns", n, (slopes_cpu_ns() - start_ns) / n);
+  slopes_print("claim store bytes", n, s->put_bytes / n);
+  slopes_print("claim shard writes a 1000 s", n,
+               (s->puts + s->deletes) / seconds * 1000);
+  slopes_print("claim wait ms", n, s->total_wait_s / n * 1000);
+  measure_takeover(s, n);
   once_free(s->home);
   g_hash_table_destroy(s->objects);
-  g_free(s->came);
+  g_free(s->started_at);
   g_free(s);
 }
--- a/bench/load.c
+++ b/bench/load.c
@@ -1,4 +1,5 @@
-/* load.c: callers with streams; latency of the first token and between tokens.
+/* load.c: runs streaming callers and measures the latency of the first token
+   and the gaps between tokens.
 
    Usage: bench_load IP:PORT KEY MODEL THREADS REQUESTS TOKENS
    Prints one JSON line. */
@@ -20,7 +21,7 @@
 
 static const char *addr, *key, *model;
 static int tokens;
-static atomic_int left;
+static atomic_int requests_left;
 
 static void read_stream(Caller *c, HttpStream *s, double sent) {
   char buf[8192];
@@ -40,7 +41,7 @@
     c->failed++;
 }
 
-static void one(Caller *c) {
+static void run_request(Caller *c) {
   char auth[128], body[256];
   snprintf(auth, sizeof auth, "Bearer %s", key);
   snprintf(body, sizeof body,
@@ -66,12 +67,12 @@
   http_client_free(http);
 }
 
-static void *work(void *arg) {
-  while (atomic_fetch_sub(&left, 1) > 0) one(arg);
+static void *run_caller(void *arg) {
+  while (atomic_fetch_sub(&requests_left, 1) > 0) run_request(arg);
   return NULL;
 }
 
-static int by_value(const void *a, const void *b) {
+static int compare_doubles(const void *a, const void *b) {
   double x = *(const double *)a, y = *(const double *)b;
   return x < y ? -1 : x > y;
 }
@@ -92,7 +93,7 @@
   model = argv[3];
   int n = atoi(argv[4]), requests = atoi(argv[5]);
   tokens = atoi(argv[6]);
-  atomic_store(&left, requests);
+  atomic_store(&requests_left, requests);
   Caller *callers = g_new0(Caller, n);
   GArray *first = g_array_new(FALSE, FALSE, sizeof(double));
   GArray *gaps = g_array_new(FALSE, FALSE, sizeof(double));
@@ -103,7 +104,7 @@
   for (int i = 0; i < n; i++) {
     callers[i].first = g_array_new(FALSE, FALSE, sizeof(double));
     callers[i].gaps = g_array_new(FALSE, FALSE, sizeof(double));
-    pthread_create(&callers[i].thread, &attr, work, &callers[i]);
+    pthread_create(&callers[i].thread, &attr, run_caller, &callers[i]);
   }
   int ok = 0, failed = 0;
   for (int i = 0; i < n; i++) {
@@ -114,8 +115,8 @@
     g_array_append_vals(gaps, callers[i].gaps->data, callers[i].gaps->len);
   }
   double took = clock_now() - start;
-  qsort(first->data, first->len, sizeof(double), by_value);
-  qsort(gaps->data, gaps->len, sizeof(double), by_value);
+  qsort(first->data, first->len, sizeof(double), compare_doubles);
+  qsort(gaps->data, gaps->len, sizeof(double), compare_doubles);
   printf("{\"ok\":%d,\"failed\":%d,\"seconds\":%.2f,\"requests_s\":%.0f,"
          "\"tokens_s\":%.0f,\"first_ms_50\":%.3f,\"first_ms_99\":%.3f,"
          "\"gap_ms_50\":%.3f,\"gap_ms_99\":%.3f}\n",
--- a/bench/members.py
+++ b/bench/members.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""members.py: a fleet of many real instances: how soon all know each other, how
-soon a loss is seen in its region, and what the heartbeats cost.
+"""members.py: measures a fleet of many real instances: the time until all know each
+other, the time until a loss is detected in its region, and the cost of heartbeats.
 
 Usage: members.py BUILD_DIR [INSTANCES...]; prints JSON lines, and the slopes that
 bench/capacity.py uses."""
@@ -13,13 +13,13 @@
 sys.argv, ARGS = [sys.argv[0], sys.argv[1]], sys.argv[2:]
 sys.path.insert(0, os.path.join(os.path.dirname(os.path.abspath(__file__)), "..",
                                 "tests"))
-import process  # noqa: E402  the fleet of the process tests
+import process  # noqa: E402  (provides Fleet)
 
 REGIONS = 7
 SIZES = (24, 70, 140, 210)
 
 
-def known(f, port):
+def known_members(f, port):
     return {m["id"].split(".")[0] for m in f.admin(port, "instances").json()}
 
 
@@ -35,12 +35,12 @@
 
 
 def measure(n):
-    """One fleet of n; its figures."""
+    """Runs one fleet of n instances; returns its measurements."""
     start = time.monotonic()
     f = process.Fleet(engines=1, instances=n, regions=REGIONS, ready=False)
     try:
         process.wait_for("all to know all", lambda: all(
-            len(known(f, p)) == n for p in f.ports), 120)
+            len(known_members(f, p)) == n for p in f.ports), 120)
         joined = time.monotonic() - start
         procs = [f.procs["i%d" % i] for i in range(n)]
         cpu, t = [cpu_s(p.pid) for p in procs], time.monotonic()
@@ -51,10 +51,10 @@
         rate = [(f.metric(p, "peer_bytes_out_total") - b) / dt
                 for p, b in zip(f.ports, sent)]
         f.kill("i0")
-        t, near = time.monotonic(), [p for i, p in enumerate(f.ports)
-                                     if i and i % REGIONS == 0]
+        t, same_region_ports = time.monotonic(), [
+            p for i, p in enumerate(f.ports) if i and i % REGIONS == 0]
         process.wait_for("the loss to be seen", lambda: all(
-            "i0" not in known(f, p) for p in near), 120)
+            "i0" not in known_members(f, p) for p in same_region_ports), 120)
         return {
             "bench": "members", "instances": n, "regions": REGIONS,
             "known_to_all_s": round(joined, 1),
@@ -67,7 +67,7 @@
         f.close()
 
 
-def slope(name, n, value):
+def print_slope(name, n, value):
     print(json.dumps({"slope": name, "n": n, "value": round(value, 1)}))
 
 
@@ -76,9 +76,9 @@
     for n in map(int, ARGS or SIZES):
         got = measure(n)
         print(json.dumps(got))
-        slope("idle instance core ppm", n, got["core_percent_median"] * 1e4)
+        print_slope("idle instance core ppm", n, got["core_percent_median"] * 1e4)
         if base:
-            slope("peer link bytes", n, 1e6 * (
+            print_slope("peer link bytes", n, 1e6 * (
                 got["rss_mb_median"] - base["rss_mb_median"])
                 / (n - base["instances"]))
         base = base or got
--- a/bench/run.sh
+++ b/bench/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# run.sh: every measurement; prints JSON lines and rewrites the measured part of
+# run.sh: runs all benchmarks, prints JSON lines and rewrites the measured part of
 # docs/CAPACITY.md. Usage: bench/run.sh BUILD_DIR
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -1,6 +1,6 @@
-/* slopes.c: what one more of each thing costs, measured at three sizes, so that
-   a slope is a slope. Prints one JSON line a measurement; bench/capacity.py
-   makes docs/CAPACITY.md of them. */
+/* slopes.c: the marginal cost of each kind of item, measured at three sizes to
+   show whether it is linear. Prints one JSON line per measurement;
+   bench/capacity.py computes docs/CAPACITY.md from them. */
 #include <glib.h>
 #include <malloc.h>
 #include <stdio.h>
@@ -21,21 +21,21 @@
 #include "route/route.h"
 #include "table/table.h"
 
-double slopes_ns(void) {
+double slopes_cpu_ns(void) {
   struct timespec t;
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &t);
   return (double)t.tv_sec * 1e9 + (double)t.tv_nsec;
 }
 
-double slopes_heap(void) {
+double slopes_heap_bytes(void) {
   return (double)mallinfo2().uordblks;
 }
 
-void slopes_out(const char *what, int n, double value) {
+void slopes_print(const char *what, int n, double value) {
   printf("{\"slope\":\"%s\",\"n\":%d,\"value\":%.1f}\n", what, n, value);
 }
 
-static void drop_ledger(Ledger *l) {
+static void discard_ledger_actions(Ledger *l) {
   LedgerAction a;
   while (ledger_next(l, &a)) g_free(a.text);
 }
@@ -57,7 +57,7 @@
 
 /* == ledger == */
 
-static LedgerBudget *rows_of(int n) {
+static LedgerBudget *make_rows(int n) {
   LedgerBudget *rows = g_new0(LedgerBudget, n);
   for (int i = 0; i < n; i++) {
     snprintf(rows[i].name, LIMIT_NAME, "customer-%04d/service-%02d", i / 35,
@@ -69,8 +69,8 @@
   return rows;
 }
 
-/* The same, of shards whose home in region-1 is `self` in the view. */
-static LedgerBudget *rows_at_home(const View *v, const char *self, int n) {
+/* Rows of shards whose home in region-1 is `self` in the view. */
+static LedgerBudget *make_rows_at_home(const View *v, const char *self, int n) {
   LedgerBudget *rows = g_new0(LedgerBudget, n);
   for (int i = 0, k = 0; k < n; i++) {
     char name[LIMIT_NAME], shard[LIMIT_NAME];
@@ -87,7 +87,7 @@
   return rows;
 }
 
-/* Gives a holder an account for each of the first `n` rows. */
+/* Allots to a holder an account for each of the first `n` rows. */
 static void open_accounts(Ledger *l, const LedgerBudget *rows, int n) {
   for (int i = 0; i < n; i++) {
     LedgerMsg m = {
@@ -97,41 +97,44 @@
   }
 }
 
-static void ledger_slopes(int n) {
-  LedgerBudget *rows = rows_of(35000);
+static void measure_ledger(int n) {
+  LedgerBudget *rows = make_rows(35000);
   View *v = slopes_view(350);
-  double h0 = slopes_heap();
+  double heap_start = slopes_heap_bytes();
   Ledger *l = ledger_new("instance-001.0123abcd", "region-1", 1);
   ledger_view(l, 1, v);
   ledger_budgets(l, 1, rows, n);
-  drop_ledger(l);
-  double h1 = slopes_heap();
-  slopes_out("ledger row bytes", n, (h1 - h0) / n);
+  discard_ledger_actions(l);
+  double heap_with_rows = slopes_heap_bytes();
+  slopes_print("ledger row bytes", n, (heap_with_rows - heap_start) / n);
   open_accounts(l, rows, n);
-  double h2 = slopes_heap();
-  slopes_out("ledger account bytes", n, (h2 - h1) / n);
+  double heap_with_accounts = slopes_heap_bytes();
+  slopes_print("ledger account bytes", n,
+               (heap_with_accounts - heap_with_rows) / n);
   const int ops = 200000;
-  double t = slopes_ns();
+  double start_ns = slopes_cpu_ns();
   for (int i = 0; i < ops; i++) {
     uint64_t handle = (uint64_t)i + 1;
     ledger_reserve(l, 1, handle, rows[i % n].name, 10);
     ledger_settle(l, 1, handle, 1);
-    drop_ledger(l);
+    discard_ledger_actions(l);
   }
-  slopes_out("ledger reserve and settle ns", n, (slopes_ns() - t) / ops);
-  t = slopes_ns();
+  slopes_print("ledger reserve and settle ns", n,
+               (slopes_cpu_ns() - start_ns) / ops);
+  start_ns = slopes_cpu_ns();
   for (int i = 0; i < 20; i++) {
     ledger_tick(l, 2 + i * 0.1, 1);
-    drop_ledger(l);
+    discard_ledger_actions(l);
   }
-  slopes_out("ledger tick ns an account", n, (slopes_ns() - t) / 20 / n);
+  slopes_print("ledger tick ns an account", n,
+               (slopes_cpu_ns() - start_ns) / 20 / n);
   ledger_free(l);
   view_free(v);
   g_free(rows);
 }
 
-/* The store and the witnesses answer until nothing is left to ask. */
-static void serve_home(Ledger *l) {
+/* Plays the store and the witnesses until the home has no more actions. */
+static void answer_home(Ledger *l) {
   LedgerAction a;
   while (ledger_next(l, &a)) {
     if (a.what == LEDGER_DO_GET)
@@ -139,56 +142,58 @@
     if (a.what == LEDGER_DO_PUT)
       ledger_stored(l, 1, a.shard, ERR_NONE, a.version + 1, NULL);
     if (a.what == LEDGER_DO_SEND && a.msg.kind == LEDGER_RAISE) {
-      LedgerMsg yes = a.msg;
-      yes.kind = LEDGER_RAISED;
-      ledger_receive(l, 1, a.to, &yes);
+      LedgerMsg agreement = a.msg;
+      agreement.kind = LEDGER_RAISED;
+      ledger_receive(l, 1, a.to, &agreement);
     }
     g_free(a.text);
   }
 }
 
-/* A home with `n` grants given out by draws of one holder each. */
-static void home_slopes(int n) {
+/* A home with `n` grants, each drawn on by one holder. */
+static void measure_home(int n) {
   View *v = slopes_view(350);
-  LedgerBudget *rows = rows_at_home(v, "instance-001.0123abcd", n);
+  LedgerBudget *rows = make_rows_at_home(v, "instance-001.0123abcd", n);
   Ledger *l = ledger_new("instance-001.0123abcd", "region-1", 1);
   ledger_view(l, 1, v);
   ledger_budgets(l, 1, rows, n);
   ledger_tick(l, 1, 1);
-  serve_home(l);
-  double h0 = slopes_heap(), t = slopes_ns();
+  answer_home(l);
+  double heap_start = slopes_heap_bytes(), start_ns = slopes_cpu_ns();
   for (int i = 0; i < n; i++) {
     LedgerMsg m = {.kind = LEDGER_DRAW, .need = 100, .want = 1000};
     g_strlcpy(m.budget, rows[i].name, sizeof m.budget);
     ledger_receive(l, 1, "instance-015.0123abcd", &m);
   }
-  slopes_out("home draw ns", n, (slopes_ns() - t) / n);
-  slopes_out("home grant bytes", n, (slopes_heap() - h0) / n);
-  serve_home(l);
-  t = slopes_ns();
+  slopes_print("home draw ns", n, (slopes_cpu_ns() - start_ns) / n);
+  slopes_print("home grant bytes", n, (slopes_heap_bytes() - heap_start) / n);
+  answer_home(l);
+  start_ns = slopes_cpu_ns();
   for (int i = 0; i < 20; i++) {
     ledger_tick(l, 2 + i * 0.1, 1);
-    drop_ledger(l);
+    discard_ledger_actions(l);
   }
-  slopes_out("home tick ns a grant", n, (slopes_ns() - t) / 20 / n);
+  slopes_print("home tick ns a grant", n,
+               (slopes_cpu_ns() - start_ns) / 20 / n);
   ledger_free(l);
   view_free(v);
   g_free(rows);
 }
 
-static void witness_slopes(int n) {
+static void measure_witness(int n) {
   Ledger *l = ledger_new("instance-001.0123abcd", "region-1", 1);
-  double h0 = slopes_heap();
+  double heap_start = slopes_heap_bytes();
   for (int i = 0; i < n; i++) {
     LedgerMsg m = {.kind = LEDGER_RAISE, .grant = (uint64_t)i + 1, .limit = 9};
     ledger_receive(l, 1, "x.1", &m);
-    drop_ledger(l);
+    discard_ledger_actions(l);
   }
-  slopes_out("witness entry bytes", n, (slopes_heap() - h0) / n);
+  slopes_print("witness entry bytes", n,
+               (slopes_heap_bytes() - heap_start) / n);
   ledger_free(l);
 }
 
-static void shard_slopes(int n) {
+static void measure_shard(int n) {
   for (int grants = 0; grants <= 7; grants += 7) {
     Shard *s = shard_new();
     for (int i = 0; i < n; i++) {
@@ -204,36 +209,37 @@
         g->spent = 12345678;
       }
     }
-    double t = slopes_ns();
+    double start_ns = slopes_cpu_ns();
     char *text = shard_encode(s);
-    Shard *again = shard_decode(text);
-    slopes_out(grants ? "shard code ns a budget"
-                      : "shard code ns an idle budget",
-               n, (slopes_ns() - t) / n);
-    slopes_out(grants ? "shard bytes a budget" : "shard bytes an idle budget",
-               n, (double)strlen(text) / n);
+    Shard *decoded = shard_decode(text);
+    slopes_print(grants ? "shard code ns a budget"
+                        : "shard code ns an idle budget",
+                 n, (slopes_cpu_ns() - start_ns) / n);
+    slopes_print(grants ? "shard bytes a budget" : "shard bytes an idle budget",
+                 n, (double)strlen(text) / n);
     g_free(text);
     shard_free(s);
-    shard_free(again);
+    shard_free(decoded);
   }
 }
 
 /* == members == */
 
-static void member_slopes(int n) {
+static void measure_members(int n) {
   View *v = slopes_view(n);
-  double h0 = slopes_heap();
+  double heap_start = slopes_heap_bytes();
   MemberSet *s = member_new(&v->list[0]);
   for (int i = 1; i < n; i++) member_heard(s, 1, &v->list[i]);
-  slopes_out("member bytes", n, (slopes_heap() - h0) / n);
-  double t = slopes_ns();
+  slopes_print("member bytes", n, (slopes_heap_bytes() - heap_start) / n);
+  double start_ns = slopes_cpu_ns();
   for (int k = 0; k < 100; k++)
     for (int i = 1; i < n; i++) member_heard(s, 2 + k, &v->list[i]);
-  slopes_out("heartbeat taken ns", n, (slopes_ns() - t) / 100 / n);
+  slopes_print("heartbeat taken ns", n, (slopes_cpu_ns() - start_ns) / 100 / n);
   Ledger *l = ledger_new(v->list[1].id, v->list[1].region, 1);
-  t = slopes_ns();
+  start_ns = slopes_cpu_ns();
   for (int k = 0; k < 20; k++) ledger_view(l, 1, v);
-  slopes_out("view change ns a member", n, (slopes_ns() - t) / 20 / n);
+  slopes_print("view change ns a member", n,
+               (slopes_cpu_ns() - start_ns) / 20 / n);
   ledger_free(l);
   member_free(s);
   view_free(v);
@@ -241,33 +247,33 @@
 
 /* == route and queue == */
 
-static void route_slopes(int n) {
+static void measure_route(int n) {
   RouteTarget *list = g_new0(RouteTarget, n);
   for (int i = 0; i < n; i++) {
     snprintf(list[i].name, LIMIT_NAME, "target-%04d", i);
     list[i].slots = 1 << 20;
   }
   Route *r = route_new(1, ROUTE_OURS);
-  double h0 = slopes_heap();
+  double heap_start = slopes_heap_bytes();
   route_targets(r, list, n);
-  slopes_out("target bytes", n, (slopes_heap() - h0) / n);
+  slopes_print("target bytes", n, (slopes_heap_bytes() - heap_start) / n);
   char prompt[4096];
   memset(prompt, 'x', sizeof prompt);
   RouteAsk ask = {.tokens = 1024};
   ask.n = route_blocks(prompt, sizeof prompt, ask.blocks);
-  double t = slopes_ns();
+  double start_ns = slopes_cpu_ns();
   const int picks = 20000;
   for (int i = 0; i < picks; i++) {
     RouteChoice c;
     route_pick(r, 1, &ask, &c);
     route_done(r, 1, c.name, ROUTE_OK, 10, 0.01, 1);
   }
-  slopes_out("route decision ns", n, (slopes_ns() - t) / picks);
+  slopes_print("route decision ns", n, (slopes_cpu_ns() - start_ns) / picks);
   route_free(r);
   g_free(list);
 }
 
-static void queue_slopes(int n) {
+static void measure_queue(int n) {
   Queue *q = queue_new();
   int retry;
   for (int i = 0; i < n; i++) {
@@ -279,7 +285,7 @@
                    .wait_s = 1e9};
     queue_push(q, 0, &x, 1e9, &retry);
   }
-  double t = slopes_ns();
+  double start_ns = slopes_cpu_ns();
   for (int i = 0; i < 2000; i++) {
     QueueItem x = {.handle = (uint64_t)(n + i) + 1,
                    .customer = "c",
@@ -292,13 +298,13 @@
     queue_pop(q, 0, 1, 1e9, &o);
     queue_done(q, &x, 1);
   }
-  slopes_out("queue push and pop ns", n, (slopes_ns() - t) / 2000);
+  slopes_print("queue push and pop ns", n, (slopes_cpu_ns() - start_ns) / 2000);
   queue_free(q);
 }
 
 /* == placement == */
 
-static void place_slopes(int n) {
+static void measure_placement(int n) {
   Place *p = place_new();
   PlaceTarget *targets = g_new0(PlaceTarget, n);
   PlaceWant wants[5] = {0};
@@ -316,10 +322,11 @@
   place_home(p, true);
   char *plan = NULL;
   uint64_t version = 0;
-  double t = 0;
-  for (int look = 0; look < n + 200; look++) {
-    if (look == n) t = slopes_ns(); /* all are placed by then */
-    place_look(p, look, targets, n, wants, 5);
+  double start_ns = 0;
+  for (int visit = 0; visit < n + 200; visit++) {
+    if (visit == n)
+      start_ns = slopes_cpu_ns(); /* all adapters are placed by then */
+    place_look(p, visit, targets, n, wants, 5);
     while (place_next(p, &a)) {
       if (a.what == PLACE_DO_PUT) {
         g_free(plan);
@@ -327,60 +334,64 @@
         version++;
       }
       if (a.what == PLACE_DO_ORDER)
-        place_ordered(p, look, a.target, a.version, a.adapters, PLACE_DONE);
+        place_ordered(p, visit, a.target, a.version, a.adapters, PLACE_DONE);
       else
-        place_stored(p, look, a.seq, plan ? ERR_NONE : ERR_STORE_ABSENT,
+        place_stored(p, visit, a.seq, plan ? ERR_NONE : ERR_STORE_ABSENT,
                      version, plan);
     }
   }
-  slopes_out("place look ns a target", n, (slopes_ns() - t) / 200 / n);
+  slopes_print("place look ns a target", n,
+               (slopes_cpu_ns() - start_ns) / 200 / n);
   place_free(p);
   g_free(targets);
   g_free(plan);
 }
 
-static void view_slopes(int n) {
+static void measure_view_home(int n) {
   View *v = slopes_view(n);
   const Member *m = NULL;
-  double t = slopes_ns();
+  double start_ns = slopes_cpu_ns();
   for (uint64_t k = 0; k < 1000; k++) m = view_home(v, NULL, k, 0);
   g_assert(m);
-  slopes_out("view home ns a member", n, (slopes_ns() - t) / 1000 / n);
+  slopes_print("view home ns a member", n,
+               (slopes_cpu_ns() - start_ns) / 1000 / n);
   view_free(v);
 }
 
 /* == records == */
 
-static void drop_once(Once *o) {
+static void discard_once_actions(Once *o) {
   OnceAction a;
   while (once_next(o, &a)) once_action_clear(&a);
 }
 
-static void once_slopes(int n) {
+static void measure_records(int n) {
   View *v = slopes_view(1);
   Once *o = once_new("instance-000.0123abcd", "region-0", 1);
   once_view(o, 1, v);
   OnceBill bill = {
       .customer = "customer-0001", .budget = "customer-0001/x", .tokens = 100};
   OnceAnswer none = {.status = 200};
-  double h0 = slopes_heap(), t = slopes_ns();
+  double heap_start = slopes_heap_bytes(), start_ns = slopes_cpu_ns();
   for (int i = 0; i < n; i++) {
     char key[32];
     snprintf(key, sizeof key, "key-%d", i);
     uint64_t handle = (uint64_t)i + 1;
     once_begin(o, 1, handle, once_key("c", key), 1, true, true);
     once_finish(o, 1, handle, &bill, &none);
-    drop_once(o);
+    discard_once_actions(o);
   }
-  slopes_out("record begin and finish ns", n, (slopes_ns() - t) / n);
-  slopes_out("record and owed bill bytes", n, (slopes_heap() - h0) / n);
+  slopes_print("record begin and finish ns", n,
+               (slopes_cpu_ns() - start_ns) / n);
+  slopes_print("record and owed bill bytes", n,
+               (slopes_heap_bytes() - heap_start) / n);
   once_free(o);
   view_free(v);
 }
 
 /* == table == */
 
-static void table_slopes(int n) {
+static void measure_table(int n) {
   GString *csv = g_string_new("kind,name,key,tokens,reserve\n");
   for (int i = 0; i < n / 35 + 1; i++)
     g_string_append_printf(csv, "customer,customer-%04d,%064d,,\n", i, i);
@@ -390,24 +401,24 @@
   for (int i = 0; i < 35; i++)
     g_string_append_printf(csv, "service,s%02d,,,\n", i);
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
-  double h0 = slopes_heap(), t = slopes_ns();
+  double heap_start = slopes_heap_bytes(), start_ns = slopes_cpu_ns();
   Table *table = table_parse(csv->str, errors, NULL);
   g_assert(table);
-  slopes_out("table parse ns a row", n, (slopes_ns() - t) / n);
-  slopes_out("table row bytes", n, (slopes_heap() - h0) / n);
+  slopes_print("table parse ns a row", n, (slopes_cpu_ns() - start_ns) / n);
+  slopes_print("table row bytes", n, (slopes_heap_bytes() - heap_start) / n);
   size_t bytes = 0;
   for (int i = 0; i < 4; i++) {
     char *part = table_encode_part(table, i);
     bytes += strlen(part);
     g_free(part);
   }
-  slopes_out("table part bytes", n, (double)bytes / 4);
-  t = slopes_ns();
+  slopes_print("table part bytes", n, (double)bytes / 4);
+  start_ns = slopes_cpu_ns();
   Table *next = table_new();
   for (guint i = 0; i < table->order->len; i++)
     table_share(next, table->order->pdata[i]);
   table_sort(next);
-  slopes_out("table share ns a row", n, (slopes_ns() - t) / n);
+  slopes_print("table share ns a row", n, (slopes_cpu_ns() - start_ns) / n);
   table_free(next);
   table_free(table);
   g_string_free(csv, TRUE);
@@ -416,20 +427,20 @@
 
 /* == messages and log == */
 
-static void size_of(const char *what, msgpack_sbuffer *b) {
-  slopes_out(what, 1, (double)b->size);
+static void print_size(const char *what, msgpack_sbuffer *b) {
+  slopes_print(what, 1, (double)b->size);
   msgpack_sbuffer_clear(b);
 }
 
-static void message_sizes(void) {
+static void measure_message_sizes(void) {
   msgpack_sbuffer b;
   msgpack_sbuffer_init(&b);
   CodecHead head = {UINT64_MAX, UINT64_MAX};
   codec_put_head(&b, &head);
-  size_of("frame head bytes", &b);
+  print_size("frame head bytes", &b);
   View *v = slopes_view(1);
   codec_put_beat(&b, &v->list[0]);
-  size_of("heartbeat bytes", &b);
+  print_size("heartbeat bytes", &b);
   view_free(v);
   LedgerMsg l = {.kind = LEDGER_REPORT,
                  .budget = "customer-0001/service-01",
@@ -438,7 +449,7 @@
                  .returned = 1234567,
                  .spent = 12345678};
   codec_put_ledger(&b, &l);
-  size_of("ledger message bytes", &b);
+  print_size("ledger message bytes", &b);
   OnceMsg o = {.kind = ONCE_FINISH,
                .key = {UINT64_MAX, UINT64_MAX},
                .nonce = UINT64_MAX,
@@ -447,11 +458,11 @@
                         .budget = "customer-0001/service-01",
                         .tokens = 500}};
   codec_put_once(&b, &o);
-  size_of("finish bytes", &b);
+  print_size("finish bytes", &b);
   o.kind = ONCE_FINISHED;
   o.digest = 0;
   codec_put_once(&b, &o);
-  size_of("other record message bytes", &b);
+  print_size("other record message bytes", &b);
   static char body[300];
   memset(body, 'x', sizeof body - 1);
   o.kind = ONCE_OUTCOME;
@@ -459,13 +470,13 @@
   o.answer = (OnceAnswer){
       .status = 201, .type = "application/json", .body = body, .len = 299};
   codec_put_once(&b, &o);
-  size_of("claim outcome bytes", &b);
+  print_size("claim outcome bytes", &b);
   msgpack_sbuffer_destroy(&b);
 }
 
-/* A batch of one node at the target size: its requests of 87 s, budgets as even
-   as can be, so that few share their names. */
-static void bill_size(int n) {
+/* A batch of one node at the fleet's target size: its requests of 87 s, spread
+   evenly over the budgets, so that few lines share a name. */
+static void measure_bill_line(int n) {
   BillItem *items = g_new0(BillItem, n);
   char(*names)[64] = g_malloc((gsize)n * 64);
   for (int i = 0; i < n; i++) {
@@ -474,21 +485,21 @@
                           names[i], 500, 1700000000 + i % 87};
   }
   char *text = bill_text(items, n);
-  slopes_out("bill line bytes", n, (double)strlen(text) / n);
+  slopes_print("bill line bytes", n, (double)strlen(text) / n);
   g_free(text);
   g_free(names);
   g_free(items);
 }
 
-static void log_cost(void) {
+static void measure_log_line(void) {
   const int n = 20000;
   log_open("instance", false);
-  double t = slopes_ns();
+  double start_ns = slopes_cpu_ns();
   for (int i = 0; i < n; i++)
     log_info("route", "s:s,s:s,s:s,s:f,s:f,s:f", "request", "req-0123456789",
              "customer", "customer-0001", "target", "target-1", "path", 0.001,
              "prefill", 0.01, "wait", 0.0);
-  slopes_out("log line ns", n, (slopes_ns() - t) / n);
+  slopes_print("log line ns", n, (slopes_cpu_ns() - start_ns) / n);
 }
 
 int main(void) {
@@ -497,23 +508,23 @@
   static const int targets[] = {8, 64, 400};
   static const int queued[] = {64, 192, 512};
   for (int i = 0; i < 3; i++) {
-    ledger_slopes(budgets[i]);
-    home_slopes(budgets[i]);
-    witness_slopes(budgets[i]);
-    shard_slopes(budgets[i] / 20);
-    member_slopes(members[i]);
-    route_slopes(targets[i]);
-    queue_slopes(queued[i]);
-    place_slopes(targets[i]);
-    view_slopes(members[i]);
-    once_slopes(budgets[i]);
-    claims_slopes(budgets[i]);
-    table_slopes(budgets[i]);
+    measure_ledger(budgets[i]);
+    measure_home(budgets[i]);
+    measure_witness(budgets[i]);
+    measure_shard(budgets[i] / 20);
+    measure_members(members[i]);
+    measure_route(targets[i]);
+    measure_queue(queued[i]);
+    measure_placement(targets[i]);
+    measure_view_home(members[i]);
+    measure_records(budgets[i]);
+    claims_measure(budgets[i]);
+    measure_table(budgets[i]);
   }
-  bill_size(500);
-  bill_size(1600);
-  bill_size(4000);
-  message_sizes();
-  log_cost();
+  measure_bill_line(500);
+  measure_bill_line(1600);
+  measure_bill_line(4000);
+  measure_message_sizes();
+  measure_log_line();
   return 0;
 }
