--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# deploy/build.sh: builds what runs on the users' machines, into target/.
+# deploy/build.sh: builds the production program into target/.
 set -eu
 [ -f target/build.ninja ] || meson setup target --buildtype=release \
   -Ddebug=true -Dtests=false
