--- a/scenario/last_tokens.lua
+++ b/scenario/last_tokens.lua
@@ -22,7 +22,7 @@
   if got == "refused" then
     refused_at = tokens().consumed
     local _, cause = outcome(q)
-    print("refused as " .. cause .. " with " .. tokens().free .. " free and " .. tokens().held .. " held, of these spent " .. tokens().spent)
+    print("refused as " .. cause .. " with " .. tokens().free .. " free and " .. tokens().held .. " held; spent " .. tokens().spent)
     break
   end
 end
--- a/scenario/lost_home.lua
+++ b/scenario/lost_home.lua
@@ -23,7 +23,7 @@
 for i = 1, 4 do drain(n[i]) advance(10) end
 local after = tokens()
 local stranded = 1000000 - after.free - after.consumed
-expect(stranded >= 0, "the budget never grows")
+expect(stranded >= 0, "more tokens than the budget has")
 expect(stranded < 8000, "written off: " .. stranded .. " of a reserve of "
   .. before.held)
 rest()
--- a/scenario/planned_stop.lua
+++ b/scenario/planned_stop.lua
@@ -21,7 +21,7 @@
   load(8)       -- its requests end
   drain(n[i])
   load(40)
-  expect(drained(n[i]), "instance " .. i .. " returned all tokens and records")
+  expect(drained(n[i]), "instance " .. i .. " still holds tokens or records")
   restart(n[i])
   load(20)
   out_of_rotation[i] = nil
