--- a/tests/node.py
+++ b/tests/node.py
@@ -512,7 +512,7 @@
         "/new/x", i=reconnected).status == 200, 2)
     wait_for("the others to take it", lambda: all(
         s.call("/new/x", i=i).status == 200 for i in range(14)), 3)
-    time.sleep(5.0)  # those that read for others must not take over its duty
+    time.sleep(5.0)  # readers for all must not mistake the relayed change for their own
     alone = [i for i in range(14) for l in s.log(i)
              if l["event"] == "reads" and l["duty"] == "own" and l["members"] > 1]
     assert not alone, alone
