--- a/fakes/fake.c
+++ b/fakes/fake.c
@@ -6,12 +6,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_BODY (8 << 20)
-#define MAX_HEADER (32 << 10)
-#define IDLE_S 60
-#define STACK (128 << 10)
+#define MAX_BODY_BYTES (8 << 20)
+#define MAX_HEADER_BYTES (32 << 10)
+#define IDLE_TIMEOUT_S 60
+#define STACK_BYTES (128 << 10)
 
-struct MHD_Response *fake_reply(int *status, int code, json_t *o) {
+struct MHD_Response *fake_json_response(int *status, int code, json_t *o) {
   char *s = json_dumps(o, JSON_COMPACT);
   *status = code;
   struct MHD_Response *m = http_text_response("application/json", s, strlen(s));
@@ -20,12 +20,12 @@
   return m;
 }
 
-int fake_run(const char *addr, HttpHandler handler, int max_connections) {
-  HttpOptions o = {.max_body_bytes = MAX_BODY,
-                   .max_header_bytes = MAX_HEADER,
+int fake_serve(const char *addr, HttpHandler handler, int max_connections) {
+  HttpOptions o = {.max_body_bytes = MAX_BODY_BYTES,
+                   .max_header_bytes = MAX_HEADER_BYTES,
                    .max_connections = max_connections,
-                   .idle_timeout_s = IDLE_S,
-                   .stack_bytes = STACK};
+                   .idle_timeout_s = IDLE_TIMEOUT_S,
+                   .stack_bytes = STACK_BYTES};
   Err e;
   if (!http_server_start(addr, &o, handler, NULL, NULL, &e)) {
     fprintf(stderr, "%s\n", e.text);
