--- a/packages/fleet/cluster.c
+++ b/packages/fleet/cluster.c
@@ -73,7 +73,7 @@
 typedef struct ShardCall {
   Cluster *cluster;
   int shard;
-  bool put;
+  bool is_write;
 } ShardCall;
 
 static void run_ledger_actions(Cluster *c);
@@ -83,11 +83,11 @@
   Cluster *c = call->cluster;
   StoreObject o = {0};
   char *text = NULL;
-  if (store_parse_object(a, &o) && !call->put && o.content)
+  if (store_parse_object(a, &o) && !call->is_write && o.content)
     text = json_dumps(o.content, JSON_COMPACT);
   if (a->kind != ERR_NONE && a->kind != ERR_STORE_ABSENT)
     log_info("budget-call", "s:i,s:b,s:s", "shard", call->shard, "write",
-             (int)call->put, "outcome", err_info(a->kind)->name);
+             (int)call->is_write, "outcome", err_info(a->kind)->name);
   ledger_store_result(c->ledger, current_time(c), call->shard, a->kind,
                       o.revision, text);
   free(text);
@@ -100,9 +100,9 @@
   ShardCall *call = g_new0(ShardCall, 1);
   call->cluster = c;
   call->shard = a->shard;
-  call->put = a->action == LEDGER_ACTION_PUT;
+  call->is_write = a->action == LEDGER_ACTION_PUT;
   g_snprintf(name, sizeof name, "%03d", a->shard);
-  if (call->put)
+  if (call->is_write)
     store_put(c->store, CALLS_BUDGET, BUDGET_OBJECT_KIND, name, a->version,
               json_loads(a->text, 0, NULL), on_shard_stored, call);
   else
@@ -241,9 +241,9 @@
     if (m->version > c->conf_version) unpack_conf(c, from, m);
     return;
   }
-  const Member *asker = view_find(c->view, from);
-  if (asker && c->conf_version > m->version)
-    peer_send_config(c->peer, asker->peer, asker->id, c->conf_version,
+  const Member *requester = view_find(c->view, from);
+  if (requester && c->conf_version > m->version)
+    peer_send_config(c->peer, requester->peer, requester->id, c->conf_version,
                      pack_conf(c));
 }
 
--- a/packages/fleet/fleet.c
+++ b/packages/fleet/fleet.c
@@ -34,7 +34,7 @@
   MemberSet *members;
   View *view;
   bool view_is_stale;  /* the view has to be rebuilt */
-  double view_made_at; /* when it was last rebuilt */
+  double view_built_at; /* when it was last rebuilt */
   GHashTable *ids;     /* id hash -> id */
   bool leaving;
   uint64_t table_version;
@@ -141,12 +141,12 @@
   f->view_is_stale |=
       member_update_self(f->members, f->leaving, f->table_version);
   f->view_is_stale |= member_tick(f->members, now);
-  if (!f->view_is_stale && now - f->view_made_at < VIEW_REFRESH_INTERVAL_S) {
+  if (!f->view_is_stale && now - f->view_built_at < VIEW_REFRESH_INTERVAL_S) {
     pthread_mutex_unlock(&f->lock);
     return;
   }
   f->view_is_stale = false;
-  f->view_made_at = now;
+  f->view_built_at = now;
   View *v = member_view(f->members, now);
   /* Table versions change far more often than members, and no core uses them.
    */
@@ -163,7 +163,7 @@
   view_free(copy);
 }
 
-static void send_beats(Fleet *f) {
+static void send_due_heartbeats(Fleet *f) {
   GArray *due = g_array_new(FALSE, FALSE, sizeof(MemberHeartbeat));
   pthread_mutex_lock(&f->lock);
   member_collect_heartbeats(f->members, clock_now(), due);
@@ -194,7 +194,7 @@
   double next_tick = 0;
   while (!atomic_load(&f->stop)) {
     double now = clock_now();
-    send_beats(f);
+    send_due_heartbeats(f);
     if (now >= next_tick) {
       tick(f);
       next_tick = now + TICK_INTERVAL_S;
@@ -429,7 +429,7 @@
   member_expedite_heartbeats(f->members);
   pthread_mutex_unlock(&f->lock);
   refresh_view(f);
-  send_beats(f);
+  send_due_heartbeats(f);
   for (int i = 0; i < ALL_LANES; i++) {
     Lane *l = &f->lanes[i];
     pthread_mutex_lock(&l->lock);
--- a/packages/node/feed.h
+++ b/packages/node/feed.h
@@ -23,7 +23,7 @@
   bool (*target_read)(void *ctx, const TargetInfo *t);
   /* A target's entry was removed. `after_outage`: the store was unavailable
      just before. */
-  void (*target_gone)(void *ctx, const char *id, bool after_outage);
+  void (*target_removed)(void *ctx, const char *id, bool after_outage);
   /* The whole list of targets was read; `ids` is the set of their ids. */
   void (*targets_listed)(void *ctx, GHashTable *ids, bool after_outage);
   /* An evacuation began (`on`): the targets of a data centre must get no
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -207,7 +207,7 @@
   return true;
 }
 
-static void on_target_gone(void *ctx, const char *id, bool after_outage) {
+static void on_target_removed(void *ctx, const char *id, bool after_outage) {
   Node *n = ctx;
   targets_remove(n->targets, loopclock_now(n->loop), id, after_outage);
   if (!target_line_is_due(n)) return;
@@ -584,7 +584,7 @@
 
 static bool open_modules(Node *n, Err *e) {
   static const FeedEvents feed_events = {
-      on_conf,           on_target_read,        on_target_gone,
+      on_conf,           on_target_read,        on_target_removed,
       on_targets_listed, on_evacuation_changed, on_evacuations_listed,
       on_trial_changed,  on_trials_listed,      on_reader_duty,
       on_broadcast,      on_discovery_done,     on_send_to,
--- a/packages/node/giving.c
+++ b/packages/node/sharedlist.c
@@ -1,5 +1,5 @@
 /* giving.c: keeps one list at a time: its parts and the updates after it. */
-#include "node/giving.h"
+#include "node/sharedlist.h"
 
 #include <glib.h>
 #include <stdlib.h>
@@ -8,15 +8,15 @@
    and the next request begins a new one. */
 #define UPDATES_MAX_BYTES (256 << 10)
 
-typedef struct Part {
+typedef struct ListPart {
   Packed text;
   bool more;
-} Part;
+} ListPart;
 
-struct Giving {
-  GivingMakePart make_part;
+struct SharedList {
+  SharedListMakePart make_part;
   void *ctx;
-  double made_at;      /* when the list was begun */
+  double list_begun_at;      /* when the list was begun */
   uint64_t revision;   /* of the list; 0: there is none */
   RosterCursor next;   /* where the next part begins */
   GArray *parts;       /* Part */
@@ -24,25 +24,25 @@
   size_t update_bytes; /* total of `updates` */
 };
 
-static void discard_list(Giving *g) {
+static void discard_list(SharedList *g) {
   for (guint i = 0; i < g->parts->len; i++)
-    packed_free(&g_array_index(g->parts, Part, i).text);
+    packed_free(&g_array_index(g->parts, ListPart, i).text);
   g_array_set_size(g->parts, 0);
   g_queue_clear_full(&g->updates, codec_feed_free);
   g->next = (RosterCursor){0};
   g->revision = g->update_bytes = 0;
 }
 
-Giving *giving_new(GivingMakePart part, void *ctx) {
-  Giving *g = g_new0(Giving, 1);
+SharedList *sharedlist_new(SharedListMakePart part, void *ctx) {
+  SharedList *g = g_new0(SharedList, 1);
   g->make_part = part;
   g->ctx = ctx;
-  g->parts = g_array_new(FALSE, FALSE, sizeof(Part));
+  g->parts = g_array_new(FALSE, FALSE, sizeof(ListPart));
   g_queue_init(&g->updates);
   return g;
 }
 
-void giving_free(Giving *g) {
+void sharedlist_free(SharedList *g) {
   discard_list(g);
   g_array_free(g->parts, TRUE);
   g_free(g);
@@ -50,46 +50,46 @@
 
 /* A list that is older than HANDOVER_KEEP_S still serves neighbours that have
    received a part of it. */
-static bool needs_new_list(const Giving *g, double now,
-                           const HandoverRequest *ask) {
+static bool needs_new_list(const SharedList *g, double now,
+                           const HandoverRequest *request) {
   if (g->revision == 0) return true;
-  return ask->part == 0 && now - g->made_at > HANDOVER_LIST_TTL_S;
+  return request->part == 0 && now - g->list_begun_at > HANDOVER_LIST_TTL_S;
 }
 
-static void add_part(Giving *g) {
-  Part part;
+static void add_part(SharedList *g) {
+  ListPart part;
   char *text = g->make_part(g->ctx, &g->next, &part.more);
   part.text = packed_new(text);
   free(text);
   g_array_append_val(g->parts, part);
 }
 
-bool giving_get_part(Giving *g, double now, uint64_t known,
-                     const HandoverRequest *ask, CodecFeed *m) {
-  HandoverRequest wanted = *ask;
-  if (needs_new_list(g, now, ask)) {
+bool sharedlist_get_part(SharedList *g, double now, uint64_t known,
+                     const HandoverRequest *request, CodecFeed *m) {
+  HandoverRequest part_request = *request;
+  if (needs_new_list(g, now, request)) {
     discard_list(g);
-    g->made_at = now;
+    g->list_begun_at = now;
     g->revision = known;
   }
-  if (wanted.part > 0 && wanted.revision != g->revision) wanted.part = 0;
-  if (wanted.part > g->parts->len) return false;
-  if (wanted.part == g->parts->len) {
+  if (part_request.part > 0 && part_request.revision != g->revision) part_request.part = 0;
+  if (part_request.part > g->parts->len) return false;
+  if (part_request.part == g->parts->len) {
     bool list_ended =
-        wanted.part > 0 && !g_array_index(g->parts, Part, wanted.part - 1).more;
+        part_request.part > 0 && !g_array_index(g->parts, ListPart, part_request.part - 1).more;
     if (list_ended) return false;
     add_part(g);
   }
-  const Part *part = &g_array_index(g->parts, Part, wanted.part);
+  const ListPart *part = &g_array_index(g->parts, ListPart, part_request.part);
   *m = (CodecFeed){.kind = CODEC_FEED_PART,
-                   .from = wanted.part,
+                   .from = part_request.part,
                    .revision = g->revision,
                    .lapsed = part->more,
                    .changes = part->text};
   return true;
 }
 
-void giving_add_update(Giving *g, const CodecFeed *m) {
+void sharedlist_add_update(SharedList *g, const CodecFeed *m) {
   if (g->revision == 0 || m->revision <= m->from) return;
   if (g->update_bytes + m->changes.n > UPDATES_MAX_BYTES) {
     discard_list(g);
@@ -99,7 +99,7 @@
   g_queue_push_tail(&g->updates, codec_feed_copy(m));
 }
 
-void giving_each_update(const Giving *g,
+void sharedlist_each_update(const SharedList *g,
                         void (*fn)(void *ctx, const CodecFeed *m), void *ctx) {
   for (GList *i = g->updates.head; i; i = i->next) fn(ctx, i->data);
 }
--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -220,7 +220,7 @@
         i ? "," : "", i % 10 ? "false" : "true", i, i + 1, i);
   g_string_append(text, "],\"at\":4711}");
   json_t *o =
-      salvage_filtered_list(text->str, text->len, &lost, document_trim_member);
+      salvage_filtered_list(text->str, text->len, &lost, document_trim_entry);
   json_t *events = json_object_get(o, "events"), *e;
   size_t i;
   cr_assert(lost == 0 && json_array_size(events) == N);
