--- a/packages/fleet/cluster.c
+++ b/packages/fleet/cluster.c
@@ -1,4 +1,5 @@
-/* cluster.c: passes messages, timer ticks and store answers to the cores. */
+/* cluster.c: passes messages, timer ticks and store answers to the cores, and
+   performs their actions. */
 #include "fleet/cluster.h"
 
 #include <glib.h>
@@ -15,23 +16,31 @@
 
 /* Objects in the platform's store that the router writes. */
 #define BUDGET_OBJECT_KIND "budgets"
-#define TICK_INTERVAL_S 0.05  /* the cores' shortest timeout is 0.06 s */
-#define DISCOVERY_IDLE_S 0.25 /* greetings are resent after 0.2 s */
-#define DISCOVERY_MAX_S 2.5   /* this may be the only instance */
-/* Discovery takes 0.6 to 1.5 s when 7 instances restart at once. */
+/* The cores' shortest timeout is 0.06 s. */
+#define TICK_INTERVAL_S 0.05
+/* Discovery of the other instances ends when the view has not changed for this
+   long. An unanswered message to a seed is resent after 0.2 s. */
+#define DISCOVERY_IDLE_S 0.25
+/* Discovery ends after this time in any case: this may be the only instance. */
+#define DISCOVERY_MAX_S 2.5
+/* Estimated duration, for cluster_ready_in_ms. Discovery takes 0.6 to 1.5 s
+   when 7 instances restart at once. */
 #define DISCOVERY_USUAL_S 1.2
-#define DISCOVERY_OVERTIME_S 0.3 /* the estimate once that has passed */
+/* Minimum estimate of the time left, also once DISCOVERY_USUAL_S has passed. */
+#define DISCOVERY_OVERTIME_S 0.3
 /* Minimum time between two views. While many instances start, membership
    changes with each message, and each new view recomputes the homes. */
 #define VIEW_REFRESH_MIN_INTERVAL_S 0.15
 #define DROP_LOG_INTERVAL_S 1.0 /* between log lines on messages not sent */
 #define SWEEP_INTERVAL_S 1.0    /* between checks for expired counts */
-/* The instance that counts at a target sends its limit to all instances: one
-   target at a time, at intervals that grow with the number of receivers. Each
-   limit is resent for instances that started recently. */
+/* The instance that counts the work at a target sends the target's limit to all
+   instances: one target at a time, at intervals that grow with the number of
+   receivers. It resends each limit for instances that started recently. */
 #define LIMIT_INTERVAL_PER_INSTANCE_S 0.01
 #define LIMIT_RESEND_INTERVAL_S 2.0
-#define CONF_REQUEST_DELAY_S 0.4 /* the store's time to deliver it first */
+/* Delay before this instance requests a newer configuration from another one,
+   and between two requests. The store normally delivers it sooner. */
+#define CONF_REQUEST_DELAY_S 0.4
 
 struct Cluster {
   struct ev_loop *loop;
@@ -49,16 +58,17 @@
   ev_io readable;
   ev_prepare flush;
   ev_timer tick;
-  GHashTable *ids; /* hash of an id -> id */
+  GHashTable *ids; /* text_hash of an id -> id */
   uint64_t next_handle;
   uint64_t conf_version;
   Packed conf_text; /* compressed text of `packed_version` */
   uint64_t packed_version;
-  double conf_stale_since, conf_requested_at; /* lag began; last request */
+  /* When a newer version became known, and the last request for it. */
+  double conf_stale_since, conf_requested_at;
   double started_at, view_changed_at;
   bool is_ready; /* discovery is over; the view may be used */
   bool leaving;
-  ReadersDuty duty;     /* as last logged */
+  ReadersDuty duty;     /* duty to read the store, as last logged */
   int64_t logged_drops; /* count of unsent messages at the last log line */
   double drops_logged_at, swept_at;
   double next_limit_at; /* when the next limit may be sent */
@@ -78,6 +88,7 @@
 
 static void run_ledger_actions(Cluster *c);
 
+/* Handles the answer to a read or a write of a budget shard. */
 static void on_shard_stored(void *ctx, const StoreAnswer *a) {
   ShardCall *call = ctx;
   Cluster *c = call->cluster;
@@ -140,6 +151,7 @@
   }
 }
 
+/* Returns the position of this instance in the order of ids. */
 static int own_rank(const Cluster *c) {
   const char *self = gossip_get_self(c->members)->id;
   int i = 0;
@@ -173,8 +185,8 @@
 /* An instance that has just started knows only itself and would act as the home
    of every budget (the instance that manages its shard in the store). When all
    instances start at once, they would compete for the store: one budget had 46
-   homes. So it waits until it knows others and the view has not changed for
-   DISCOVERY_IDLE_S. */
+   homes. So a new instance waits until it knows others and the view has not
+   changed for DISCOVERY_IDLE_S, or until DISCOVERY_MAX_S. */
 static void check_discovery(Cluster *c) {
   double now = current_time(c);
   bool discovery_idle =
@@ -201,8 +213,8 @@
 
 /* == the operators' configuration among instances == */
 
-/* Requests the configuration from another instance that has had a newer version
-   for CONF_REQUEST_DELAY_S: the store is then unreachable from here. */
+/* Requests the configuration from another instance if a newer version has been
+   known for CONF_REQUEST_DELAY_S: this instance then can't reach the store. */
 static void request_newer_conf(Cluster *c) {
   double now = current_time(c);
   const Member *newer = gossip_find_newer_table(c->members, c->conf_version);
@@ -216,8 +228,8 @@
                    &(Packed){0});
 }
 
-/* Compresses the text once per version: after many instances restart, each may
-   request it. */
+/* Returns the configuration's compressed text, which is made once per version:
+   after many instances restart, each may request it. */
 static const Packed *pack_conf(Cluster *c) {
   if (c->packed_version == c->conf_version) return &c->conf_text;
   packed_free(&c->conf_text);
@@ -236,6 +248,8 @@
   g_free(text);
 }
 
+/* Handles a configuration, or (without a text) a request for one that is newer
+   than the sender's version. */
 static void receive_conf(Cluster *c, const char *from, const CodecConfig *m) {
   if (m->text.size > 0) {
     if (m->version > c->conf_version) unpack_conf(c, from, m);
@@ -249,8 +263,8 @@
 
 /* == updates from readers of the store == */
 
-/* Sends one copy of a message; `until`: end of the range of members that the
-   receiver forwards it to. */
+/* Sends one copy of a message. `until` is the end of the range of members to
+   which the receiver forwards it (spread.h). */
 typedef void (*SendCopy)(Cluster *c, const Member *to, const char *until,
                          const void *msg);
 
@@ -277,20 +291,22 @@
   return false;
 }
 
-/* Sends to one member of each other region, selected by `name`, which forwards
-   the message there. */
-static void send_to_other_regions(Cluster *c, uint64_t name, SendCopy send,
+/* Sends a message to one member of each other region, the home of `key` there,
+   which forwards it within its region. */
+static void send_to_other_regions(Cluster *c, uint64_t key, SendCopy send,
                                   const void *msg) {
   const Member *me = gossip_get_self(c->members);
   for (int i = 0; i < c->view->n; i++) {
     const char *region = c->view->list[i].region;
     if (strcmp(region, me->region) == 0 || region_is_listed_before(c->view, i))
       continue;
-    const Member *m = view_home(c->view, region, name, 0);
+    const Member *m = view_home(c->view, region, key, 0);
     if (m) send(c, m, "", msg);
   }
 }
 
+/* A handover message (a request for a part of the target list, or the part) is
+   for this instance only; any other is a reader's update and is forwarded. */
 static void receive_feed(Cluster *c, const char *from, const CodecFeed *feed) {
   const char *reader = g_hash_table_lookup(c->ids, &feed->reader);
   bool is_handover =
@@ -302,9 +318,11 @@
   c->ev.feed_received(c->ctx, from, feed);
 }
 
-/* == requests during which targets failed == */
+/* == suspects: requests during which targets failed == */
 
-/* Homes that count the marks of a request; one may be lost with its counts. */
+/* Number of homes (instances that the request's digest selects) that count the
+   marks of a request; a mark reports that a target ended during it. If one home
+   is lost, the other still has its counts. */
 #define SUSPECT_HOME_COUNT 2
 
 static bool is_self(const Cluster *c, const Member *m) {
@@ -350,6 +368,7 @@
   c->ev.limit_received(c->ctx, &packet->msg);
 }
 
+/* Sends the next limit that is due, if any, to all instances. */
 static void broadcast_next_limit(Cluster *c, double now) {
   CodecLimit packet = {.to_all = true};
   if (now < c->next_limit_at) return;
@@ -363,6 +382,8 @@
 
 /* == events == */
 
+/* Messages other than those of the membership are dropped if the sender is not
+   in the view. */
 static void on_message(void *ctx, uint64_t from, CodecMsg *m) {
   Cluster *c = ctx;
   if (m->type == CODEC_MEMBER_UPDATE || m->type == CODEC_GOSSIP) {
@@ -455,7 +476,8 @@
 
 /* == open and close == */
 
-/* Only the IP is used: all instances listen on the same peer port. */
+/* Adds the seeds, the addresses through which this instance discovers others.
+   Only their IPs are used: all instances listen on the same peer port. */
 static void read_seeds(Cluster *c, const char *seeds) {
   const char *port = strrchr(gossip_get_self(c->members)->peer, ':');
   char **list = g_strsplit(seeds, ",", -1);
@@ -521,7 +543,7 @@
   g_free(c);
 }
 
-/* == exported calls == */
+/* == calls of the instance == */
 
 void cluster_set_conf_version(Cluster *c, uint64_t version) {
   c->conf_version = version;
@@ -594,7 +616,7 @@
 }
 
 void cluster_request_tally(Cluster *c, const TallyQuery *a) {
-  tallies_request_count(c->tallies, current_time(c), a);
+  tallies_request_tally(c->tallies, current_time(c), a);
 }
 
 void cluster_report_run(Cluster *c, const TallyRun *r) {
--- a/packages/fleet/cluster.h
+++ b/packages/fleet/cluster.h
@@ -1,5 +1,5 @@
-/* cluster.h: runs the pure cores for membership and budgets on an event loop;
-   the counterpart of fleet.h for a single-threaded instance. */
+/* cluster.h: runs the cores (modules without I/O) for membership and budgets on
+   an event loop; the counterpart of fleet.h for a single-threaded instance. */
 #ifndef FLEET_CLUSTER_H
 #define FLEET_CLUSTER_H
 
@@ -35,7 +35,7 @@
   /* Returns the configuration to send to another instance; NULL: none. */
   const char *(*conf_text)(void *ctx);
   /* An update that another instance read from the store, or a neighbour's
-     request for the target list or answer to one (CODEC_FEED_ASK,
+     request for the target list or answer to one (CODEC_FEED_PART_REQUEST,
      CODEC_FEED_PART). `from` is the instance that sent or forwarded it. */
   void (*feed_received)(void *ctx, const char *from, const CodecFeed *m);
   /* Another instance (`from`: hash of its id) reported its work at a target. */
@@ -71,7 +71,8 @@
 /* Records the outcome of a call that this instance made to the store. */
 void cluster_note_store_outcome(Cluster *c, ReadersStoreResult outcome);
 /* Whether to check now if the store accepts a connection, and, once it does,
-   whether to send a request on it (readers_knocks, readers_asks). */
+   whether to send a request on it (readers_probe_is_due,
+   readers_request_is_due). */
 bool cluster_may_probe_store(Cluster *c);
 bool cluster_may_query_store(Cluster *c);
 /* Sends a message to one instance, which does not forward it. */
--- a/packages/fleet/fleet.c
+++ b/packages/fleet/fleet.c
@@ -1,5 +1,6 @@
-/* fleet.c: connects the cores with threads, membership and messages. The ledger
-   is split into lanes by budget shard; the request records have one lane. */
+/* fleet.c: connects the cores with threads, membership and messages. Each core
+   runs in a lane, under a lock of its own (lane.h). The ledger is split into
+   several lanes by budget shard; the request records have one. */
 #include "fleet/fleet.h"
 
 #include <glib.h>
@@ -14,11 +15,13 @@
 #include "kernel/log.h"
 #include "ledger/shard.h"
 
-#define LEDGER_LANES 8
-#define RECORDS_LANE LEDGER_LANES /* index of the lane of request records */
-#define ALL_LANES (LEDGER_LANES + 1)
+#define LEDGER_LANES 8               /* number of lanes of the ledger */
+#define RECORDS_LANE LEDGER_LANES    /* index of the lane of request records */
+#define ALL_LANES (LEDGER_LANES + 1) /* number of lanes */
 #define TICK_INTERVAL_S 0.1
-#define VIEW_REFRESH_INTERVAL_S 1.0 /* refresh of an unchanged view */
+/* Interval at which the view is rebuilt even if no member changed: it also says
+   for how long each member has lagged (Member.table_stale_s). */
+#define VIEW_REFRESH_INTERVAL_S 1.0
 #define STORE_THREADS 4
 #define STORE_TIMEOUT_S 3
 
@@ -33,9 +36,9 @@
   pthread_mutex_t lock; /* guards members and view */
   MemberSet *members;
   View *view;
-  bool view_is_stale;  /* the view has to be rebuilt */
+  bool view_is_stale;   /* the view has to be rebuilt */
   double view_built_at; /* when it was last rebuilt */
-  GHashTable *ids;     /* id hash -> id */
+  GHashTable *ids;      /* text_hash of an id -> id */
   bool leaving;
   uint64_t table_version;
   void (*on_view)(void *ctx, const View *v);
@@ -46,6 +49,7 @@
 
 /* == addresses == */
 
+/* Copies the peer address of an instance; false: it is not in the view. */
 static bool find_member_address(void *ctx, const char *id,
                                 char out[LIMIT_NAME_BYTES]) {
   Fleet *f = ctx;
@@ -56,6 +60,7 @@
   return m != NULL;
 }
 
+/* Finds an instance's id by its hash; false: it is unknown. */
 static bool find_id(Fleet *f, uint64_t hash, char out[LIMIT_ID_BYTES]) {
   pthread_mutex_lock(&f->lock);
   const char *id = g_hash_table_lookup(f->ids, &hash);
@@ -74,6 +79,7 @@
   return &f->lanes[RECORDS_LANE];
 }
 
+/* Calls the callback after the lock is released. */
 static void receive_load(Fleet *f, const LoadsMsg *m) {
   pthread_mutex_lock(&f->lock);
   void (*callback)(void *ctx, const LoadsMsg *m) = f->on_load;
@@ -113,6 +119,7 @@
   pthread_mutex_unlock(&l->lock);
 }
 
+/* Adds the members' ids to the index. Ids of lost members stay. */
 static void index_ids(Fleet *f, const View *v) {
   for (int i = 0; i < v->n; i++) {
     uint64_t h = text_hash(v->list[i].id);
@@ -122,6 +129,7 @@
   }
 }
 
+/* Passes a changed view to all cores. */
 static void distribute_view(Fleet *f, const View *v) {
   log_info("view", "s:i", "members", v->n);
   jobs_set_instances(f->host.jobs, v->n);
@@ -148,8 +156,8 @@
   f->view_is_stale = false;
   f->view_built_at = now;
   View *v = member_view(f->members, now);
-  /* Table versions change far more often than members, and no core uses them.
-   */
+  /* The cores get the view only when its members change. Table versions change
+     far more often, and no core uses them. */
   bool same = view_same_members(v, f->view);
   view_free(f->view);
   f->view = v;
@@ -189,6 +197,7 @@
   }
 }
 
+/* Handles messages and timers until the fleet is closed. */
 static void *run_peer_thread(void *arg) {
   Fleet *f = arg;
   double next_tick = 0;
@@ -209,6 +218,7 @@
 
 static void open_lane(Fleet *f, int i) {
   const Member *me = &f->options.self;
+  /* Each lane has a random sequence of its own. */
   uint32_t seed = f->options.seed + (uint32_t)i * 7919u;
   if (i == RECORDS_LANE) {
     lane_open(&f->lanes[i], &f->host, NULL, once_new(me->id, me->region, seed));
@@ -348,15 +358,17 @@
   pthread_mutex_unlock(&l->lock);
 }
 
-OnceVerdict fleet_begin(Fleet *f, OnceKey key, uint64_t digest, bool query,
-                        bool repeat, FleetRun *run, OnceAnswer *answer) {
+OnceVerdict fleet_begin(Fleet *f, OnceKey key, uint64_t digest,
+                        bool has_caller_key, bool repeatable, FleetRun *run,
+                        OnceAnswer *answer) {
   Lane *l = records_lane(f);
   LaneWait w;
   run->key = key;
   run->handle = new_handle(f);
   pthread_mutex_lock(&l->lock);
   lane_wait_prepare(l, run->handle, &w);
-  once_begin(l->once, clock_now(), run->handle, key, digest, query, repeat);
+  once_begin(l->once, clock_now(), run->handle, key, digest, has_caller_key,
+             repeatable);
   lane_run_actions(l);
   lane_wait(l, run->handle, &w);
   pthread_mutex_unlock(&l->lock);
--- a/packages/fleet/tallies.c
+++ b/packages/fleet/tallies.c
@@ -82,7 +82,7 @@
                              regions_by_name(t->regions, m->region));
 }
 
-void tallies_request_count(Tallies *t, double now, const TallyQuery *a) {
+void tallies_request_tally(Tallies *t, double now, const TallyQuery *a) {
   const Member *m = counter_of(t, a->counter);
   if (!m) return;
   if (!is_self(t, m)) {
@@ -92,7 +92,7 @@
     return;
   }
   TallyReport w = tally_report(t->tally, now, a);
-  t->ev.count_received(t->ctx, &w);
+  t->ev.tally_received(t->ctx, &w);
 }
 
 void tallies_report_run(Tallies *t, double now, const TallyRun *r) {
@@ -150,7 +150,7 @@
     TallyReport w = tally_report(t->tally, now, &m->tally_query);
     peer_send_tally_report(t->peer, from->peer, from->id, &w);
   } else if (m->type == CODEC_TALLY_REPORT) {
-    t->ev.count_received(t->ctx, &m->tally_report);
+    t->ev.tally_received(t->ctx, &m->tally_report);
   } else if (m->type == CODEC_PERMIT_REQUEST) {
     receive_permit_request(t, now, from, &m->permit_request);
   } else if (m->type == CODEC_PERMIT) {
--- a/packages/fleet/tallies.h
+++ b/packages/fleet/tallies.h
@@ -1,5 +1,5 @@
-/* tallies.h: selects the instance that counts the work of all instances at each
-   target, and exchanges the messages with it. */
+/* tallies.h: selects, for each target, the instance that counts the work of all
+   instances there (the target's counter), and exchanges messages with it. */
 #ifndef FLEET_TALLIES_H
 #define FLEET_TALLIES_H
 
@@ -7,36 +7,42 @@
 
 typedef struct Tallies Tallies;
 
-/* Answers to requests of this instance; called immediately where this instance
-   is the counter. */
+/* Called with the counters' answers to this instance; where this instance is
+   the counter itself, during tallies_request_tally or
+   tallies_request_permit. */
 typedef struct TalliesEvents {
-  void (*count_received)(void *ctx, const TallyReport *w);
-  void (*permit_answered)(void *ctx, const TallyPermit *p);
+  void (*tally_received)(void *ctx, const TallyReport *report);
+  void (*permit_answered)(void *ctx, const TallyPermit *permit);
 } TalliesEvents;
 
 /* `regions` is borrowed and must outlive the result. */
 Tallies *tallies_new(Peer *peer, const char *self, const Regions *regions,
                      const TalliesEvents *ev, void *ctx);
 void tallies_free(Tallies *t);
-/* Sets the members; `v` must stay valid until the next call. */
+/* Sets the known instances; `v` is borrowed, until the next call. */
 void tallies_set_members(Tallies *t, double now, const View *v);
 /* This process was paused; other instances may have counted in its place. */
 void tallies_note_pause(Tallies *t, double now);
-/* Requests a target's total from its counter, or reports one request of this
-   instance to it. */
-void tallies_request_count(Tallies *t, double now, const TallyQuery *a);
+/* Requests the total work of all instances at a target from its counter. */
+void tallies_request_tally(Tallies *t, double now, const TallyQuery *a);
+/* Reports a run, the state of one request of this instance at a target, to the
+   target's counter. */
 void tallies_report_run(Tallies *t, double now, const TallyRun *r);
 /* Requests a permit (the right to send one request to a target with a limit)
-   from the target's counter, or reports the target's limit to it. */
+   from the target's counter. */
 void tallies_request_permit(Tallies *t, double now,
                             const TallyPermitRequest *a);
+/* Reports a target's limit, which this instance learned, to the target's
+   counter. */
 void tallies_report_limit(Tallies *t, double now, const TallyLimit *m);
-/* Returns the next limit to send to all instances, of the targets counted here;
-   each is returned again after `resend_s` (tally_limit_news). */
+/* Sets `m` to the next limit to send to all instances, among the targets that
+   this instance counts; each limit is due again after `resend_s` seconds
+   (tally_next_limit). False: none is due. */
 bool tallies_next_limit(Tallies *t, double now, double resend_s, TallyLimit *m);
-/* Handles a message from `from`; false: its type belongs to another module. */
+/* Handles a message from `from`; false: another module handles its type. */
 bool tallies_receive(Tallies *t, double now, const Member *from,
                      const CodecMsg *m);
+/* Removes counts that their senders no longer refresh. */
 void tallies_remove_expired(Tallies *t, double now);
 
 #endif
