--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -222,14 +222,14 @@
            "lapsed", (int)after_outage);
 }
 
-static void on_evacuation_changed(void *ctx, const char *dc, bool on,
+static void on_evacuation_changed(void *ctx, const char *dc, bool in_force,
                                   uint64_t revision) {
   Node *n = ctx;
-  if (!targets_set_evacuated(n->targets, dc, on)) return;
+  if (!targets_set_evacuated(n->targets, dc, in_force)) return;
   count_add(COUNT_EVACUATIONS, 1);
   log_info("evacuation", "s:s,s:b,s:i,s:I,s:f", "datacentre", dc, "in_force",
-           (int)on, "targets", targets_count_in_dc(n->targets, dc), "revision",
-           (json_int_t)revision, "store_age", feed_age_s(n->feed));
+           (int)in_force, "targets", targets_count_in_dc(n->targets, dc),
+           "revision", (json_int_t)revision, "store_age", feed_age_s(n->feed));
 }
 
 static void on_evacuations_listed(void *ctx, GHashTable *dcs) {
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 #include "member/handover.h"
-#include "node/sharedlist.h"
+#include "node/giving.h"
 #include "route/roster.h"
 
 #define NOW 100.0
@@ -179,45 +179,45 @@
 
 Test(handover, parts_are_made_once_for_all_requesters) {
   Giver g = {.targets = make_targets(1700)};
-  SharedList *x = sharedlist_new(make_part, &g);
+  Giving *x = giving_new(make_part, &g);
   CodecFeed m;
   for (int child = 0; child < 16; child++) {
     HandoverRequest request = {0};
     bool more = true;
     while (more) {
-      cr_assert(sharedlist_get_part(x, NOW + child * 0.1, 700, &request, &m));
+      cr_assert(giving_get_part(x, NOW + child * 0.1, 700, &request, &m));
       cr_assert(m.from == request.part && m.revision == 700);
       more = m.lapsed;
       request = (HandoverRequest){.part = request.part + 1, .revision = 700};
     }
-    cr_assert_not(sharedlist_get_part(x, NOW, 700, &request, &m),
+    cr_assert_not(giving_get_part(x, NOW, 700, &request, &m),
                   "no part is left");
   }
   cr_assert_leq(g.made, 5);
-  sharedlist_free(x);
+  giving_free(x);
   targets_free(g.targets);
 }
 
 Test(handover, later_changes_follow_the_list_and_an_old_list_is_replaced) {
   Giver g = {.targets = make_targets(10)};
-  SharedList *x = sharedlist_new(make_part, &g);
+  Giving *x = giving_new(make_part, &g);
   CodecFeed m, change = {.kind = 1, .from = 700, .revision = 705};
   HandoverRequest first = {0}, stale = {.part = 1, .revision = 600};
   int n_changes = 0;
-  sharedlist_add_update(x, &change); /* no request yet */
-  cr_assert(sharedlist_get_part(x, NOW, 700, &first, &m));
-  sharedlist_add_update(x, &change);
+  giving_add_update(x, &change); /* no request yet */
+  cr_assert(giving_get_part(x, NOW, 700, &first, &m));
+  giving_add_update(x, &change);
   change.from = change.revision; /* no change */
-  sharedlist_add_update(x, &change);
-  sharedlist_each_update(x, count_change, &n_changes);
+  giving_add_update(x, &change);
+  giving_each_update(x, count_change, &n_changes);
   cr_assert_eq(n_changes, 1);
-  cr_assert(sharedlist_get_part(x, NOW + 1, 710, &stale, &m));
+  cr_assert(giving_get_part(x, NOW + 1, 710, &stale, &m));
   cr_assert(m.from == 0 && m.revision == 700, "restarts from the first part");
-  cr_assert(sharedlist_get_part(x, NOW + HANDOVER_LIST_TTL_S + 1, 720, &first, &m));
+  cr_assert(giving_get_part(x, NOW + HANDOVER_LIST_TTL_S + 1, 720, &first, &m));
   cr_assert_eq(m.revision, 720);
   n_changes = 0;
-  sharedlist_each_update(x, count_change, &n_changes);
+  giving_each_update(x, count_change, &n_changes);
   cr_assert_eq(n_changes, 0);
-  sharedlist_free(x);
+  giving_free(x);
   targets_free(g.targets);
 }
