--- a/packages/node/giving.c
+++ b/packages/node/giving.c
@@ -1,43 +1,43 @@
-/* giving.c: keeps one list at a time: its parts and the updates after it. */
+/* giving.c: keeps one list at a time: its parts and the later updates. */
 #include "node/giving.h"
 
 #include <glib.h>
 #include <stdlib.h>
 
-/* Limit of the updates that are kept with a list; over it the list is discarded
-   and the next request begins a new one. */
+/* Limit of the compressed updates that are kept with a list. Over it the list
+   is discarded, and the next request begins a new one. */
 #define UPDATES_MAX_BYTES (256 << 10)
 
-typedef struct Part {
+typedef struct ListPart {
   Packed text;
-  bool more;
-} Part;
+  bool more; /* another part follows */
+} ListPart;
 
 struct Giving {
   GivingMakePart make_part;
   void *ctx;
-  double made_at;      /* when the list was begun */
-  uint64_t revision;   /* of the list; 0: there is none */
-  RosterCursor next;   /* where the next part begins */
-  GArray *parts;       /* Part */
-  GQueue updates;      /* CodecFeed*, oldest first */
-  size_t update_bytes; /* total of `updates` */
+  double list_begun_at; /* time of its first request */
+  uint64_t revision;    /* of the list; 0: there is none */
+  RosterCursor next;    /* where the next part begins */
+  GArray *parts;        /* ListPart */
+  GQueue updates;       /* CodecFeed*, oldest first */
+  size_t update_bytes;  /* total compressed size of `updates` */
 };
 
 static void discard_list(Giving *g) {
   for (guint i = 0; i < g->parts->len; i++)
-    packed_free(&g_array_index(g->parts, Part, i).text);
+    packed_free(&g_array_index(g->parts, ListPart, i).text);
   g_array_set_size(g->parts, 0);
   g_queue_clear_full(&g->updates, codec_feed_free);
   g->next = (RosterCursor){0};
   g->revision = g->update_bytes = 0;
 }
 
-Giving *giving_new(GivingMakePart part, void *ctx) {
+Giving *giving_new(GivingMakePart make, void *ctx) {
   Giving *g = g_new0(Giving, 1);
-  g->make_part = part;
+  g->make_part = make;
   g->ctx = ctx;
-  g->parts = g_array_new(FALSE, FALSE, sizeof(Part));
+  g->parts = g_array_new(FALSE, FALSE, sizeof(ListPart));
   g_queue_init(&g->updates);
   return g;
 }
@@ -48,41 +48,44 @@
   g_free(g);
 }
 
-/* A list that is older than HANDOVER_KEEP_S still serves neighbours that have
-   received a part of it. */
+/* A list that is older than HANDOVER_LIST_TTL_S is still used for neighbours
+   that have already received a part of it. */
 static bool needs_new_list(const Giving *g, double now,
-                           const HandoverRequest *ask) {
+                           const HandoverRequest *request) {
   if (g->revision == 0) return true;
-  return ask->part == 0 && now - g->made_at > HANDOVER_LIST_TTL_S;
+  return request->part == 0 && now - g->list_begun_at > HANDOVER_LIST_TTL_S;
 }
 
+/* Makes the next part of the list and keeps it. */
 static void add_part(Giving *g) {
-  Part part;
+  ListPart part;
   char *text = g->make_part(g->ctx, &g->next, &part.more);
   part.text = packed_new(text);
   free(text);
   g_array_append_val(g->parts, part);
 }
 
-bool giving_get_part(Giving *g, double now, uint64_t known,
-                     const HandoverRequest *ask, CodecFeed *m) {
-  HandoverRequest wanted = *ask;
-  if (needs_new_list(g, now, ask)) {
+bool giving_get_part(Giving *g, double now, uint64_t known_revision,
+                     const HandoverRequest *request, CodecFeed *m) {
+  HandoverRequest part_request = *request;
+  if (needs_new_list(g, now, request)) {
     discard_list(g);
-    g->made_at = now;
-    g->revision = known;
+    g->list_begun_at = now;
+    g->revision = known_revision;
   }
-  if (wanted.part > 0 && wanted.revision != g->revision) wanted.part = 0;
-  if (wanted.part > g->parts->len) return false;
-  if (wanted.part == g->parts->len) {
+  if (part_request.part > 0 && part_request.revision != g->revision)
+    part_request.part = 0;
+  if (part_request.part > g->parts->len) return false;
+  if (part_request.part == g->parts->len) {
     bool list_ended =
-        wanted.part > 0 && !g_array_index(g->parts, Part, wanted.part - 1).more;
+        part_request.part > 0 &&
+        !g_array_index(g->parts, ListPart, part_request.part - 1).more;
     if (list_ended) return false;
     add_part(g);
   }
-  const Part *part = &g_array_index(g->parts, Part, wanted.part);
+  const ListPart *part = &g_array_index(g->parts, ListPart, part_request.part);
   *m = (CodecFeed){.kind = CODEC_FEED_PART,
-                   .from = wanted.part,
+                   .from = part_request.part,
                    .revision = g->revision,
                    .lapsed = part->more,
                    .changes = part->text};
--- a/packages/node/giving.h
+++ b/packages/node/giving.h
@@ -1,6 +1,7 @@
-/* giving.h: the list of targets as this instance sends it to neighbours that
-   have just started (handover.h): parts that are made once and serve all
-   requests, and the readers' updates since the list was begun. */
+/* giving.h: the list of targets as this instance sends it to neighbours
+   (instances to which it forwards readers' updates) that have just started; see
+   handover.h. It consists of parts, which are made once for all requesters, and
+   of the readers' updates since the list was begun. */
 #ifndef NODE_GIVING_H
 #define NODE_GIVING_H
 
@@ -10,18 +11,20 @@
 
 typedef struct Giving Giving;
 
-/* Makes the next part, as FeedEvents.next_part does. */
+/* Makes the part that begins at `at`, as FeedEvents.next_part does. */
 typedef char *(*GivingMakePart)(void *ctx, RosterCursor *at, bool *more);
 
-Giving *giving_new(GivingMakePart part, void *ctx);
+Giving *giving_new(GivingMakePart make, void *ctx);
 void giving_free(Giving *g);
-/* Sets `m` to the requested part of the current list. `known` is the store
-   revision that is known here. False: there is no such part. `m` borrows the
+/* Sets `m` to the requested part of the current list, or to the first part if
+   the request is for another list. Begins a new list as of `known_revision`,
+   the store's revision that is known here, if there is none or a first part is
+   requested of an old one. False: there is no such part. `m` borrows the
    text. */
-bool giving_get_part(Giving *g, double now, uint64_t known,
-                     const HandoverRequest *ask, CodecFeed *m);
-/* Adds an update that was received or sent; it leads from revision `m->from` to
-   `m->at`. */
+bool giving_get_part(Giving *g, double now, uint64_t known_revision,
+                     const HandoverRequest *request, CodecFeed *m);
+/* Adds an update that this instance received or sent, with the changes from
+   revision `m->from` to `m->revision`. */
 void giving_add_update(Giving *g, const CodecFeed *m);
 /* Calls `fn` for each update since the list was begun, oldest first. */
 void giving_each_update(const Giving *g,
--- a/packages/node/node.c
+++ b/packages/node/node.c
@@ -207,7 +207,7 @@
   return true;
 }
 
-static void on_target_gone(void *ctx, const char *id, bool after_outage) {
+static void on_target_removed(void *ctx, const char *id, bool after_outage) {
   Node *n = ctx;
   targets_remove(n->targets, loopclock_now(n->loop), id, after_outage);
   if (!target_line_is_due(n)) return;
@@ -222,14 +222,14 @@
            "lapsed", (int)after_outage);
 }
 
-static void on_evacuation_changed(void *ctx, const char *dc, bool on,
+static void on_evacuation_changed(void *ctx, const char *dc, bool in_force,
                                   uint64_t revision) {
   Node *n = ctx;
-  if (!targets_set_evacuated(n->targets, dc, on)) return;
+  if (!targets_set_evacuated(n->targets, dc, in_force)) return;
   count_add(COUNT_EVACUATIONS, 1);
   log_info("evacuation", "s:s,s:b,s:i,s:I,s:f", "datacentre", dc, "in_force",
-           (int)on, "targets", targets_count_in_dc(n->targets, dc), "revision",
-           (json_int_t)revision, "store_age", feed_age_s(n->feed));
+           (int)in_force, "targets", targets_count_in_dc(n->targets, dc),
+           "revision", (json_int_t)revision, "store_age", feed_age_s(n->feed));
 }
 
 static void on_evacuations_listed(void *ctx, GHashTable *dcs) {
@@ -584,7 +584,7 @@
 
 static bool open_modules(Node *n, Err *e) {
   static const FeedEvents feed_events = {
-      on_conf,           on_target_read,        on_target_gone,
+      on_conf,           on_target_read,        on_target_removed,
       on_targets_listed, on_evacuation_changed, on_evacuations_listed,
       on_trial_changed,  on_trials_listed,      on_reader_duty,
       on_broadcast,      on_discovery_done,     on_send_to,
