--- a/packages/http/client.c
+++ b/packages/http/client.c
@@ -11,7 +11,7 @@
 struct HttpClient {
   ne_session *session;
   bool connected; /* a connection was established for the current request */
-  bool reusable;  /* the open connection has carried a response before */
+  bool reusable;  /* the connection has carried a response and is still open */
 };
 
 struct HttpStream {
@@ -61,9 +61,9 @@
     ne_add_request_header(req, request->headers[i], request->headers[i + 1]);
   if (request->body_bytes > 0)
     ne_set_request_body_buffer(req, request->body, request->body_bytes);
-  /* neon resends a request by itself if the persistent connection is closed.
-     http_stream_open uses a new connection for requests that must not be
-     repeated. */
+  /* If the server has closed the persistent connection, neon itself sends the
+     request again. Therefore http_stream_open uses a new connection for a
+     request that must not be repeated. */
   return req;
 }
 
@@ -77,6 +77,7 @@
   if (!retry_safe) ne_set_request_flag(req, NE_REQFLAG_IDEMPOTENT, 0);
   int rc = ne_begin_request(req);
   if (rc != NE_OK) {
+    /* On a reused connection the server may have received the request. */
     response->sent = c->connected || reused;
     g_strlcpy(response->error, ne_get_error(c->session),
               sizeof response->error);
--- a/packages/http/client.h
+++ b/packages/http/client.h
@@ -20,17 +20,20 @@
   int status;    /* 0: no response was received */
   bool sent;     /* false: no byte of the request was sent, so it did not run */
   bool complete; /* the whole body was received */
-  char etag[32];
+  /* set by http_client_request alone */
+  char etag[32]; /* the header ETag; "" if it is absent */
   GString *body; /* released by http_response_free */
   char error[160];
 } HttpResponse;
 
 /* `addr` is "ip:port"; returns NULL if it is not. Timeouts are in seconds. A
-   client may be used by one thread at a time. */
+   client must not be used by two threads at once. */
 HttpClient *http_client_new(const char *addr, int connect_s, int read_s);
 void http_client_free(HttpClient *c);
-/* Sends a request and reads up to `max_bytes` of the response body. The request
-   may be sent twice, so it must be safe to repeat. */
+/* Sends a request and reads up to `max_bytes` of the response body. If the
+   persistent connection turns out to be closed, the client sends the request
+   again, so the request must be safe to repeat. The caller releases `response`
+   with http_response_free, also after a failure. */
 void http_client_request(HttpClient *c, const HttpClientRequest *request,
                          size_t max_bytes, HttpResponse *response);
 void http_response_free(HttpResponse *response);
@@ -40,9 +43,11 @@
 typedef struct HttpStream HttpStream;
 
 /* Sends a request and reads the response headers; http_stream_read reads the
-   body. `retry_safe`: the request may be sent again if the persistent
-   connection turns out to be closed. Returns NULL on failure, with
-   response->sent and response->error set; otherwise sets response->status. */
+   body. If `retry_safe` is set, the client uses the persistent connection and
+   sends the request again if that turns out to be closed; otherwise it opens a
+   new connection and sends the request at most once. Returns NULL on failure,
+   with response->sent and response->error set; otherwise sets response->status.
+   Leaves response->body NULL. */
 HttpStream *http_stream_open(HttpClient *c, const HttpClientRequest *request,
                              bool retry_safe, HttpResponse *response);
 /* Returns a response header, or NULL if it is absent. */
@@ -51,7 +56,7 @@
    the body was truncated. */
 long http_stream_read(HttpStream *s, char *buf, size_t n);
 /* Frees the stream. If the body was not read to its end, closes the connection;
-   the target treats that as a cancellation. */
+   a target treats that as a cancellation of the request. */
 void http_stream_close(HttpStream *s);
 
 #endif
--- a/packages/http/server.c
+++ b/packages/http/server.c
@@ -141,11 +141,12 @@
     g_usleep(ACCEPT_POLL_US);
 }
 
-void http_server_drain(HttpServer *s, double wait_s) {
+void http_server_drain(HttpServer *s, double max_wait_s) {
   accept_pending_connections(s);
   MHD_socket listener = MHD_quiesce_daemon(s->daemon);
   if (listener != MHD_INVALID_SOCKET) close(listener);
-  for (double t = 0; t < wait_s && http_server_connections(s) > 0; t += 0.01)
+  for (double t = 0; t < max_wait_s && http_server_connections(s) > 0;
+       t += 0.01)
     g_usleep(10000);
 }
 
--- a/packages/http/server.h
+++ b/packages/http/server.h
@@ -14,21 +14,22 @@
   struct MHD_Connection *connection;
   const char *method, *path;
   GString *body;
-  bool too_large;
-  void *state; /* owned by the handler; released by the HttpCompletion */
+  bool
+      too_large; /* the body exceeds max_body_bytes; `body` has its beginning */
+  void *state;   /* owned by the handler; released by the HttpCompletion */
 } HttpRequest;
 
 typedef struct HttpOptions {
   size_t max_body_bytes;
-  size_t max_header_bytes; /* of all headers of one request */
+  size_t max_header_bytes; /* memory for the headers of one connection */
   int max_connections;
   int idle_timeout_s; /* a connection without progress is closed after this */
   size_t stack_bytes; /* of the thread of a connection */
 } HttpOptions;
 
-/* Called when the body is complete or exceeds max_body_bytes. Returns the
-   response, which the server releases, and sets its status. NULL closes the
-   connection. */
+/* Called when the whole request has been received. Returns the response, which
+   the server releases, and sets its status. If the handler returns NULL, the
+   server closes the connection. */
 typedef struct MHD_Response *(*HttpHandler)(void *ctx, HttpRequest *r,
                                             int *status);
 /* Called when the exchange has ended; `complete` is false if the caller
@@ -45,9 +46,9 @@
 void http_server_stop(HttpServer *s);
 /* Returns the number of open connections. */
 int http_server_connections(const HttpServer *s);
-/* Last step of a planned stop: refuses new connections and waits up to `wait_s`
-   seconds until the open ones end. */
-void http_server_drain(HttpServer *s, double wait_s);
+/* Last step of a planned stop: refuses new connections and waits up to
+   `max_wait_s` seconds until the open ones have ended. */
+void http_server_drain(HttpServer *s, double max_wait_s);
 
 /* Returns a request header, or NULL if it is absent. */
 const char *http_request_header(const HttpRequest *r, const char *name);
--- a/packages/report/account.h
+++ b/packages/report/account.h
@@ -1,7 +1,10 @@
-/* account.h: summarises from log events which requests were not served within
-   their latency objective: by route and cause, with the largest loss first and
-   the means of the inputs of the decision; over time; and by customer. Adds the
-   evacuations and the calls to the platform's store in the same period. */
+/* account.h: the report of the command "loftpath account", made from log
+   events. It counts the requests that were refused, failed or missed their
+   latency objective (here: losses) in three tables: by route and cause, with
+   the largest loss first and the means of the inputs of the routing decision;
+   by time; and by customer. It also lists the evacuations, that is, the data
+   centres taken out of use, and the calls to the platform's store in the same
+   period. */
 #ifndef REPORT_ACCOUNT_H
 #define REPORT_ACCOUNT_H
 
@@ -12,13 +15,13 @@
 
 ReportLosses *report_losses_new(void);
 void report_losses_free(ReportLosses *a);
-/* Adds one event to the report; events that it has no use for are ignored. */
+/* Adds one event to the report; ignores events that the report does not use. */
 void report_losses_add(ReportLosses *a, const json_t *line);
 void report_losses_print(const ReportLosses *a, FILE *out);
 
-/* Returns how a request ended: "in aim" (within the objective), "late: ...",
-   "failed: ...", or the error with which it was refused. `line` is the event
-   "request". */
+/* Returns how the request of `line`, an event "request", ended: "in aim"
+   (within its latency objective), "late ..." (served, but over the objective),
+   "failed: ...", or the error with which the instance refused it. */
 const char *report_request_cause(const json_t *line);
 
 #endif
--- a/packages/report/evacuations.c
+++ b/packages/report/evacuations.c
@@ -7,10 +7,13 @@
 
 #include "report/lines.h"
 
+/* The evacuations of one data centre. */
 typedef struct Row {
-  double started_at, last_event_at; /* times of the first and the last event */
-  GHashTable *in_force; /* instances whose last event has it in force */
-  int max_in_force;     /* max number of instances in `in_force` */
+  /* times of the first and the last event, in seconds as the log has them */
+  double started_at, last_event_at;
+  /* ids of the instances whose last event has an evacuation in force */
+  GHashTable *instances_in_force;
+  int max_instances_in_force; /* largest size of the set so far */
 } Row;
 
 struct ReportEvacuations {
@@ -19,7 +22,7 @@
 
 static void free_row(gpointer p) {
   Row *r = p;
-  g_hash_table_destroy(r->in_force);
+  g_hash_table_destroy(r->instances_in_force);
   g_free(r);
 }
 
@@ -34,12 +37,14 @@
   g_free(e);
 }
 
-static Row *find_or_add_row(ReportEvacuations *e, const char *dc, double at) {
+static Row *find_or_add_row(ReportEvacuations *e, const char *dc,
+                            double started_at) {
   Row *r = g_hash_table_lookup(e->rows, dc);
   if (r) return r;
   r = g_new0(Row, 1);
-  r->started_at = at;
-  r->in_force = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  r->started_at = started_at;
+  r->instances_in_force =
+      g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   g_hash_table_insert(e->rows, g_strdup(dc), r);
   return r;
 }
@@ -51,10 +56,11 @@
                            report_event_number(line, "t"));
   r->last_event_at = report_event_number(line, "t");
   if (json_is_true(json_object_get(line, "in_force")))
-    g_hash_table_add(r->in_force, g_strdup(instance));
+    g_hash_table_add(r->instances_in_force, g_strdup(instance));
   else
-    g_hash_table_remove(r->in_force, instance);
-  r->max_in_force = MAX(r->max_in_force, (int)g_hash_table_size(r->in_force));
+    g_hash_table_remove(r->instances_in_force, instance);
+  r->max_instances_in_force = MAX(
+      r->max_instances_in_force, (int)g_hash_table_size(r->instances_in_force));
 }
 
 static gint compare_names(gconstpointer a, gconstpointer b) {
@@ -70,8 +76,9 @@
   for (GList *i = names; i; i = i->next) {
     const Row *r = g_hash_table_lookup(e->rows, i->data);
     fprintf(out, "%-24s %8.1f %8.1f %8d %8u\n", (const char *)i->data,
-            r->started_at - begin, r->last_event_at - begin, r->max_in_force,
-            g_hash_table_size(r->in_force));
+            r->started_at - begin, r->last_event_at - begin,
+            r->max_instances_in_force,
+            g_hash_table_size(r->instances_in_force));
   }
   g_list_free(names);
 }
--- a/packages/report/evacuations.h
+++ b/packages/report/evacuations.h
@@ -1,6 +1,7 @@
 /* evacuations.h: summarises evacuations from log events. An evacuation takes a
-   data centre out of use; the report shows from when to when each one lasted
-   and at how many instances it was in force. */
+   data centre out of use. The report shows for each data centre the times of
+   the first and the last event, and at how many instances an evacuation was in
+   force at most and at the end of the log. */
 #ifndef REPORT_EVACUATIONS_H
 #define REPORT_EVACUATIONS_H
 
--- a/packages/report/lines.h
+++ b/packages/report/lines.h
@@ -6,14 +6,15 @@
 #include <stdbool.h>
 #include <stdio.h>
 
-/* Returns the next event, or NULL at the end of the file; json_decref. Text
-   before the JSON object of a line is ignored. Lines without an event are
-   skipped, and *skipped is increased by their number. */
+/* Returns the next event, which the caller releases with json_decref, or NULL
+   at the end of the file. Ignores text before the JSON object of a line. Skips
+   lines without an event and adds their number to *skipped. */
 json_t *report_read_event(FILE *f, long *skipped);
 
-/* Return a field of an event; "" or 0 if it is absent. */
+/* Return a field of the event `line`; "" or 0 if it is absent. */
 const char *report_event_string(const json_t *line, const char *name);
 double report_event_number(const json_t *line, const char *name);
+/* Returns whether `event` is the event name of `line`. */
 bool report_event_is(const json_t *line, const char *event);
 
 #endif
