--- a/packages/entry/admin.c
+++ b/packages/entry/admin.c
@@ -11,21 +11,22 @@
 #include "ledger/shard.h"
 #include "table/rollout.h"
 
-#define STORE_TIMEOUT_S 3
-/* Seconds without a response after which the store is shown as down. */
+#define STORE_TIMEOUT_S 3 /* of one call to the platform's store */
+/* The status shows the store as down after this time without a response. */
 #define STORE_DOWN_AFTER_S 10
 
 static struct MHD_Response *create_json_response(json_t *o, int *status) {
   char *s = json_dumps(o, JSON_COMPACT);
-  struct MHD_Response *m = entry_text_response("application/json", s);
+  struct MHD_Response *response = entry_text_response("application/json", s);
   *status = 200;
   free(s);
   json_decref(o);
-  return m;
+  return response;
 }
 
 /* == the table == */
 
+/* read_object and write_object give rollout.c access to the store. */
 static PlatformAnswer read_object(void *ctx, const char *name) {
   return platform_get(ctx, name);
 }
@@ -43,13 +44,14 @@
   (void)r;
   char *csv = NULL;
   snapshots_read(e->snapshots, copy_csv, &csv);
-  struct MHD_Response *m = entry_text_response("text/csv", csv);
+  struct MHD_Response *response = entry_text_response("text/csv", csv);
   g_free(csv);
   *status = 200;
-  return m;
+  return response;
 }
 
-static struct MHD_Response *create_table_error(GPtrArray *errors, int *status) {
+static struct MHD_Response *create_table_error_response(GPtrArray *errors,
+                                                        int *status) {
   json_t *list = json_array();
   for (guint i = 0; i < errors->len; i++)
     json_array_append_new(list, json_string(errors->pdata[i]));
@@ -57,20 +59,23 @@
                         err_info(ERR_TABLE)->name, "message",
                         "the table was not accepted", "remedy",
                         err_info(ERR_TABLE)->remedy, "errors", list);
-  struct MHD_Response *m = create_json_response(o, status);
+  struct MHD_Response *response = create_json_response(o, status);
   *status = err_info(ERR_TABLE)->status;
-  return m;
+  return response;
 }
 
+/* Makes the body, a table in CSV, the next version. Arguments: `id` of the
+   edit, by which a repeated request is recognised; `who` made it; `base`, the
+   version that it was made on, in place of the one in the CSV. */
 static struct MHD_Response *apply_table(Entry *e, HttpRequest *r, int *status) {
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
   uint64_t base;
   Table *t = r->too_large ? NULL : table_read_csv(r->body->str, errors, &base);
-  struct MHD_Response *m;
+  struct MHD_Response *response;
   if (!t) {
-    m = create_table_error(errors, status);
+    response = create_table_error_response(errors, status);
     g_ptr_array_free(errors, TRUE);
-    return m;
+    return response;
   }
   g_ptr_array_free(errors, TRUE);
   Err err = {0};
@@ -83,7 +88,7 @@
   if (base_argument) edit.base_version = strtoull(base_argument, NULL, 10);
   if (!edit.id[0]) {
     err_set(&err, ERR_MALFORMED, "the edit has no id");
-    m = entry_error_response(&err, NULL, status);
+    response = entry_error_response(&err, NULL, status);
   } else {
     Platform *p = platform_open(e->options.platform, STORE_TIMEOUT_S);
     RolloutStore s = {read_object, write_object, p};
@@ -91,12 +96,12 @@
     platform_close(p);
     log_info("apply", "s:s,s:s,s:I,s:s", "edit", edit.id, "who", edit.author,
              "version", (json_int_t)v, "error", v ? "" : err.text);
-    m = v ? create_json_response(json_pack("{s:I}", "version", (json_int_t)v),
-                                 status)
-          : entry_error_response(&err, NULL, status);
+    response = v ? create_json_response(
+                       json_pack("{s:I}", "version", (json_int_t)v), status)
+                 : entry_error_response(&err, NULL, status);
   }
   table_free(t);
-  return m;
+  return response;
 }
 
 static struct MHD_Response *handle_table(Entry *e, HttpRequest *r,
@@ -114,16 +119,18 @@
   char *text = rollout_history(&s, &err);
   platform_close(p);
   if (!text) return entry_error_response(&err, NULL, status);
-  struct MHD_Response *m = entry_text_response("application/json", text);
+  struct MHD_Response *response = entry_text_response("application/json", text);
   g_free(text);
   *status = 200;
-  return m;
+  return response;
 }
 
 /* == budgets == */
 
+/* The budgets of the table. The store keeps the state of all budgets in shards,
+   one object each; a budget's name decides its shard. */
 typedef struct BudgetNames {
-  bool shards[LIMIT_BUDGET_SHARDS];
+  bool has_budgets[LIMIT_BUDGET_SHARDS]; /* by shard index */
   GPtrArray *names;
 } BudgetNames;
 
@@ -132,35 +139,38 @@
   for (guint i = 0; i < t->sorted_rows->len; i++) {
     const TableRow *r = t->sorted_rows->pdata[i];
     if (r->kind != TABLE_BUDGET) continue;
-    n->shards[shard_index(r->name)] = true;
+    n->has_budgets[shard_index(r->name)] = true;
     g_ptr_array_add(n->names, g_strdup(r->name));
   }
 }
 
+/* "held" are the tokens of the grants less those already spent from them;
+   "retired" are those lost with grants that were removed. */
 static json_t *encode_budget(const ShardBudget *b) {
-  int64_t held = 0;
-  int sealed = 0;
+  int64_t granted = 0;
+  int sealed_grants = 0;
   json_t *grants = json_array();
   for (guint i = 0; i < b->grants->len; i++) {
     const ShardGrant *g = b->grants->pdata[i];
-    int64_t out = shard_grant_outstanding(g);
-    held += out;
-    sealed += g->sealed;
+    int64_t outstanding = shard_grant_outstanding(g);
+    granted += outstanding;
+    sealed_grants += g->sealed;
     json_array_append_new(
         grants, json_pack("{s:s,s:s,s:s,s:I,s:I,s:b}", "home", g->home,
                           "witness", g->witness, "region", g->region,
-                          "outstanding", (json_int_t)out, "spent",
+                          "outstanding", (json_int_t)outstanding, "spent",
                           (json_int_t)g->spent, "sealed", (int)g->sealed));
   }
   int64_t spent = shard_budget_spent(b);
   return json_pack("{s:s,s:I,s:I,s:I,s:I,s:I,s:i,s:o}", "name", b->name,
                    "total", (json_int_t)b->total, "spent", (json_int_t)spent,
                    "free", (json_int_t)shard_budget_remaining(b), "held",
-                   (json_int_t)(held - (spent - b->closed_spent)), "retired",
-                   (json_int_t)b->written_off, "sealed", sealed, "grants",
-                   grants);
+                   (json_int_t)(granted - (spent - b->closed_spent)), "retired",
+                   (json_int_t)b->written_off, "sealed", sealed_grants,
+                   "grants", grants);
 }
 
+/* Appends the budgets of one shard to `list`. */
 static bool append_shard_budgets(Platform *p, int index, const BudgetNames *n,
                                  json_t *list, Err *err) {
   char name[LIMIT_NAME_BYTES];
@@ -189,7 +199,7 @@
   snapshots_read(e->snapshots, collect_budgets, &n);
   Platform *p = platform_open(e->options.platform, STORE_TIMEOUT_S);
   for (int i = 0; ok && i < LIMIT_BUDGET_SHARDS; i++)
-    if (n.shards[i]) ok = append_shard_budgets(p, i, &n, list, &err);
+    if (n.has_budgets[i]) ok = append_shard_budgets(p, i, &n, list, &err);
   platform_close(p);
   g_ptr_array_free(n.names, TRUE);
   if (ok) return create_json_response(list, status);
@@ -197,10 +207,13 @@
   return entry_error_response(&err, NULL, status);
 }
 
-/* == bills: the union of all batches, in which each request counts once == */
+/* == bills == */
 
+/* Sums over all stored batches of bills. A request may appear in several
+   batches; only its first bill counts. */
 typedef struct BillSums {
-  json_t *seen_keys, *tokens_by_budget; /* sets of request keys; sums */
+  /* seen_keys: set of the keys of the requests counted so far */
+  json_t *seen_keys, *tokens_by_budget;
   int repeated_bills;
 } BillSums;
 
@@ -297,17 +310,19 @@
   (void)r;
   json_t *list = json_array();
   pools_visit_targets(e->pools, append_target, list);
-  int64_t idle_s = clock_unix() - atomic_load(&e->store_answered_at);
-  LedgerSums n = fleet_sums(e->fleet);
+  int64_t store_unresponsive_s =
+      clock_unix() - atomic_load(&e->store_answered_at);
+  LedgerSums sums = fleet_sums(e->fleet);
   return create_json_response(
       json_pack("{s:s,s:I,s:b,s:I,s:i,s:b,s:I,s:I,s:o,s:o}", "instance",
                 e->options.instance, "table",
                 (json_int_t)snapshots_version(e->snapshots), "store_up",
-                (int)(idle_s < STORE_DOWN_AFTER_S), "store_silent_s",
-                (json_int_t)idle_s, "open", atomic_load(&e->open_requests),
-                "draining", (int)atomic_load(&e->draining), "free",
-                (json_int_t)n.free, "home_free", (json_int_t)n.home_free_tokens,
-                "instances", encode_instances(e), "targets", list),
+                (int)(store_unresponsive_s < STORE_DOWN_AFTER_S),
+                "store_silent_s", (json_int_t)store_unresponsive_s, "open",
+                atomic_load(&e->open_requests), "draining",
+                (int)atomic_load(&e->draining), "free", (json_int_t)sums.free,
+                "home_free", (json_int_t)sums.home_free_tokens, "instances",
+                encode_instances(e), "targets", list),
       status);
 }
 
@@ -322,13 +337,15 @@
 static const struct {
   const char *path;
   struct MHD_Response *(*handle_request)(Entry *e, HttpRequest *r, int *status);
-} routes[] = {
+} endpoints[] = {
     {"/admin/table", handle_table},     {"/admin/history", handle_history},
     {"/admin/budgets", handle_budgets}, {"/admin/bills", handle_bills},
     {"/admin/targets", handle_targets}, {"/admin/instances", handle_instances},
     {"/admin/status", handle_status},   {"/admin/drain", handle_drain},
 };
 
+/* Compares the hashes in constant time, so that the response time reveals
+   nothing about the key. */
 static bool is_operator(const Entry *e, const HttpRequest *r) {
   const char *auth = http_request_header(r, "Authorization");
   const char *key = auth && g_str_has_prefix(auth, "Bearer ") ? auth + 7 : "";
@@ -347,11 +364,11 @@
     err_set(&err, ERR_UNAUTHORISED, "this is for operators");
     return entry_error_response(&err, NULL, status);
   }
-  for (size_t i = 0; i < G_N_ELEMENTS(routes); i++)
-    if (strcmp(r->path, routes[i].path) == 0)
-      return routes[i].handle_request(e, r, status);
+  for (size_t i = 0; i < G_N_ELEMENTS(endpoints); i++)
+    if (strcmp(r->path, endpoints[i].path) == 0)
+      return endpoints[i].handle_request(e, r, status);
   err_set(&err, ERR_MALFORMED, "there is no call %.100s", r->path);
-  struct MHD_Response *m = entry_error_response(&err, NULL, status);
+  struct MHD_Response *response = entry_error_response(&err, NULL, status);
   *status = 404;
-  return m;
+  return response;
 }
--- a/packages/entry/poll.h
+++ b/packages/entry/poll.h
@@ -11,7 +11,7 @@
 void poller_close(Poller *p);
 /* Updates the list of targets from the pools. */
 void poller_set_targets(Poller *p);
-/* `v` is the current membership. */
+/* Sets the members of the fleet. */
 void poller_set_view(Poller *p, const View *v);
 
 #endif
--- a/packages/entry/snapshot.c
+++ b/packages/entry/snapshot.c
@@ -1,4 +1,4 @@
-/* snapshot.c: the RCU pointer to the table, and look-ups in the table. */
+/* snapshot.c: the RCU pointer to the snapshot in force, and look-ups in it. */
 #include "entry/snapshot.h"
 
 #include <pthread.h>
@@ -8,28 +8,30 @@
 
 typedef struct Snapshot {
   Table *table;
-  GHashTable *by_hash; /* key hash -> TableRow of the customer */
+  /* key hash -> TableRow; owned by `table` */
+  GHashTable *customers_by_key_hash;
 } Snapshot;
 
 struct Snapshots {
-  Snapshot *current;    /* RCU-protected */
-  pthread_mutex_t lock; /* held by writers */
+  Snapshot *current;    /* RCU-protected; readers copy what they need */
+  pthread_mutex_t lock; /* serialises writers of `current` */
 };
 
 static Snapshot *snapshot_new(Table *t) {
   Snapshot *s = g_new0(Snapshot, 1);
   s->table = t;
-  s->by_hash = g_hash_table_new(g_str_hash, g_str_equal);
+  s->customers_by_key_hash = g_hash_table_new(g_str_hash, g_str_equal);
   for (guint i = 0; i < t->sorted_rows->len; i++) {
     TableRow *r = t->sorted_rows->pdata[i];
     if (r->kind == TABLE_CUSTOMER)
-      g_hash_table_insert(s->by_hash, r->cells[TABLE_KEY_HASH], r);
+      g_hash_table_insert(s->customers_by_key_hash, r->cells[TABLE_KEY_HASH],
+                          r);
   }
   return s;
 }
 
 static void snapshot_free(Snapshot *s) {
-  g_hash_table_destroy(s->by_hash);
+  g_hash_table_destroy(s->customers_by_key_hash);
   table_free(s->table);
   g_free(s);
 }
@@ -57,7 +59,7 @@
     table_free(t);
     return false;
   }
-  synchronize_rcu();
+  synchronize_rcu(); /* waits until no reader uses `old` */
   snapshot_free(old);
   return true;
 }
@@ -75,7 +77,8 @@
   g_free(hex);
 }
 
-/* Compares in constant time, so that timing reveals nothing of the hash. */
+/* Compares two hex hashes in constant time, so that the response time reveals
+   nothing about the stored hash. */
 static bool hashes_are_equal(const char *a, const char *b) {
   unsigned char diff = 0;
   for (int i = 0; i < 64; i++) diff |= (unsigned char)(a[i] ^ b[i]);
@@ -88,16 +91,16 @@
   snapshots_hash_key(key, hash);
   rcu_read_lock();
   const Snapshot *current = rcu_dereference(s->current);
-  const TableRow *r = g_hash_table_lookup(current->by_hash, hash);
-  bool ok = r && hashes_are_equal(r->cells[TABLE_KEY_HASH], hash);
-  if (ok) {
+  const TableRow *r = g_hash_table_lookup(current->customers_by_key_hash, hash);
+  bool found = r && hashes_are_equal(r->cells[TABLE_KEY_HASH], hash);
+  if (found) {
     g_strlcpy(out->name, r->name, sizeof out->name);
     out->share = r->numbers[TABLE_SHARE];
     out->max_running = r->numbers[TABLE_MAX_RUNNING];
     out->max_tokens_per_min = r->numbers[TABLE_TOKENS_PER_MIN];
   }
   rcu_read_unlock();
-  return ok;
+  return found;
 }
 
 bool snapshots_find_service(Snapshots *s, const char *name, EntryService *out) {
--- a/packages/entry/snapshot.h
+++ b/packages/entry/snapshot.h
@@ -10,18 +10,22 @@
 
 typedef struct EntryCustomer {
   char name[LIMIT_NAME_BYTES];
-  /* share: weight within a class of priority; max_*: 0 is no limit */
+  /* share: weight among customers of the same priority; max_*: 0 is no limit */
   int64_t share, max_running, max_tokens_per_min;
 } EntryCustomer;
 
 typedef struct EntryService {
   char name[LIMIT_NAME_BYTES];
   char pool[LIMIT_NAME_BYTES + 8]; /* "model/x" or "service/x" */
+  /* is_plain: the service has no model; is_repeatable: a request may run twice
+   */
   bool is_plain, is_repeatable;
-  int priority;
-  double max_wait_s;
+  int priority;      /* 0 is served first */
+  double max_wait_s; /* in the queue */
+  /* max_output_tokens: of one answer; cost_tokens: of one call, if is_plain */
   int64_t max_output_tokens, cost_tokens;
-  int64_t max_running;
+  int64_t max_running; /* concurrent requests; 0: no limit */
+  /* required of a target, "": any; `dcs`: data centres, separated by ';' */
   char adapter[LIMIT_NAME_BYTES], version[LIMIT_NAME_BYTES],
       dcs[LIMIT_NAME_BYTES];
 } EntryService;
--- a/packages/http/client.c
+++ b/packages/http/client.c
@@ -11,7 +11,8 @@
 struct HttpClient {
   ne_session *session;
   bool connected; /* a connection was established for the current request */
-  bool reusable;  /* the connection has carried a response and is still open */
+  bool reusable;  /* the connection has carried a response; the next request
+                     reuses it */
 };
 
 struct HttpStream {
--- a/packages/report/evacuations.c
+++ b/packages/report/evacuations.c
@@ -38,11 +38,11 @@
 }
 
 static Row *find_or_add_row(ReportEvacuations *e, const char *dc,
-                            double started_at) {
+                            double event_at) {
   Row *r = g_hash_table_lookup(e->rows, dc);
   if (r) return r;
   r = g_new0(Row, 1);
-  r->started_at = started_at;
+  r->started_at = event_at;
   r->instances_in_force =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   g_hash_table_insert(e->rows, g_strdup(dc), r);
