--- a/bin/loftpath.c
+++ b/bin/loftpath.c
@@ -18,7 +18,8 @@
 #define REQUEST_TIMEOUT_S 30
 #define RESPONSE_MAX_BYTES (64 << 20)
 #define IN_FORCE_POLL_US 100000
-#define IN_FORCE_MAX_S 10 /* for an accepted table, at all instances */
+/* Max time from the acceptance of a table until all instances use it. */
+#define IN_FORCE_MAX_S 10
 
 enum { EXIT_OK, EXIT_FAILED, EXIT_USAGE, EXIT_REFUSED, EXIT_FAULT_FOUND };
 
@@ -53,7 +54,9 @@
     {0}};
 
 typedef struct Args {
-  const char *address, *key, *command, *file, *log, *base;
+  /* operand: FILE, KEY, ID or the LOG of account; log_path: the LOG of explain
+   */
+  const char *address, *admin_key, *command, *operand, *log_path, *base_version;
   int wait_timeout_s;
   bool json;
 } Args;
@@ -63,15 +66,15 @@
   switch (k) {
   case 'a': a->address = arg; break;
   case 'j': a->json = true; break;
-  case 'b': a->base = arg; break;
+  case 'b': a->base_version = arg; break;
   case 'w': a->wait_timeout_s = atoi(arg); break;
   case ARGP_KEY_ARG:
     if (state->arg_num == 0)
       a->command = arg;
     else if (state->arg_num == 1)
-      a->file = arg;
+      a->operand = arg;
     else if (state->arg_num == 2)
-      a->log = arg;
+      a->log_path = arg;
     else
       argp_usage(state);
     break;
@@ -85,14 +88,14 @@
 
 static bool send_request(const Args *a, const char *address, const char *method,
                          const char *path, const char *body,
-                         HttpResponse *out) {
+                         HttpResponse *response) {
   char auth[512];
-  snprintf(auth, sizeof auth, "Bearer %s", a->key);
+  snprintf(auth, sizeof auth, "Bearer %s", a->admin_key);
   const char *headers[] = {"Authorization", auth, NULL};
   HttpClient *c = http_client_new(address, 5, REQUEST_TIMEOUT_S);
   if (!c) {
     fprintf(stderr, "loftpath: '%s' is not ip:port\n", address);
-    memset(out, 0, sizeof *out);
+    memset(response, 0, sizeof *response);
     return false;
   }
   http_client_request(
@@ -102,17 +105,18 @@
                            .headers = headers,
                            .body = body,
                            .body_bytes = body ? strlen(body) : 0},
-      RESPONSE_MAX_BYTES, out);
+      RESPONSE_MAX_BYTES, response);
   http_client_free(c);
-  return out->status == 200 && out->complete;
+  return response->status == 200 && response->complete;
 }
 
-/* Prints why a request failed. Returns the exit code. */
-static int print_failure(const Args *a, HttpResponse *out) {
-  int code = out->status ? EXIT_REFUSED : EXIT_FAILED;
-  json_t *o = out->body && out->body->len
-                  ? json_loadb(out->body->str, out->body->len, 0, NULL)
-                  : NULL;
+/* Prints why a request failed and frees the response. Returns the exit code. */
+static int print_failure(const Args *a, HttpResponse *response) {
+  int code = response->status ? EXIT_REFUSED : EXIT_FAILED;
+  json_t *o =
+      response->body && response->body->len
+          ? json_loadb(response->body->str, response->body->len, 0, NULL)
+          : NULL;
   json_t *e = json_object_get(o, "error"), *line;
   const char *message = json_string_value(json_object_get(e, "message"));
   const char *remedy = json_string_value(json_object_get(e, "remedy"));
@@ -121,24 +125,26 @@
     fprintf(stderr, "loftpath: %s\n", message);
   else
     fprintf(stderr, "loftpath: no answer from %s: %s\n", a->address,
-            out->error);
+            response->error);
   json_array_foreach(json_object_get(e, "errors"), i, line)
       fprintf(stderr, "  %s\n", json_string_value(line));
   if (remedy) fprintf(stderr, "  remedy: %s\n", remedy);
   json_decref(o);
-  http_response_free(out);
+  http_response_free(response);
   return code;
 }
 
+/* Returns the JSON at `path`. On failure prints why, sets *code to the exit
+   code and returns NULL. */
 static json_t *get_json(const Args *a, const char *path, int *code) {
-  HttpResponse out;
+  HttpResponse response;
   *code = EXIT_OK;
-  if (!send_request(a, a->address, "GET", path, NULL, &out)) {
-    *code = print_failure(a, &out);
+  if (!send_request(a, a->address, "GET", path, NULL, &response)) {
+    *code = print_failure(a, &response);
     return NULL;
   }
-  json_t *o = json_loadb(out.body->str, out.body->len, 0, NULL);
-  http_response_free(&out);
+  json_t *o = json_loadb(response.body->str, response.body->len, 0, NULL);
+  http_response_free(&response);
   return o;
 }
 
@@ -175,6 +181,8 @@
   }
 }
 
+/* Prints the JSON list at `path` as a table, or as JSON if that is requested or
+   `columns` is NULL. Returns the exit code. */
 static int print_list(const Args *a, const char *path, const Column *columns) {
   int code;
   json_t *o = get_json(a, path, &code);
@@ -239,7 +247,8 @@
   return print_list(a, "/admin/bills", NULL);
 }
 
-/* == status == */
+/* == status: each check prints the faults that it finds and returns their
+   number == */
 
 static int print_fault(const char *what, const char *name, const char *remedy) {
   printf("  ! %s %s\n      %s\n", what, name, remedy);
@@ -260,8 +269,8 @@
   return n;
 }
 
-/* Reports instances that keep an older table for longer than IN_FORCE_MAX_S,
-   which is the normal time for a table to reach every instance. */
+/* Reports instances that have kept an older table for longer than
+   IN_FORCE_MAX_S. */
 static int check_instances(json_t *o) {
   size_t i;
   json_t *m;
@@ -353,32 +362,32 @@
 }
 
 static int cmd_check(const Args *a) {
-  Table *t = parse_table_file(a->file, NULL);
+  Table *t = parse_table_file(a->operand, NULL);
   if (!t) return EXIT_REFUSED;
-  printf("%s: %u rows, no fault found\n", a->file, t->sorted_rows->len);
+  printf("%s: %u rows, no fault found\n", a->operand, t->sorted_rows->len);
   table_free(t);
   return EXIT_OK;
 }
 
 static int cmd_show(const Args *a) {
-  HttpResponse out;
-  if (!send_request(a, a->address, "GET", "/admin/table", NULL, &out))
-    return print_failure(a, &out);
-  fwrite(out.body->str, 1, out.body->len, stdout);
-  http_response_free(&out);
+  HttpResponse response;
+  if (!send_request(a, a->address, "GET", "/admin/table", NULL, &response))
+    return print_failure(a, &response);
+  fwrite(response.body->str, 1, response.body->len, stdout);
+  http_response_free(&response);
   return EXIT_OK;
 }
 
 /* Prints the changes between the table in force and `new_table`. Returns their
    number, or -1 if the fleet does not respond. */
 static int print_diff(const Args *a, const Table *new_table) {
-  HttpResponse out;
+  HttpResponse response;
   GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
-  if (!send_request(a, a->address, "GET", "/admin/table", NULL, &out)) {
-    print_failure(a, &out);
+  if (!send_request(a, a->address, "GET", "/admin/table", NULL, &response)) {
+    print_failure(a, &response);
     return -1;
   }
-  Table *current_table = table_read_csv(out.body->str, errors, NULL);
+  Table *current_table = table_read_csv(response.body->str, errors, NULL);
   if (!current_table) current_table = table_new();
   GPtrArray *changes = table_diff(current_table, new_table);
   for (guint i = 0; i < changes->len; i++) {
@@ -390,12 +399,12 @@
   g_ptr_array_unref(changes);
   g_ptr_array_free(errors, TRUE);
   table_free(current_table);
-  http_response_free(&out);
+  http_response_free(&response);
   return n;
 }
 
 static int cmd_diff(const Args *a) {
-  Table *new_table = parse_table_file(a->file, NULL);
+  Table *new_table = parse_table_file(a->operand, NULL);
   if (!new_table) return EXIT_REFUSED;
   int n = print_diff(a, new_table);
   if (n == 0) printf("no difference\n");
@@ -404,7 +413,8 @@
 }
 
 /* Returns the number of instances that have not confirmed `version`. If `print`
-   is set, also prints the version of each instance. */
+   is set, also prints the version of each instance. Returns 1 if the list of
+   instances is not available. */
 static int count_unconfirmed_instances(const Args *a, json_int_t version,
                                        bool print) {
   int code, n = 0;
@@ -440,7 +450,7 @@
 
 static int cmd_apply(const Args *a) {
   char *csv = NULL;
-  Table *new_table = parse_table_file(a->file, &csv);
+  Table *new_table = parse_table_file(a->operand, &csv);
   if (!new_table) return EXIT_REFUSED;
   int n = print_diff(a, new_table);
   table_free(new_table);
@@ -451,43 +461,43 @@
   uint64_t id[2] = {0};
   if (getrandom(id, sizeof id, 0) != sizeof id) id[0] = (uint64_t)getpid();
   const char *who = g_get_user_name();
-  char *path =
-      g_strdup_printf("/admin/table?id=%016llx%016llx&who=%s%s%s",
-                      (unsigned long long)id[0], (unsigned long long)id[1], who,
-                      a->base ? "&base=" : "", a->base ? a->base : "");
-  /* The id makes it safe to repeat the request if its response is lost. */
-  HttpResponse out;
+  char *path = g_strdup_printf(
+      "/admin/table?id=%016llx%016llx&who=%s%s%s", (unsigned long long)id[0],
+      (unsigned long long)id[1], who, a->base_version ? "&base=" : "",
+      a->base_version ? a->base_version : "");
+  /* The id makes it safe to send the request again if its response is lost. */
+  HttpResponse response;
   bool ok = false;
   for (int i = 0; i < 3 && !ok; i++) {
-    if (i > 0) http_response_free(&out);
-    ok = send_request(a, a->address, "POST", path, csv, &out);
-    if (out.status && out.status != 503) break;
+    if (i > 0) http_response_free(&response);
+    ok = send_request(a, a->address, "POST", path, csv, &response);
+    if (response.status && response.status != 503) break;
   }
   g_free(path);
   g_free(csv);
-  if (!ok) return print_failure(a, &out);
-  json_t *o = json_loadb(out.body->str, out.body->len, 0, NULL);
+  if (!ok) return print_failure(a, &response);
+  json_t *o = json_loadb(response.body->str, response.body->len, 0, NULL);
   json_int_t version = json_integer_value(json_object_get(o, "version"));
   json_decref(o);
-  http_response_free(&out);
+  http_response_free(&response);
   return wait_until_in_force(a, version);
 }
 
 static int cmd_drain(const Args *a) {
-  HttpResponse out;
-  if (!send_request(a, a->address, "POST", "/admin/drain", NULL, &out))
-    return print_failure(a, &out);
-  printf("%s\n", out.body->str);
-  http_response_free(&out);
+  HttpResponse response;
+  if (!send_request(a, a->address, "POST", "/admin/drain", NULL, &response))
+    return print_failure(a, &response);
+  printf("%s\n", response.body->str);
+  http_response_free(&response);
   return EXIT_OK;
 }
 
 static int cmd_hash(const Args *a) {
-  if (!a->file) {
+  if (!a->operand) {
     fprintf(stderr, "loftpath: hash needs a key\n");
     return EXIT_USAGE;
   }
-  char *hex = g_compute_checksum_for_string(G_CHECKSUM_SHA256, a->file, -1);
+  char *hex = g_compute_checksum_for_string(G_CHECKSUM_SHA256, a->operand, -1);
   printf("%s\n", hex);
   g_free(hex);
   return EXIT_OK;
@@ -502,7 +512,7 @@
 }
 
 static int cmd_account(const Args *a) {
-  FILE *in = open_log(a->file);
+  FILE *in = open_log(a->operand);
   if (!in) return EXIT_FAILED;
   ReportLosses *losses = report_losses_new();
   long skipped = 0;
@@ -521,19 +531,19 @@
 }
 
 static int cmd_explain(const Args *a) {
-  if (!a->file || !a->log) {
+  if (!a->operand || !a->log_path) {
     fprintf(stderr, "loftpath: explain needs a request's id and a log file\n");
     return EXIT_USAGE;
   }
-  FILE *in = open_log(a->log);
+  FILE *in = open_log(a->log_path);
   if (!in) return EXIT_FAILED;
-  bool found = report_explain(in, a->file, stdout);
+  bool found = report_explain(in, a->operand, stdout);
   fclose(in);
   if (found) return EXIT_OK;
   fprintf(stderr,
           "loftpath: no request %s in the log: look at the others' "
           "logs, or in an older one\n",
-          a->file);
+          a->operand);
   return EXIT_FAILED;
 }
 
@@ -552,13 +562,13 @@
 
 int main(int argc, char **argv) {
   Args a = {.address = getenv("LOFTPATH_ADDRESS"),
-            .key = getenv("LOFTPATH_ADMIN_KEY"),
+            .admin_key = getenv("LOFTPATH_ADMIN_KEY"),
             .wait_timeout_s = 10};
   struct argp argp = {options, parse_option, "COMMAND [FILE [LOG]]", doc, 0, 0,
                       0};
   argp_parse(&argp, argc, argv, 0, NULL, &a);
   if (!a.address) a.address = "127.0.0.1:8080";
-  if (!a.key) a.key = "";
+  if (!a.admin_key) a.admin_key = "";
   for (size_t i = 0; i < G_N_ELEMENTS(commands); i++)
     if (strcmp(commands[i].name, a.command) == 0) return commands[i].run(&a);
   fprintf(stderr, "loftpath: there is no command '%s': see loftpath --help\n",
--- a/bin/loftpathd.c
+++ b/bin/loftpathd.c
@@ -17,11 +17,18 @@
 #include "kernel/settings.h"
 #include "node/node.h"
 
-#define STOP_POLL_US 20000   /* interval of checks during a stop */
-#define DRAIN_POLL_US 200000 /* interval of checks for an operator's drain */
-#define CONNECTIONS_END_TIMEOUT_S 2.0 /* time for open connections to end */
-#define STOP_LOG_INTERVAL_S 5.0       /* of what a long stop waits for */
+/* Interval at which a stop checks whether all work has ended. */
+#define STOP_POLL_US 20000
+/* Interval at which the instance checks for a drain requested by an operator.
+ */
+#define DRAIN_POLL_US 200000
+/* Max time that a stop waits for open connections to end. */
+#define CONNECTIONS_END_TIMEOUT_S 2.0
+/* Interval at which a long stop logs what it waits for. */
+#define STOP_LOG_INTERVAL_S 5.0
 
+/* flag, environment variable, type, default (NULL: must be given), help, min,
+   max, value */
 static Setting settings[] = {
     {"name", "LOFTPATH_NAME", SETTING_NAME, NULL,
      "Name of this instance, as in the platform's list", 0, 0, NULL},
@@ -155,6 +162,7 @@
   placer_close(s->state);
 }
 
+/* name, services that it needs, start, drain, stop, state */
 static Service services[] = {
     {"placer", {"entry", "watch"}, start_placer, NULL, stop_placer, NULL},
     {"watch", {"entry"}, start_watch, NULL, stop_watch, NULL},
@@ -172,23 +180,24 @@
 /* == lifecycle == */
 
 /* Waits for SIGTERM, SIGINT or a drain requested by an operator. */
-static void wait_for_stop(const sigset_t *set) {
-  struct timespec step = {0, DRAIN_POLL_US * 1000};
+static void wait_for_stop(const sigset_t *stop_signals) {
+  struct timespec poll_interval = {0, DRAIN_POLL_US * 1000};
   while (!atomic_load(&entry.draining))
-    if (sigtimedwait(set, NULL, &step) > 0) return;
+    if (sigtimedwait(stop_signals, NULL, &poll_interval) > 0) return;
 }
 
-/* Refuses new requests and waits until the open requests and the fleet's work
-   have ended. Returns false if a second signal or the deadline comes first. */
-static bool drain_instance(const sigset_t *set) {
+/* Refuses new requests, waits until the open requests have ended, and then
+   until the fleet module has handed over its budgets and records. Returns false
+   if a second signal is received or the deadline passes before. */
+static bool drain_instance(const sigset_t *stop_signals) {
   double deadline = clock_now() + (double)settings_number(settings, "stop");
-  struct timespec step = {0, STOP_POLL_US * 1000};
+  struct timespec poll_interval = {0, STOP_POLL_US * 1000};
   bool fleet_is_draining = false;
   double logged_at = clock_now();
   service_drain(&kernel);
   log_info("draining", "s:i", "open", atomic_load(&entry.open_requests));
   while (clock_now() < deadline) {
-    if (sigtimedwait(set, NULL, &step) > 0) return false;
+    if (sigtimedwait(stop_signals, NULL, &poll_interval) > 0) return false;
     if (atomic_load(&entry.open_requests) > 0) continue;
     if (!fleet_is_draining) fleet_drain(entry.fleet);
     fleet_is_draining = true;
@@ -203,8 +212,8 @@
   return false;
 }
 
-/* If the environment names a settings file, as on the users' machines, node_run
-   runs the instance; otherwise this file does. */
+/* If the environment variable SETTINGS_FILE is set, as on the users' machines,
+   node_run runs the instance; otherwise this file does. */
 int main(int argc, char **argv) {
   if (getenv(SETTINGS_FILE)) return node_run(argc, argv);
   Err e = {0};
@@ -221,11 +230,12 @@
   snprintf(instance_id, sizeof instance_id, "%s.%08x",
            settings_text(settings, "name"), random_seed());
   log_open(instance_id, settings_flag(settings, "debug"));
-  sigset_t set;
-  sigemptyset(&set);
-  sigaddset(&set, SIGTERM);
-  sigaddset(&set, SIGINT);
-  pthread_sigmask(SIG_BLOCK, &set, NULL); /* before threads are created */
+  sigset_t stop_signals;
+  sigemptyset(&stop_signals);
+  sigaddset(&stop_signals, SIGTERM);
+  sigaddset(&stop_signals, SIGINT);
+  pthread_sigmask(SIG_BLOCK, &stop_signals,
+                  NULL); /* before threads are created */
   signal(SIGPIPE, SIG_IGN);
   atomic_store(&entry.store_answered_at, clock_unix());
   for (size_t i = 0; i < G_N_ELEMENTS(services); i++)
@@ -236,8 +246,8 @@
     return 1;
   }
   log_info("started", "s:s", "listen", settings_text(settings, "listen"));
-  wait_for_stop(&set);
-  bool clean = drain_instance(&set);
+  wait_for_stop(&stop_signals);
+  bool clean = drain_instance(&stop_signals);
   if (clean) http_server_drain(entry.server, CONNECTIONS_END_TIMEOUT_S);
   if (!clean)
     log_warn("stop-cut", "s:i,s:I", "requests",
@@ -245,8 +255,8 @@
              (json_int_t)(fleet_sums(entry.fleet).free +
                           fleet_sums(entry.fleet).reserved));
   log_info("stopped", "s:b", "clean", (int)clean);
-  /* At a clean stop all tokens are returned and all responses are sent. A
-     thread may still wait up to 10 s in a watch, so the services are not
-     stopped. */
+  /* At a clean stop all tokens are returned and all responses are sent. The
+     services are not stopped, because a thread of the service watch may still
+     wait up to 10 s for the store. */
   _exit(clean ? 0 : 3);
 }
