--- a/bin/loftpath.c
+++ b/bin/loftpath.c
@@ -18,7 +18,8 @@
 #define REQUEST_TIMEOUT_S 30
 #define RESPONSE_MAX_BYTES (64 << 20)
 #define IN_FORCE_POLL_US 100000
-/* Max time from the acceptance of a table until all instances use it. */
+/* Max time that a table normally takes from its acceptance until all instances
+   use it. */
 #define IN_FORCE_MAX_S 10
 
 enum { EXIT_OK, EXIT_FAILED, EXIT_USAGE, EXIT_REFUSED, EXIT_FAULT_FOUND };
--- a/packages/entry/chat.c
+++ b/packages/entry/chat.c
@@ -29,10 +29,10 @@
          TEMPLATE_MAX_TOKENS_PER_REQUEST;
 }
 
-static bool check_message(json_t *m, Err *err) {
-  json_t *content = json_object_get(m, "content"), *part;
+static bool check_message(json_t *message, Err *err) {
+  json_t *content = json_object_get(message, "content"), *part;
   size_t i;
-  if (!json_is_string(json_object_get(m, "role")))
+  if (!json_is_string(json_object_get(message, "role")))
     return err_set(err, ERR_MALFORMED, "a message has no role");
   json_array_foreach(content, i, part) {
     const char *type = json_string_value(json_object_get(part, "type"));
@@ -47,7 +47,7 @@
   json_error_t bad;
   json_t *o =
       json_loadb(r->body->str, r->body->len, JSON_REJECT_DUPLICATES, &bad);
-  json_t *messages = json_object_get(o, "messages"), *m;
+  json_t *messages = json_object_get(o, "messages"), *message;
   json_t *n = json_object_get(o, "n");
   size_t i;
   bool ok = true;
@@ -59,7 +59,8 @@
     ok = err_set(err, ERR_MALFORMED, "messages is missing or empty");
   else if (n && json_integer_value(n) != 1)
     ok = err_set(err, ERR_MALFORMED, "n must be 1");
-  json_array_foreach(messages, i, m) ok = ok && check_message(m, err);
+  json_array_foreach(messages, i, message) ok =
+      ok && check_message(message, err);
   if (ok) return o;
   json_decref(o);
   return NULL;
@@ -200,27 +201,27 @@
   }
   json_t *o = n == 0 ? json_loadb(all->str, all->len, 0, NULL) : NULL;
   Err err = {0};
-  struct MHD_Response *m;
+  struct MHD_Response *response;
   if (!o) { /* truncated, or not JSON */
     count_add(COUNT_TARGET_CUT, 1);
     pool_end_dispatch(c->x.pool, &c->x.ticket, ROUTE_FAILED, 0, 0);
     exchange_end_unknown(&c->x, cancel_run(c));
     err_retry(&err, ERR_TARGET_CUT, 1000, "the target's answer was cut");
     err.ran = RAN_MAYBE;
-    m = entry_error_response(&err, c->x.id, status);
+    response = entry_error_response(&err, c->x.id, status);
   } else {
     int64_t used = engine_usage_tokens(o);
     OnceAnswer a = {.status = 200, .body = all->str, .len = all->len};
     g_strlcpy(a.type, "application/json", sizeof a.type);
     exchange_complete(&c->x, used >= 0 ? used : c->x.reserved_tokens, &a);
     *status = 200;
-    m = http_text_response("application/json", all->str, all->len);
-    entry_add_headers(m, c->x.id, RAN_YES);
+    response = http_text_response("application/json", all->str, all->len);
+    entry_add_headers(response, c->x.id, RAN_YES);
   }
   json_decref(o);
   g_string_free(all, TRUE);
   chat_free(c);
-  return m;
+  return response;
 }
 
 /* == streams == */
@@ -354,13 +355,13 @@
   c->output = g_string_new(NULL);
   c->kept_answer = g_string_new(NULL);
   c->used_tokens = -1;
-  struct MHD_Response *m = MHD_create_response_from_callback(
+  struct MHD_Response *response = MHD_create_response_from_callback(
       MHD_SIZE_UNKNOWN, 8192, read_output, c, close_stream);
-  MHD_add_response_header(m, "Content-Type", "text/event-stream");
-  MHD_add_response_header(m, "Cache-Control", "no-store");
-  entry_add_headers(m, c->x.id, RAN_MAYBE);
+  MHD_add_response_header(response, "Content-Type", "text/event-stream");
+  MHD_add_response_header(response, "Cache-Control", "no-store");
+  entry_add_headers(response, c->x.id, RAN_MAYBE);
   *status = 200;
-  return m;
+  return response;
 }
 
 /* == the handler == */
@@ -374,12 +375,12 @@
     err.ran = RAN_YES;
     return entry_error_response(&err, x->id, status);
   }
-  struct MHD_Response *m = http_text_response(a->type, a->body, a->len);
-  entry_add_headers(m, x->id, RAN_YES);
-  MHD_add_response_header(m, "Loftpath-Replayed", "true");
+  struct MHD_Response *response = http_text_response(a->type, a->body, a->len);
+  entry_add_headers(response, x->id, RAN_YES);
+  MHD_add_response_header(response, "Loftpath-Replayed", "true");
   *status = a->status;
   g_free(a->body);
-  return m;
+  return response;
 }
 
 static void prepare_request(Chat *c, const HttpRequest *r) {
@@ -436,11 +437,11 @@
   if (s == EXCHANGE_DISPATCHED && dispatch_request(c, &err))
     return c->is_streamed ? respond_stream(c, status)
                           : respond_complete(c, status);
-  struct MHD_Response *m = s == EXCHANGE_REPLAY
-                               ? replay_response(&c->x, &kept_answer, status)
-                               : entry_error_response(&err, c->x.id, status);
+  struct MHD_Response *response =
+      s == EXCHANGE_REPLAY ? replay_response(&c->x, &kept_answer, status)
+                           : entry_error_response(&err, c->x.id, status);
   chat_free(c);
-  return m;
+  return response;
 }
 
 /* == models == */
@@ -462,9 +463,9 @@
   snapshots_read(e->snapshots, append_models, list);
   json_t *o = json_pack("{s:s,s:o}", "object", "list", "data", list);
   char *s = json_dumps(o, JSON_COMPACT);
-  struct MHD_Response *m = entry_text_response("application/json", s);
+  struct MHD_Response *response = entry_text_response("application/json", s);
   *status = 200;
   free(s);
   json_decref(o);
-  return m;
+  return response;
 }
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -15,9 +15,9 @@
 
 /* == responses == */
 
-void entry_add_headers(struct MHD_Response *m, const char *id, Ran ran) {
-  if (id) MHD_add_response_header(m, "Loftpath-Request-Id", id);
-  MHD_add_response_header(m, "Loftpath-Ran", err_ran_name(ran));
+void entry_add_headers(struct MHD_Response *response, const char *id, Ran ran) {
+  if (id) MHD_add_response_header(response, "Loftpath-Request-Id", id);
+  MHD_add_response_header(response, "Loftpath-Ran", err_ran_name(ran));
 }
 
 struct MHD_Response *entry_text_response(const char *type, const char *text) {
@@ -45,20 +45,20 @@
                 "message", err->text, "remedy", info->remedy, "ran",
                 err_ran_name(err->ran), "request_id", id);
   char *s = json_dumps(o, JSON_COMPACT);
-  struct MHD_Response *m = entry_text_response("application/json", s);
+  struct MHD_Response *response = entry_text_response("application/json", s);
   free(s);
   json_decref(o);
-  entry_add_headers(m, id, err->ran);
+  entry_add_headers(response, id, err->ran);
   /* Makes the caller reconnect, and so move to another instance. */
   if (err->kind == ERR_DRAINING)
-    MHD_add_response_header(m, "Connection", "close");
+    MHD_add_response_header(response, "Connection", "close");
   if (err->retry_ms > 0) {
     char after[16];
     snprintf(after, sizeof after, "%d", (err->retry_ms + 999) / 1000);
-    MHD_add_response_header(m, "Retry-After", after);
+    MHD_add_response_header(response, "Retry-After", after);
   }
   *status = info->status;
-  return m;
+  return response;
 }
 
 /* == health, readiness, metrics == */
@@ -86,7 +86,7 @@
   (void)r;
   GString *s = g_string_new(NULL);
   count_print(s);
-  LedgerSums n = fleet_sums(e->fleet);
+  LedgerSums sums = fleet_sums(e->fleet);
   g_string_append_printf(
       s,
       "# TYPE loftpath_tokens_free gauge\nloftpath_tokens_free %" PRId64 "\n"
@@ -96,20 +96,20 @@
       "# TYPE loftpath_open_requests gauge\nloftpath_open_requests %d\n"
       "# TYPE loftpath_table_version gauge\nloftpath_table_version %" PRIu64
       "\n",
-      n.free, n.reserved, n.home_free_tokens, atomic_load(&e->open_requests),
-      snapshots_version(e->snapshots));
-  struct MHD_Response *m =
+      sums.free, sums.reserved, sums.home_free_tokens,
+      atomic_load(&e->open_requests), snapshots_version(e->snapshots));
+  struct MHD_Response *response =
       entry_text_response("text/plain; version=0.0.4", s->str);
   g_string_free(s, TRUE);
   *status = 200;
-  return m;
+  return response;
 }
 
 static const struct {
   const char *method, *path; /* a path that ends in '/' is a prefix */
   struct MHD_Response *(*handle_request)(Entry *e, HttpRequest *r, int *status);
   bool counts_as_open; /* a planned stop waits for its requests */
-} routes[] = {
+} endpoints[] = {
     {"POST", "/v1/chat/completions", chat_handle, true},
     {"GET", "/v1/models", chat_list_models, false},
     {NULL, "/services/", plain_handle, true},
@@ -119,10 +119,10 @@
     {"GET", "/readyz", handle_ready, false},
 };
 
-static bool path_matches(const char *path, const char *route) {
-  size_t n = strlen(route);
-  if (route[n - 1] == '/') return strncmp(path, route, n) == 0;
-  return strcmp(path, route) == 0;
+static bool path_matches(const char *path, const char *pattern) {
+  size_t n = strlen(pattern);
+  if (pattern[n - 1] == '/') return strncmp(path, pattern, n) == 0;
+  return strcmp(path, pattern) == 0;
 }
 
 /* Counts the request as open until the last byte of its response is sent. */
@@ -141,18 +141,19 @@
 static struct MHD_Response *handle_request(void *ctx, HttpRequest *r,
                                            int *status) {
   Entry *e = ctx;
-  for (size_t i = 0; i < G_N_ELEMENTS(routes); i++) {
-    if (!path_matches(r->path, routes[i].path)) continue;
-    if (routes[i].method && strcmp(routes[i].method, r->method) != 0) continue;
-    if (routes[i].counts_as_open) start_request(e, r);
-    return routes[i].handle_request(e, r, status);
+  for (size_t i = 0; i < G_N_ELEMENTS(endpoints); i++) {
+    if (!path_matches(r->path, endpoints[i].path)) continue;
+    if (endpoints[i].method && strcmp(endpoints[i].method, r->method) != 0)
+      continue;
+    if (endpoints[i].counts_as_open) start_request(e, r);
+    return endpoints[i].handle_request(e, r, status);
   }
   Err err = {0};
   err_set(&err, ERR_MALFORMED, "nothing is served at %s %.100s", r->method,
           r->path);
-  struct MHD_Response *m = entry_error_response(&err, NULL, status);
+  struct MHD_Response *response = entry_error_response(&err, NULL, status);
   *status = 404;
-  return m;
+  return response;
 }
 
 bool entry_open(Entry *e, Err *err) {
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -42,7 +42,7 @@
 struct MHD_Response *entry_error_response(const Err *err, const char *id,
                                           int *status);
 struct MHD_Response *entry_text_response(const char *type, const char *text);
-void entry_add_headers(struct MHD_Response *m, const char *id, Ran ran);
+void entry_add_headers(struct MHD_Response *response, const char *id, Ran ran);
 
 /* POST /v1/chat/completions and GET /v1/models */
 struct MHD_Response *chat_handle(Entry *e, HttpRequest *r, int *status);
--- a/packages/entry/placer.c
+++ b/packages/entry/placer.c
@@ -16,9 +16,9 @@
 #include "target/engine.h"
 
 #define PLAN_PREFIX "place/"
-#define WATCH_TIMEOUT_S 10
-#define STORE_TIMEOUT_S 15 /* must exceed WATCH_TIMEOUT_S */
-#define STORE_CALL_TIMEOUT_S 3
+#define WATCH_TIMEOUT_S 10     /* how long the store holds a watch open */
+#define STORE_TIMEOUT_S 15     /* must exceed WATCH_TIMEOUT_S */
+#define STORE_CALL_TIMEOUT_S 3 /* of any other call */
 #define SLEEP_STEP_US 200000
 #define UPDATE_INTERVAL_S 1.0
 /* All plans are listed at this interval, since a watch may miss events. */
@@ -119,9 +119,9 @@
   Placer *p = arg;
   Platform *store = platform_open(p->entry->options.platform, STORE_TIMEOUT_S);
   uint64_t revision = 0;
-  double listed = 0;
+  double listed_at = 0;
   while (is_running(p)) {
-    bool list = clock_now() - listed >= LIST_INTERVAL_S;
+    bool list = clock_now() - listed_at >= LIST_INTERVAL_S;
     PlatformAnswer a =
         list ? platform_list(store, PLAN_PREFIX)
              : platform_watch(store, PLAN_PREFIX, revision, WATCH_TIMEOUT_S);
@@ -130,7 +130,7 @@
       sleep_while_running(p, 1);
     } else if (list) {
       fetch_newer_plans(p, store, o);
-      listed = clock_now();
+      listed_at = clock_now();
     } else {
       json_int_t now = json_integer_value(json_object_get(o, "revision"));
       fetch_newer_plans(p, store, json_object_get(o, "changed"));
@@ -147,19 +147,19 @@
 
 typedef struct PoolState {
   char pool[LIMIT_NAME_BYTES + 8];
-  GArray *targets; /* PlaceTarget */
-  GArray *wants;   /* PlaceWant */
-  bool is_managed; /* some target can be ordered to load adapters */
+  GArray *targets;      /* PlaceTarget */
+  GArray *requirements; /* PlaceRequirement */
+  bool is_managed;      /* some target can be ordered to load adapters */
 } PoolState;
 
-static void free_pool_state(PoolState *l) {
-  g_array_free(l->targets, TRUE);
-  g_array_free(l->wants, TRUE);
-  g_free(l);
+static void free_pool_state(PoolState *state) {
+  g_array_free(state->targets, TRUE);
+  g_array_free(state->requirements, TRUE);
+  g_free(state);
 }
 
 static void append_target(void *ctx, const char *pool, const RouteState *s) {
-  PoolState *l = ctx;
+  PoolState *state = ctx;
   (void)pool;
   PlaceTarget t = {.slots = s->target.slots,
                    .max_adapters = s->target.loadable_adapters,
@@ -169,33 +169,36 @@
   g_strlcpy(t.name, s->target.name, sizeof t.name);
   g_strlcpy(t.url, s->target.url, sizeof t.url);
   g_strlcpy(t.configured, s->target.adapters, sizeof t.configured);
-  l->is_managed |= t.max_adapters > 0;
-  g_array_append_val(l->targets, t);
+  state->is_managed |= t.max_adapters > 0;
+  g_array_append_val(state->targets, t);
 }
 
-static PlaceRequirement *find_want(const PoolState *l, const char *adapter) {
-  for (guint i = 0; i < l->wants->len; i++) {
-    PlaceRequirement *w = &g_array_index(l->wants, PlaceRequirement, i);
+static PlaceRequirement *find_requirement(const PoolState *state,
+                                          const char *adapter) {
+  for (guint i = 0; i < state->requirements->len; i++) {
+    PlaceRequirement *w =
+        &g_array_index(state->requirements, PlaceRequirement, i);
     if (strcmp(w->adapter, adapter) == 0) return w;
   }
   return NULL;
 }
 
-/* If services share an adapter, the larger limits apply. */
-static void add_wants(void *ctx, const Table *t) {
-  PoolState *l = ctx;
+/* Adds a requirement for each adapter that a service of the pool uses. If
+   services share an adapter, the larger limits apply. */
+static void add_requirements(void *ctx, const Table *t) {
+  PoolState *state = ctx;
   for (guint i = 0; i < t->sorted_rows->len; i++) {
     const TableRow *r = t->sorted_rows->pdata[i];
     bool uses_adapter =
         r->kind == TABLE_SERVICE && r->cells[TABLE_ADAPTER][0] &&
-        strcmp(r->cells[TABLE_MODEL], l->pool + strlen("model/")) == 0;
+        strcmp(r->cells[TABLE_MODEL], state->pool + strlen("model/")) == 0;
     if (!uses_adapter) continue;
     PlaceRequirement w = {.min_targets = (int)r->numbers[TABLE_MIN_TARGETS],
                           .max_targets = (int)r->numbers[TABLE_MAX_TARGETS]};
     g_strlcpy(w.adapter, r->cells[TABLE_ADAPTER], sizeof w.adapter);
-    PlaceRequirement *have = find_want(l, w.adapter);
+    PlaceRequirement *have = find_requirement(state, w.adapter);
     if (!have) {
-      g_array_append_val(l->wants, w);
+      g_array_append_val(state->requirements, w);
       continue;
     }
     have->min_targets = MAX(have->min_targets, w.min_targets);
@@ -205,18 +208,19 @@
 }
 
 static PoolState *inspect_pool(Placer *p, const char *pool) {
-  PoolState *l = g_new0(PoolState, 1);
-  g_strlcpy(l->pool, pool, sizeof l->pool);
-  l->targets = g_array_new(FALSE, TRUE, sizeof(PlaceTarget));
-  l->wants = g_array_new(FALSE, TRUE, sizeof(PlaceRequirement));
+  PoolState *state = g_new0(PoolState, 1);
+  g_strlcpy(state->pool, pool, sizeof state->pool);
+  state->targets = g_array_new(FALSE, TRUE, sizeof(PlaceTarget));
+  state->requirements = g_array_new(FALSE, TRUE, sizeof(PlaceRequirement));
   Pool *x = pools_find(p->entry->pools, pool);
-  pool_visit_targets(x, append_target, l);
-  snapshots_read(p->entry->snapshots, add_wants, l);
-  for (guint i = 0; i < l->wants->len; i++) {
-    PlaceRequirement *w = &g_array_index(l->wants, PlaceRequirement, i);
+  pool_visit_targets(x, append_target, state);
+  snapshots_read(p->entry->snapshots, add_requirements, state);
+  for (guint i = 0; i < state->requirements->len; i++) {
+    PlaceRequirement *w =
+        &g_array_index(state->requirements, PlaceRequirement, i);
     w->recent_requests = pool_take_adapter_demand(x, w->adapter);
   }
-  return l;
+  return state;
 }
 
 /* == actions == */
@@ -298,21 +302,23 @@
 static void update_pool(Placer *p, Platform *store, const View *v,
                         const char *name) {
   bool is_pool_home = is_home(p, v, name);
-  PoolState *l = is_pool_home ? inspect_pool(p, name) : NULL;
+  PoolState *state = is_pool_home ? inspect_pool(p, name) : NULL;
   pthread_mutex_lock(&p->lock);
-  PlacePool *pp = l && l->is_managed ? find_pool(p, name)
-                                     : g_hash_table_lookup(p->pools, name);
+  PlacePool *pp = state && state->is_managed
+                      ? find_pool(p, name)
+                      : g_hash_table_lookup(p->pools, name);
   pthread_mutex_unlock(&p->lock);
   if (pp) place_set_home(pp->core, is_pool_home);
   if (pp && is_pool_home) {
-    place_update(pp->core, clock_now(), (PlaceTarget *)(void *)l->targets->data,
-                 (int)l->targets->len,
-                 (PlaceRequirement *)(void *)l->wants->data,
-                 (int)l->wants->len);
+    place_update(pp->core, clock_now(),
+                 (PlaceTarget *)(void *)state->targets->data,
+                 (int)state->targets->len,
+                 (PlaceRequirement *)(void *)state->requirements->data,
+                 (int)state->requirements->len);
     run_actions(p, store, pp);
   }
   if (pp) apply_plan(p, pp);
-  if (l) free_pool_state(l);
+  if (state) free_pool_state(state);
 }
 
 static void *update_pools(void *arg) {
--- a/packages/entry/plain.c
+++ b/packages/entry/plain.c
@@ -118,10 +118,11 @@
 static struct MHD_Response *create_response(const char *id, int code,
                                             const char *type, const char *body,
                                             size_t len, int *status) {
-  struct MHD_Response *m = http_text_response(type, body ? body : "", len);
-  entry_add_headers(m, id, RAN_YES);
+  struct MHD_Response *response =
+      http_text_response(type, body ? body : "", len);
+  entry_add_headers(response, id, RAN_YES);
   *status = code;
-  return m;
+  return response;
 }
 
 static struct MHD_Response *finish_request(Plain *p, int *status) {
@@ -130,20 +131,21 @@
                   .len = p->answer.body->len};
   g_strlcpy(a.type, p->type, sizeof a.type);
   exchange_complete(&p->x, p->x.reserved_tokens, &a);
-  struct MHD_Response *m =
+  struct MHD_Response *response =
       create_response(p->x.id, a.status, a.type, a.body, a.len, status);
   http_response_free(&p->answer);
-  return m;
+  return response;
 }
 
 static struct MHD_Response *replay_response(const Plain *p, OnceAnswer *a,
                                             int *status) {
   count_add(COUNT_REPLAYS, 1);
-  struct MHD_Response *m =
+  struct MHD_Response *response =
       create_response(p->x.id, a->status, a->type, a->body, a->len, status);
-  MHD_add_response_header(m, "Loftpath-Replayed", a->body ? "true" : "status");
+  MHD_add_response_header(response, "Loftpath-Replayed",
+                          a->body ? "true" : "status");
   g_free(a->body);
-  return m;
+  return response;
 }
 
 static struct MHD_Response *serve_request(Plain *p, int *status) {
--- a/packages/http/server.c
+++ b/packages/http/server.c
@@ -167,8 +167,8 @@
 
 struct MHD_Response *http_text_response(const char *type, const char *text,
                                         size_t len) {
-  struct MHD_Response *m =
+  struct MHD_Response *response =
       MHD_create_response_from_buffer(len, (void *)text, MHD_RESPMEM_MUST_COPY);
-  MHD_add_response_header(m, "Content-Type", type);
-  return m;
+  MHD_add_response_header(response, "Content-Type", type);
+  return response;
 }
--- a/packages/report/account.c
+++ b/packages/report/account.c
@@ -11,8 +11,8 @@
 
 #define WINDOW_S 2.0 /* width of a row of the table over time */
 #define CUSTOMERS_LISTED_MAX 8
-/* Routes with less than one in this many requests share a row. Otherwise they
-   fill the table on a day with a thousand routes. */
+/* Routes with less than one in this many requests share a row. With a thousand
+   routes they would otherwise fill the table. */
 #define RARE_ROUTE_RATIO 1000
 #define RARE_ROUTES "(rare routes)"
 #define CAUSE_WITHIN_OBJECTIVE "in aim"
@@ -130,14 +130,15 @@
     s->sums[i] += report_event_number(line, input_fields[i]);
 }
 
-static void count_window(ReportLosses *a, double at, Outcome out) {
-  gpointer window = GINT_TO_POINTER((int)floor(at / WINDOW_S));
+static void count_window(ReportLosses *a, double since_start_s,
+                         Outcome outcome) {
+  gpointer window = GINT_TO_POINTER((int)floor(since_start_s / WINDOW_S));
   long *counts = g_hash_table_lookup(a->windows_by_number, window);
   if (!counts) {
     counts = g_new0(long, OUTCOME_COUNT);
     g_hash_table_insert(a->windows_by_number, window, counts);
   }
-  counts[out]++;
+  counts[outcome]++;
 }
 
 static void count_refused_customer(ReportLosses *a, const char *name) {
@@ -157,10 +158,10 @@
   if (!report_event_is(line, "request")) return;
   a->requests++;
   const char *cause = report_request_cause(line);
-  Outcome out = classify_outcome(line, cause);
+  Outcome outcome = classify_outcome(line, cause);
   count_cause(a, line, cause);
-  count_window(a, t - a->started_at, out);
-  if (out == OUTCOME_REFUSED)
+  count_window(a, t - a->started_at, outcome);
+  if (outcome == OUTCOME_REFUSED)
     count_refused_customer(a, report_event_string(line, "customer"));
 }
 
@@ -189,11 +190,12 @@
 static Row *find_or_add_row(GArray *rows, const char *route,
                             const char *cause) {
   for (guint i = 0; i < rows->len; i++) {
-    Row *l = &g_array_index(rows, Row, i);
-    if (strcmp(l->route, route) == 0 && strcmp(l->cause, cause) == 0) return l;
+    Row *row = &g_array_index(rows, Row, i);
+    if (strcmp(row->route, route) == 0 && strcmp(row->cause, cause) == 0)
+      return row;
   }
-  Row l = {.route = route, .cause = cause};
-  g_array_append_val(rows, l);
+  Row row = {.route = route, .cause = cause};
+  g_array_append_val(rows, row);
   return &g_array_index(rows, Row, rows->len - 1);
 }
 
@@ -203,9 +205,10 @@
   g_hash_table_iter_init(&it, causes);
   while (g_hash_table_iter_next(&it, &cause, &v)) {
     const CauseSum *s = v;
-    Row *l = find_or_add_row(rows, route, cause);
-    l->sum.requests += s->requests;
-    for (size_t i = 0; i < INPUT_FIELD_COUNT; i++) l->sum.sums[i] += s->sums[i];
+    Row *row = find_or_add_row(rows, route, cause);
+    row->sum.requests += s->requests;
+    for (size_t i = 0; i < INPUT_FIELD_COUNT; i++)
+      row->sum.sums[i] += s->sums[i];
   }
 }
 
@@ -222,10 +225,10 @@
   return route != 0 ? route : strcmp(x->cause, y->cause);
 }
 
-static void print_row(const Row *l, FILE *out) {
-  fprintf(out, "%-14s %-28s %7ld", l->route, l->cause, l->sum.requests);
+static void print_row(const Row *row, FILE *out) {
+  fprintf(out, "%-14s %-28s %7ld", row->route, row->cause, row->sum.requests);
   for (size_t k = 0; k < INPUT_FIELD_COUNT; k++)
-    fprintf(out, " %9.3f", l->sum.sums[k] / (double)l->sum.requests);
+    fprintf(out, " %9.3f", row->sum.sums[k] / (double)row->sum.requests);
   fprintf(out, "\n");
 }
 
