--- a/packages/entry/chat.c
+++ b/packages/entry/chat.c
@@ -21,7 +21,7 @@
 /* == reading the request == */
 
 /* Returns an upper bound of the engine's count of prompt tokens: the bytes of
-   the body and a margin for the template. Every token of the prompt stands for
+   the body and a margin for the template. Every token of the prompt takes up
    at least one byte of the body. */
 static int64_t bound_prompt_tokens(const HttpRequest *r, json_t *messages) {
   return (int64_t)r->body->len +
--- a/packages/entry/exchange.c
+++ b/packages/entry/exchange.c
@@ -139,7 +139,7 @@
            (int)c->probe);
 }
 
-/* Call right before the request is sent to the chosen target. */
+/* Must be called right before the request is sent to the chosen target. */
 static void record_dispatch(Exchange *x) {
   x->sent_at = clock_now();
   log_route(x);
--- a/packages/entry/pool.c
+++ b/packages/entry/pool.c
@@ -59,33 +59,34 @@
   g_free(p);
 }
 
-static void wake_waiter(Pool *p, PoolWaiter *t, ErrKind refused, int retry_ms) {
-  g_hash_table_remove(p->waiters, &t->ticket->item.handle);
-  t->refused = refused;
-  t->retry_ms = retry_ms;
-  t->done = true;
-  pthread_cond_signal(&t->ready);
+static void wake_waiter(Pool *p, PoolWaiter *waiter, ErrKind refused,
+                        int retry_ms) {
+  g_hash_table_remove(p->waiters, &waiter->ticket->item.handle);
+  waiter->refused = refused;
+  waiter->retry_ms = retry_ms;
+  waiter->done = true;
+  pthread_cond_signal(&waiter->ready);
 }
 
 /* Dispatches queued requests while targets have room. Requires the lock. */
 static void dispatch_waiting(Pool *p) {
-  QueueDecision out;
+  QueueDecision decision;
   double now = clock_now();
   count_add(COUNT_EJECTED, route_ejections(p->route) - p->counted_ejections);
   p->counted_ejections = route_ejections(p->route);
   while (queue_pop(p->queue, now, route_free_slots(p->route, now),
-                   route_max_rate(p->route), &out)) {
-    PoolWaiter *t = g_hash_table_lookup(p->waiters, &out.handle);
-    ErrKind refused = out.refused;
+                   route_max_rate(p->route), &decision)) {
+    PoolWaiter *waiter = g_hash_table_lookup(p->waiters, &decision.handle);
+    ErrKind refused = decision.refused;
     bool has_target = refused == ERR_NONE &&
-                      route_pick(p->route, now, &t->ticket->route_request,
-                                 &t->ticket->choice);
+                      route_pick(p->route, now, &waiter->ticket->route_request,
+                                 &waiter->ticket->choice);
     if (refused == ERR_NONE && !has_target) {
-      queue_done(p->queue, &t->ticket->item, 0);
+      queue_done(p->queue, &waiter->ticket->item, 0);
       refused = ERR_NO_TARGET;
-      out.retry_ms = 1000;
+      decision.retry_ms = 1000;
     }
-    wake_waiter(p, t, refused, out.retry_ms);
+    wake_waiter(p, waiter, refused, decision.retry_ms);
   }
 }
 
