--- a/packages/http/server.c
+++ b/packages/http/server.c
@@ -141,11 +141,12 @@
     g_usleep(ACCEPT_POLL_US);
 }
 
-void http_server_drain(HttpServer *s, double wait_s) {
+void http_server_drain(HttpServer *s, double max_wait_s) {
   accept_pending_connections(s);
   MHD_socket listener = MHD_quiesce_daemon(s->daemon);
   if (listener != MHD_INVALID_SOCKET) close(listener);
-  for (double t = 0; t < wait_s && http_server_connections(s) > 0; t += 0.01)
+  for (double t = 0; t < max_wait_s && http_server_connections(s) > 0;
+       t += 0.01)
     g_usleep(10000);
 }
 
@@ -166,8 +167,8 @@
 
 struct MHD_Response *http_text_response(const char *type, const char *text,
                                         size_t len) {
-  struct MHD_Response *m =
+  struct MHD_Response *response =
       MHD_create_response_from_buffer(len, (void *)text, MHD_RESPMEM_MUST_COPY);
-  MHD_add_response_header(m, "Content-Type", type);
-  return m;
+  MHD_add_response_header(response, "Content-Type", type);
+  return response;
 }
