--- a/bin/loftpathd.c
+++ b/bin/loftpathd.c
@@ -212,8 +212,8 @@
   return false;
 }
 
-/* If the environment variable SETTINGS_FILE is set, as on the users' machines,
-   node_run runs the instance; otherwise this file does. */
+/* If the environment variable SETTINGS_FILE_ENV is set, as on the users'
+   machines, node_run runs the instance; otherwise this file does. */
 int main(int argc, char **argv) {
   if (getenv(SETTINGS_FILE_ENV)) return node_run(argc, argv);
   Err e = {0};
--- a/packages/entry/chat.c
+++ b/packages/entry/chat.c
@@ -76,7 +76,7 @@
   bool is_streamed, wants_usage;
   HttpClient *client;
   HttpStream *upstream;
-  /* kept_answer: for replays; NULL once it exceeds LIMIT_ANSWER */
+  /* kept_answer: for replays; NULL once it exceeds LIMIT_KEPT_ANSWER_BYTES */
   GString *line, *output, *kept_answer;
   int64_t used_tokens; /* -1: not reported yet */
   int events;          /* complete events received */
--- a/packages/ledger/shard.h
+++ b/packages/ledger/shard.h
@@ -63,7 +63,7 @@
 
 /* The shard that a budget belongs to. */
 int shard_index(const char *budget);
-/* Object name of a shard, to `out` of LIMIT_NAME bytes. */
+/* Object name of a shard, to `out` of LIMIT_NAME_BYTES bytes. */
 void shard_object_name(int index, char *out);
 
 ShardBudget *shard_find_budget(Shard *s, const char *name);
@@ -90,7 +90,7 @@
 bool shard_apply_report(ShardGrant *g, const char *instance, int64_t returned,
                         int64_t spent, bool final, int64_t now);
 /* Removes a sealed grant when reports account for all of it, or when it has
-   been unchanged for LEDGER_RETIRE seconds. True when removed. */
+   been unchanged for LEDGER_RETIRE_S seconds. True when removed. */
 bool shard_remove_settled(ShardBudget *b, ShardGrant *g, int64_t now);
 /* Removes a grant that is not sealed and whose tokens are all either spent or
    returned. */
--- a/packages/ledger/state.h
+++ b/packages/ledger/state.h
@@ -262,8 +262,8 @@
 /* == witness.c == */
 
 /* Chooses another instance of this region, in another data centre if there is
-   one, and not `avoid` if there is another; to `out` of LIMIT_ID bytes, ""
-   when there is none. */
+   one, and not `avoid` if there is another; to `out` of LIMIT_ID_BYTES bytes,
+   "" when there is none. */
 void witness_choose(const Ledger *l, uint64_t grant, const char *avoid,
                     char *out);
 /* Tokens that may be allotted without a further agreement of the witness. */
--- a/packages/once/once.h
+++ b/packages/once/once.h
@@ -159,7 +159,7 @@
 
 void once_receive(Once *o, double now, const char *from, const OnceMsg *m);
 /* Reports the result of a GET or PUT of a claim shard's head or part, like
-   ledger_stored. */
+   ledger_store_result. */
 void once_claim_stored(Once *o, double now, int shard, uint64_t part,
                        ErrKind kind, uint64_t version, const char *text);
 /* Reports the result of the last ONCE_DO_BILL. */
--- a/packages/store/pace.h
+++ b/packages/store/pace.h
@@ -19,8 +19,9 @@
 double pace_take(Pace *p, double now, bool urgent);
 
 /* Seconds until a failed call is retried: *wait_s, which is first doubled
-   within STORE_BACKOFF_MIN and _MAX, times 0.5 to 1.5 by `random` (0 to 1). The
-   random factor prevents that all instances retry at once after an outage. */
+   within STORE_BACKOFF_MIN_S and STORE_BACKOFF_MAX_S, times 0.5 to 1.5 by
+   `random` (0 to 1). The random factor prevents that all instances retry at
+   once after an outage. */
 double pace_backoff(double *wait_s, double random);
 
 #endif
--- a/scenario/world.h
+++ b/scenario/world.h
@@ -29,7 +29,7 @@
 
 World *world_new(uint32_t seed, WorldFaults f);
 void world_free(World *w);
-/* Region and data centre names must be shorter than LIMIT_NAME. */
+/* Region and data centre names must be shorter than LIMIT_NAME_BYTES. */
 int world_add_node(World *w, const char *name, const char *region,
                    const char *dc);
 void world_set_budget(World *w, const char *name, int64_t total,
