--- a/packages/ledger/holder.c
+++ b/packages/ledger/holder.c
@@ -10,15 +10,15 @@
 /* An account of a home that is not the first choice stays open while that home
    has sent an ALLOT within this time. */
 #define ACTIVE_HOME_S 5.0
-#define RECENT_ANSWER_S                                                        \
-  1.0 /* a home that answered within this time is reachable */
+/* A home that answered within this time is reachable. */
+#define RECENT_ANSWER_S 1.0
 #define MAX_HOME_CHOICES 4 /* homes that are tried one after the other */
-#define RETRY_AFTER_MS                                                         \
-  1000 /* sent with a refusal while other holders return tokens */
-#define RETRY_AFTER_OUTAGE_MS                                                  \
-  5000 /* sent with a refusal during a store outage, which lasts 4 to 9 s */
-#define FIRST_CHOICE_RETRY_S                                                   \
-  3.0 /* time after which a DRAW goes to the first choice again */
+/* Sent with a refusal while other holders return tokens. */
+#define RETRY_AFTER_MS 1000
+/* Sent with a refusal during a store outage, which lasts 4 to 9 s. */
+#define RETRY_AFTER_OUTAGE_MS 5000
+/* Time after which a DRAW goes to the first choice again. */
+#define FIRST_CHOICE_RETRY_S 3.0
 /* After this time without a request an instance keeps no tokens for a budget,
    even if its demand was high: the caller has moved to another
    instance, which lacks the tokens kept here, and they are lost if this
--- a/packages/ledger/home.c
+++ b/packages/ledger/home.c
@@ -6,15 +6,15 @@
 #include <math.h>
 #include <string.h>
 
-#define SURPLUS_RATIO                                                          \
-  1.5 /* a home returns tokens above this many times its target */
+/* A home returns tokens above this many times its target. */
+#define SURPLUS_RATIO 1.5
 #define SURPLUS_WRITE_INTERVAL_S 1.0 /* between writes for that alone */
-#define STORE_SLOW_S                                                           \
-  0.08 /* seconds; the store answers in 4 ms, so after this                    \
-          another home may be nearer to it */
+/* The store answers in 4 ms. After this time another home may have a faster
+   connection to it. */
+#define STORE_SLOW_S 0.08
 #define REFILL_BELOW_RATIO 0.8 /* of the outage reserve */
-#define MIN_REFILL_RATIO                                                       \
-  0.1 /* of the same; a smaller refill is not worth a write */
+/* Of the outage reserve; a smaller refill is not worth a write. */
+#define MIN_REFILL_RATIO 0.1
 #define RECALL_INTERVAL_S 1.0 /* between two recalls of one budget */
 #define RECALL_WAIT_S 0.4     /* time for a recall to take effect */
 /* A draw is refused only after a read of the store that is no older than this
--- a/packages/ledger/layup.c
+++ b/packages/ledger/layup.c
@@ -4,20 +4,20 @@
 
 #include <math.h>
 
-#define DEMAND_AVERAGE_S                                                       \
-  30.0 /* time constant of the average of a region's demand */
-#define SLOW_AVERAGE_S                                                         \
-  300.0 /* time constant of a second average; the larger average counts */
-#define RESERVE_DIVISOR                                                        \
-  2.0 /* max reserve of all regions: unused tokens divided by this */
-#define NEAR_END_RATIO                                                         \
-  0.3 /* unused part of the total below which a budget is near its end */
+/* Time constant of the average of a region's demand. */
+#define DEMAND_AVERAGE_S 30.0
+/* Time constant of a second average; the larger average counts. */
+#define SLOW_AVERAGE_S 300.0
+/* Max reserve of all regions: unused tokens divided by this. */
+#define RESERVE_DIVISOR 2.0
+/* Unused part of the total below which a budget is near its end. */
+#define NEAR_END_RATIO 0.3
 /* Max reserve of all regions together near the end, as a part of the total. The
    reserve is lost when all instances die, and 0.97 of a budget has to be
    usable. With 0.02, many budgets ended with 0.95 to 0.97 used. */
 #define NEAR_END_RESERVE_RATIO 0.01
-#define MAX_SUBSTITUTE_RESERVE_S                                               \
-  1.0 /* max seconds of demand, at a home that is not the first choice */
+/* Max seconds of demand, at a home that is not the first choice. */
+#define MAX_SUBSTITUTE_RESERVE_S 1.0
 /* Seconds of demand added to the reserve per second after an outage. It is slow
    because the store has only just come back, and because the reserve is lost if
    all instances are killed. Outages are expected to be at least 9 s apart. */
--- a/packages/ledger/stored.c
+++ b/packages/ledger/stored.c
@@ -6,11 +6,11 @@
 
 #include <string.h>
 
-#define READ_INTERVAL_S                                                        \
-  30.0 /* for a shard of which this instance is the home */
-#define FIRST_READ_S                                                           \
-  3.0 /* delay of a shard's first read without another cause: while instances  \
-         start, each takes itself for the home */
+/* For a shard of which this instance is the home. */
+#define READ_INTERVAL_S 30.0
+/* Delay of a shard's first read without another cause: while instances start,
+   each takes itself for the home. */
+#define FIRST_READ_S 3.0
 #define SEAL_WAIT_S 10.0 /* a report waits this long for its grant's seal */
 /* Between two writes of a shard whose budgets are nearly used up. */
 #define LOW_BUDGET_WRITE_INTERVAL_S 1.0
--- a/packages/ledger/witness.c
+++ b/packages/ledger/witness.c
@@ -6,8 +6,8 @@
 
 #include <string.h>
 
-#define WITNESS_TIMEOUT_S                                                      \
-  0.5 /* a witness that doesn't answer in this time is replaced */
+/* A witness that doesn't answer in this time is replaced. */
+#define WITNESS_TIMEOUT_S 0.5
 
 /* == the witness's side == */
 
--- a/packages/route/targets.c
+++ b/packages/route/targets.c
@@ -24,8 +24,8 @@
 #define SLOWDOWN_MIN 0.5
 #define SLOWDOWN_MAX 20.0
 #define EJECT_FULL_S 0.1 /* after it reported that it is full */
-#define SLOWDOWN_MAX_AGE_S                                                     \
-  0.3 /* a reported slowdown has no weight after this */
+/* A reported slowdown has no weight after this. */
+#define SLOWDOWN_MAX_AGE_S 0.3
 #define ANSWER_TIME_WEIGHT 0.1 /* weight of one answer in the mean time */
 /* Weight of one first byte in a target's average. */
 #define FIRST_BYTE_WEIGHT 0.1
--- a/packages/table/rollout.c
+++ b/packages/table/rollout.c
@@ -8,10 +8,10 @@
 #include <time.h>
 #include <xxhash.h>
 
-#define HISTORY_MAX_EDITS                                                      \
-  64 /* an edit that is based on an older version is refused */
-#define MAX_TRIES                                                              \
-  20 /* writes of one object that fail, conflict or lose their reply */
+/* An edit that is based on an older version is refused. */
+#define HISTORY_MAX_EDITS 64
+/* Writes of one object that fail, conflict or lose their reply. */
+#define MAX_TRIES 20
 
 /* == head == */
 
--- a/tests/permits.h
+++ b/tests/permits.h
@@ -6,8 +6,8 @@
 #include "route/targets.h"
 
 #define PERMITS_MAX_TRIES 6 /* permit requests for one request */
-#define PERMITS_UNRESPONSIVE_S                                                 \
-  0.25 /* no further permit request after a missing answer */
+/* No further permit request after a missing answer. */
+#define PERMITS_UNRESPONSIVE_S 0.25
 
 /* For tally_set_members: keep all counts, or none. */
 static inline bool permits_count_all(void *ctx, uint64_t name) {
